--- a/cmd/standpulley/list.go
+++ b/cmd/standpulley/list.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"standpulley/internal/agreement"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // listCmd holds the commands about the agreed list of replicas.
@@ -51,7 +51,7 @@
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REPLICA\tKIND\tZONE\tADDRESS\tAGREED\tOWN REGISTER\tORDER")
-	entries := slices.SortedFunc(maps.Values(b.List.Entries), func(a, b roster.Entry) int { return cmp.Compare(a.ID, b.ID) })
+	entries := slices.SortedFunc(maps.Values(b.List.Entries), func(a, b membership.Entry) int { return cmp.Compare(a.ID, b.ID) })
 	for _, e := range entries {
 		order, own := "", ""
 		if o, ok := b.Orders[e.ID]; ok {
@@ -129,13 +129,13 @@
 type listDrainCmd struct{ orderFlags }
 
 func (l listDrainCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: roster.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.order(agreement.Command{Do: membership.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listHoldCmd struct{ orderFlags }
 
 func (l listHoldCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: roster.Keep, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.order(agreement.Command{Do: membership.Keep, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listUndrainCmd struct {
--- a/internal/agree/book.go
+++ b/internal/agree/book.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // Fault is why a version is turned down: a key and what is wrong with it.
@@ -79,10 +79,10 @@
 	Stamp    uint64    `json:"stamp"`  // grows with every change
 	Decide   uint64    `json:"decide"` // entries that put something in force, counted: the history of decisions
 
-	List    roster.List     `json:"list"`    // of replicas, where dispatchers agree on that too
-	Changes []roster.Change `json:"changes"` // the latest, for who has missed few of them
-	Orders  roster.Orders   `json:"orders"`
-	Census  roster.Census   `json:"census"`
+	List    membership.List     `json:"list"`    // of replicas, where dispatchers agree on that too
+	Changes []membership.Change `json:"changes"` // the latest, for who has missed few of them
+	Orders  membership.Orders   `json:"orders"`
+	Census  membership.Census   `json:"census"`
 
 	Ledgers map[string]uint64 `json:"ledgers,omitempty"` // the file with which each voter last held the ledger
 }
--- a/internal/agree/entry.go
+++ b/internal/agree/entry.go
@@ -1,20 +1,20 @@
 package agree
 
-import "standpulley/internal/roster"
+import "standpulley/internal/membership"
 
 // Entry is one change of the Book. Exactly one of its fields is set.
 type Entry struct {
-	Found    *Found         `json:"found,omitempty"`
-	Propose  *Propose       `json:"propose,omitempty"`
-	TurnDown *TurnDown      `json:"turn_down,omitempty"`
-	Activate *Activate      `json:"activate,omitempty"`
-	Withdraw *Withdraw      `json:"withdraw,omitempty"`
-	Change   *roster.Change `json:"change,omitempty"` // of the list of replicas
-	Order    *Ordered       `json:"order,omitempty"`  // an operator's override
-	Lift     *Lifted        `json:"lift,omitempty"`   // ends one
-	Census   *roster.Census `json:"census,omitempty"`
-	Ledger   *Ledger        `json:"ledger,omitempty"` // notes the file with which a voter holds the ledger
-	Sit      *Seat          `json:"sit,omitempty"`    // takes an empty seat, or that of the voter that Sit replaces
+	Found    *Found             `json:"found,omitempty"`
+	Propose  *Propose           `json:"propose,omitempty"`
+	TurnDown *TurnDown          `json:"turn_down,omitempty"`
+	Activate *Activate          `json:"activate,omitempty"`
+	Withdraw *Withdraw          `json:"withdraw,omitempty"`
+	Change   *membership.Change `json:"change,omitempty"` // of the list of replicas
+	Order    *Ordered           `json:"order,omitempty"`  // an operator's override
+	Lift     *Lifted            `json:"lift,omitempty"`   // ends one
+	Census   *membership.Census `json:"census,omitempty"`
+	Ledger   *Ledger            `json:"ledger,omitempty"` // notes the file with which a voter holds the ledger
+	Sit      *Seat              `json:"sit,omitempty"`    // takes an empty seat, or that of the voter that Sit replaces
 }
 
 // Request is the number that a proposer drew for its entry, by which it is answered; empty where nobody waits for it.
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"slices"
 
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // Ordered is an operator's override of a replica, with a number of its own, so that asking twice makes one.
 type Ordered struct {
-	Request string       `json:"request"`
-	Order   roster.Order `json:"order"`
+	Request string           `json:"request"`
+	Order   membership.Order `json:"order"`
 }
 
 // Lifted ends an override: by its owner, or because it ran out.
@@ -27,7 +27,7 @@
 	keptEntries = 4096 // of all of them together, but for the last
 )
 
-func (b *Book) change(c roster.Change) error {
+func (b *Book) change(c membership.Change) error {
 	if err := b.List.Apply(c); err != nil {
 		return err
 	}
@@ -47,8 +47,8 @@
 }
 
 // Part gives what brings a copy of the list nearer to the present one.
-func (b *Book) Part(at roster.Cursor, pager *roster.Pager) roster.Part {
-	p := roster.Part{Number: b.List.Number}
+func (b *Book) Part(at membership.Cursor, pager *membership.Pager) membership.Part {
+	p := membership.Part{Number: b.List.Number}
 	changes, kept := b.since(at.Number)
 	if !kept || at.After != "" {
 		if !kept {
@@ -59,7 +59,7 @@
 	}
 	entries := 0
 	for _, c := range changes {
-		if entries += len(c.Entries); entries > roster.PartMost && len(p.Changes) > 0 {
+		if entries += len(c.Entries); entries > membership.PartMost && len(p.Changes) > 0 {
 			break
 		}
 		p.Changes = append(p.Changes, c)
@@ -68,7 +68,7 @@
 }
 
 // since gives the changes that lead from a version of the list to the present one; false where not all are kept.
-func (b *Book) since(number uint64) ([]roster.Change, bool) {
+func (b *Book) since(number uint64) ([]membership.Change, bool) {
 	if number == b.List.Number {
 		return nil, true
 	}
@@ -80,17 +80,17 @@
 	return nil, false
 }
 
-func (b *Book) order(o roster.Order) error {
+func (b *Book) order(o membership.Order) error {
 	if err := b.Orders.Check(o, &b.List); err != nil {
 		return err
 	}
 	if b.Orders == nil {
-		b.Orders = roster.Orders{}
+		b.Orders = membership.Orders{}
 	}
 	b.Orders[o.ID] = o
-	if e := b.List.Entries[o.ID]; o.Do == roster.Drain && e.State == roster.InService { // in force with the order itself
-		e.State = roster.Terminating
-		return b.change(roster.Change{Number: b.List.Number + 1, Register: b.List.Register, Entries: []roster.Entry{e}, By: o.Owner, Why: o.Why})
+	if e := b.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
+		e.State = membership.Terminating
+		return b.change(membership.Change{Number: b.List.Number + 1, Register: b.List.Register, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (b *Book) count(c roster.Census) error {
+func (b *Book) count(c membership.Census) error {
 	if c.Number != b.Census.Number+1 {
 		return fmt.Errorf("census %d does not follow %d", c.Number, b.Census.Number)
 	}
--- a/internal/agree/lists_test.go
+++ b/internal/agree/lists_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // A copy that is brought up to date in bounded parts, while the list goes on changing and some answers are lost, comes to
@@ -15,15 +15,15 @@
 func TestPartsMakeTheList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var b Book
-		var pager roster.Pager
-		var c roster.Copy
+		var pager membership.Pager
+		var c membership.Copy
 		change := func(most int) {
 			n := rapid.IntRange(1, most).Draw(rt, "entries")
-			change := roster.Change{Number: b.List.Number + 1}
+			change := membership.Change{Number: b.List.Number + 1}
 			for range n {
-				e := roster.Entry{ID: fmt.Sprint("s", rapid.IntRange(0, 1500).Draw(rt, "id")), Weight: float64(b.List.Number), State: roster.InService}
+				e := membership.Entry{ID: fmt.Sprint("s", rapid.IntRange(0, 1500).Draw(rt, "id")), Weight: float64(b.List.Number), State: membership.InService}
 				if rapid.IntRange(0, 3).Draw(rt, "ends") == 0 {
-					e.State = roster.Terminated
+					e.State = membership.Terminated
 				}
 				change.Entries = append(change.Entries, e)
 			}
@@ -31,9 +31,9 @@
 				rt.Fatal(err)
 			}
 		}
-		first := roster.Change{Number: 1}
+		first := membership.Change{Number: 1}
 		for i := range rapid.IntRange(0, 1500).Draw(rt, "first") {
-			first.Entries = append(first.Entries, roster.Entry{ID: fmt.Sprint("s", i), State: roster.InService})
+			first.Entries = append(first.Entries, membership.Entry{ID: fmt.Sprint("s", i), State: membership.InService})
 		}
 		if err := b.change(first); err != nil {
 			rt.Fatal(err)
@@ -48,11 +48,11 @@
 				for _, x := range part.Changes {
 					entries += len(x.Entries)
 				}
-				if entries > roster.PartMost {
+				if entries > membership.PartMost {
 					rt.Fatalf("%d entries in one answer", entries)
 				}
 			}
-			if part.Page != nil && len(part.Page.Entries) > roster.PartMost {
+			if part.Page != nil && len(part.Page.Entries) > membership.PartMost {
 				rt.Fatalf("%d entries on a page", len(part.Page.Entries))
 			}
 			if rapid.IntRange(0, 5).Draw(rt, "lost") == 0 {
@@ -80,14 +80,14 @@
 // A gap, or a page that does not follow, is noticed, and the copy begins anew and comes to the list.
 func TestCopyBeginsAnewAfterAGap(t *testing.T) {
 	var b Book
-	var pager roster.Pager
-	var c roster.Copy
+	var pager membership.Pager
+	var c membership.Copy
 	for i := range 3 {
-		if err := b.change(roster.Change{Number: uint64(i + 1), Entries: []roster.Entry{{ID: fmt.Sprint("s", i), State: roster.InService}}}); err != nil {
+		if err := b.change(membership.Change{Number: uint64(i + 1), Entries: []membership.Entry{{ID: fmt.Sprint("s", i), State: membership.InService}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, bad := range []roster.Part{{Number: 3, Changes: b.Changes[1:]}, {Number: 3, Page: &roster.Page{Number: 3, After: "s1"}}} {
+	for _, bad := range []membership.Part{{Number: 3, Changes: b.Changes[1:]}, {Number: 3, Page: &membership.Page{Number: 3, After: "s1"}}} {
 		if _, err := c.Take(bad); err == nil {
 			t.Errorf("taken: %+v", bad)
 		}
@@ -101,9 +101,9 @@
 func TestKeptChangesAreBounded(t *testing.T) {
 	var b Book
 	for n := range 40 {
-		c := roster.Change{Number: uint64(n + 1)}
+		c := membership.Change{Number: uint64(n + 1)}
 		for i := range 500 {
-			c.Entries = append(c.Entries, roster.Entry{ID: fmt.Sprint("s", i), Weight: float64(n), State: roster.InService})
+			c.Entries = append(c.Entries, membership.Entry{ID: fmt.Sprint("s", i), Weight: float64(n), State: membership.InService})
 		}
 		if err := b.change(c); err != nil {
 			t.Fatal(err)
--- a/internal/agree/readers.go
+++ b/internal/agree/readers.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // Readers picks those who read the register for all. Who reads goes on for as long as it is heard and hears the register; its
@@ -57,7 +57,7 @@
 
 // Living gives the next census where who holds a lease is no longer who is counted; nil where it is. Who may be acting, as its
 // lease can still run, is counted; and while a new leader does not know who may be, nobody is counted out.
-func (t *Tally) Living(now time.Duration, b *Book) *roster.Census {
+func (t *Tally) Living(now time.Duration, b *Book) *membership.Census {
 	names := map[string]bool{}
 	for name, m := range t.Members {
 		if now < m.Until {
@@ -70,5 +70,5 @@
 	if len(names) == 0 || maps.Equal(names, b.Census.Names) {
 		return nil
 	}
-	return &roster.Census{Number: b.Census.Number + 1, Names: names}
+	return &membership.Census{Number: b.Census.Number + 1, Names: names}
 }
--- a/internal/agree/tally.go
+++ b/internal/agree/tally.go
@@ -5,27 +5,27 @@
 	"slices"
 	"time"
 
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // Renewal is what a dispatcher says of itself when it asks for its lease to be renewed.
 type Renewal struct {
-	Name    string        `json:"name"`
-	Boot    uint64        `json:"boot"`                // drawn at its start
-	Holds   uint64        `json:"holds"`               // the version that it acts on, 0 for none
-	Checked uint64        `json:"checked"`             // the version that it has checked last ...
-	Fault   *Fault        `json:"fault,omitempty"`     // ... and turned down for this
-	Unfit   *Fault        `json:"unfit,omitempty"`     // why it can't act on the version in force
-	Leaves  bool          `json:"leaves,omitempty"`    // it acts no more: this is its last word
-	Crashes int           `json:"crashes,omitempty"`   // shortly after the activation of what it holds back from
-	Version uint64        `json:"version,omitempty"`   // a content that it has, and needs not be sent
-	Phase   string        `json:"phase,omitempty"`     // for people
-	LateBy  int64         `json:"late_by,omitempty"`   // acts that its choice for being alone allowed, for people
-	Since   int64         `json:"since_ms,omitempty"`  // how long it was without a lease before, for people
-	List    roster.Cursor `json:"list"`                // how far its copy of the list of replicas is
-	Reads   bool          `json:"reads,omitempty"`     // it could read the register
-	Serves  int64         `json:"serves_ms,omitempty"` // how long it has served as usual
-	Deaf    bool          `json:"deaf,omitempty"`      // it reads, and the register says nothing
+	Name    string            `json:"name"`
+	Boot    uint64            `json:"boot"`                // drawn at its start
+	Holds   uint64            `json:"holds"`               // the version that it acts on, 0 for none
+	Checked uint64            `json:"checked"`             // the version that it has checked last ...
+	Fault   *Fault            `json:"fault,omitempty"`     // ... and turned down for this
+	Unfit   *Fault            `json:"unfit,omitempty"`     // why it can't act on the version in force
+	Leaves  bool              `json:"leaves,omitempty"`    // it acts no more: this is its last word
+	Crashes int               `json:"crashes,omitempty"`   // shortly after the activation of what it holds back from
+	Version uint64            `json:"version,omitempty"`   // a content that it has, and needs not be sent
+	Phase   string            `json:"phase,omitempty"`     // for people
+	LateBy  int64             `json:"late_by,omitempty"`   // acts that its choice for being alone allowed, for people
+	Since   int64             `json:"since_ms,omitempty"`  // how long it was without a lease before, for people
+	List    membership.Cursor `json:"list"`                // how far its copy of the list of replicas is
+	Reads   bool              `json:"reads,omitempty"`     // it could read the register
+	Serves  int64             `json:"serves_ms,omitempty"` // how long it has served as usual
+	Deaf    bool              `json:"deaf,omitempty"`      // it reads, and the register says nothing
 
 	Learns bool               `json:"learns,omitempty"` // it knows nothing of what follows, and wants to
 	Bears  map[string]float64 `json:"bears,omitempty"`  // what a replica of a kind bears of its requests a second, as it knows from before
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -10,8 +10,8 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"standpulley/internal/agree"
+	"standpulley/internal/membership"
 	"standpulley/internal/peers"
-	"standpulley/internal/roster"
 )
 
 // The calls among dispatchers. All but the voters' frames are JSON.
@@ -63,7 +63,7 @@
 
 // listNews brings a dispatcher's list of replicas up to date.
 type listNews struct {
-	roster.Part
+	membership.Part
 	Living  int    `json:"living"`          // dispatchers
 	Counted bool   `json:"counted"`         // this one is among them
 	Read    bool   `json:"read"`            // it is to read the register for all
@@ -106,7 +106,7 @@
 	case x.Of == OfSettings:
 		c.List.Entries, c.Changes = nil, nil
 	case x.Replica != "":
-		c.List.Entries, c.Changes = map[string]roster.Entry{}, nil
+		c.List.Entries, c.Changes = map[string]membership.Entry{}, nil
 		if e, ok := b.List.Entries[x.Replica]; ok {
 			c.List.Entries[x.Replica] = e
 		}
@@ -128,14 +128,14 @@
 
 // View is what operators see of the agreement.
 type View struct {
-	Book    agree.Book     `json:"book"`
-	Leader  string         `json:"leader"`
-	Term    uint64         `json:"term"`
-	Members []MemberView   `json:"members"`
-	Blocks  []string       `json:"blocks,omitempty"` // the dispatchers that a version under way waits for
-	Readers []string       `json:"readers,omitempty"`
-	Held    *roster.Held   `json:"held,omitempty"`  // a change of the list that must be confirmed
-	Flaps   map[string]int `json:"flaps,omitempty"` // replicas that are damped, with their turns
+	Book    agree.Book       `json:"book"`
+	Leader  string           `json:"leader"`
+	Term    uint64           `json:"term"`
+	Members []MemberView     `json:"members"`
+	Blocks  []string         `json:"blocks,omitempty"` // the dispatchers that a version under way waits for
+	Readers []string         `json:"readers,omitempty"`
+	Held    *membership.Held `json:"held,omitempty"`  // a change of the list that must be confirmed
+	Flaps   map[string]int   `json:"flaps,omitempty"` // replicas that are damped, with their turns
 }
 
 // MemberView is one dispatcher as the leader sees it. Times are in milliseconds.
@@ -202,7 +202,7 @@
 			answer, err = v.show(x)
 		}
 	case readingCall:
-		var r roster.Reading
+		var r membership.Reading
 		if err = n.decode(from, body, &r); err == nil && r.Reader != from.Name {
 			err = errors.New("a reading for another")
 		}
--- a/internal/agreement/desk.go
+++ b/internal/agreement/desk.go
@@ -8,8 +8,8 @@
 
 	"standpulley/internal/agree"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/membership"
 	"standpulley/internal/peers"
-	"standpulley/internal/roster"
 )
 
 const deskWait = 10 * time.Second // for a leader to be there
@@ -258,8 +258,8 @@
 		err = n.Withdraw(c.Number, c.By)
 	case "view":
 		r.View, err = n.View(c.Extract)
-	case roster.Drain, roster.Keep:
-		err = n.Order(roster.Order{ID: c.ID, Do: c.Do, Owner: c.By, Why: c.Why, ForMS: c.ForMS, Version: c.Seen})
+	case membership.Drain, membership.Keep:
+		err = n.Order(membership.Order{ID: c.ID, Do: c.Do, Owner: c.By, Why: c.Why, ForMS: c.ForMS, Version: c.Seen})
 	case "undrain":
 		err = n.Lift(c.ID, c.By, c.Seen)
 	case "confirm":
--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -12,18 +12,18 @@
 	"time"
 
 	"standpulley/internal/agree"
+	"standpulley/internal/membership"
 	"standpulley/internal/peers"
-	"standpulley/internal/roster"
 )
 
 // listing is the leader's part in agreeing on lists of replicas: what the readers heard, and the orders' time.
 type listing struct {
-	merger  *roster.Merger
+	merger  *membership.Merger
 	readers agree.Readers
 	now     map[string]bool // who reads
 	dueAt   time.Duration
 	orders  map[string]time.Duration // since when this leader has them on record
-	pager   roster.Pager
+	pager   membership.Pager
 }
 
 // begin is a new leader's: it knows no reading, and counts the time of orders anew, which keeps them longer, never shorter.
@@ -36,7 +36,7 @@
 	if v.n.opt.Seams.Limits != nil {
 		v.n.opt.Seams.Limits(&limits)
 	}
-	*l = listing{merger: roster.NewMerger(limits), orders: map[string]time.Duration{}}
+	*l = listing{merger: membership.NewMerger(limits), orders: map[string]time.Duration{}}
 }
 
 // role gives what servers of a kind do, by the settings in force.
@@ -119,7 +119,7 @@
 }
 
 // read takes what a reader heard.
-func (v *voter) read(r roster.Reading) (proposed, error) {
+func (v *voter) read(r membership.Reading) (proposed, error) {
 	answer := make(chan proposed, 1)
 	err := v.post(func() {
 		p := proposed{}
@@ -130,7 +130,7 @@
 			p.Error = "dispatchers do not agree on lists here"
 		default:
 			switch err := v.lists.merger.Hear(v.n.now(), r); {
-			case errors.Is(err, roster.ErrSince):
+			case errors.Is(err, membership.ErrSince):
 				p.Whole = true
 			case err != nil:
 				p.Error = err.Error()
@@ -173,14 +173,14 @@
 type register struct {
 	mu      sync.Mutex
 	index   int64
-	entries map[string]roster.Entry // not changed once they are here; nil before anything was heard
-	number  uint64                  // of the reading
+	entries map[string]membership.Entry // not changed once they are here; nil before anything was heard
+	number  uint64                      // of the reading
 	news    chan struct{}
 
 	// What follows belongs to tell.
-	told     map[string]roster.Entry // what the leader has ...
-	toldAt   uint64                  // ... by the reading of this number ...
-	toldWhom string                  // ... and which voter that is
+	told     map[string]membership.Entry // what the leader has ...
+	toldAt   uint64                      // ... by the reading of this number ...
+	toldWhom string                      // ... and which voter that is
 	toldTime time.Duration
 	known    atomic.Uint64 // the reading that the leader has, by its last answer ...
 	asked    atomic.Int64  // ... to a renewal that was sent then
@@ -188,7 +188,7 @@
 
 // Heard hands the leader what this dispatcher's register says: all of it, with the register's own version. The entries must
 // not change any more.
-func (n *Node) Heard(index int64, entries map[string]roster.Entry) {
+func (n *Node) Heard(index int64, entries map[string]membership.Entry) {
 	r := &n.member.register
 	r.mu.Lock()
 	r.index, r.entries = index, entries
@@ -223,7 +223,7 @@
 func (m *member) tellOnce(leader string) bool {
 	r, n := &m.register, m.n
 	r.mu.Lock()
-	reading := roster.Reading{Reader: n.opt.Name, Boot: n.boot, Index: r.index, Number: r.number}
+	reading := membership.Reading{Reader: n.opt.Name, Boot: n.boot, Index: r.index, Number: r.number}
 	entries := r.entries
 	r.mu.Unlock()
 	if entries == nil || r.toldWhom == leader && r.toldAt == reading.Number && !r.forgotten() {
@@ -235,7 +235,7 @@
 	if r.toldWhom != leader || r.forgotten() {
 		r.told, r.toldAt = nil, 0
 	}
-	reading.Since, reading.Entries = r.toldAt, roster.Diff(r.told, entries)
+	reading.Since, reading.Entries = r.toldAt, membership.Diff(r.told, entries)
 	var p proposed
 	var err error
 	if leader == n.opt.Name {
@@ -293,7 +293,7 @@
 	} else if m.counted == 0 {
 		m.counted = now
 	}
-	uses := roster.Share(l.Living, l.Counted, m.counted, now, m.n.opt.Timing.Within) > 0
+	uses := membership.Share(l.Living, l.Counted, m.counted, now, m.n.opt.Timing.Within) > 0
 	if next.Number != m.list.Number || l.Living != m.living || uses != m.uses {
 		if err := m.n.prog.TakeList(next, l.Living, uses); err != nil {
 			return err
@@ -312,7 +312,7 @@
 }
 
 // Order gives an operator's override.
-func (n *Node) Order(o roster.Order) error {
+func (n *Node) Order(o membership.Order) error {
 	_, err := n.decide(agree.Entry{Order: &agree.Ordered{Request: strconv.FormatUint(Draw(), 16), Order: o}})
 	return err
 }
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"standpulley/internal/agree"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // member keeps a dispatcher's lease: it renews it, checks versions that are under way and takes up the one in force.
@@ -36,8 +36,8 @@
 	fault   *agree.Fault
 	open    agree.Version // the version that was checked last
 	life    life
-	copied  roster.Copy // mu guards its change
-	list    roster.List // that the program acts on; mu guards its change
+	copied  membership.Copy // mu guards its change
+	list    membership.List // that the program acts on; mu guards its change
 	living  int
 	uses    bool                     // the share of what is summed over all
 	counted time.Duration            // since when this dispatcher is counted; 0: it is not
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -33,9 +33,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"standpulley/internal/agree"
+	"standpulley/internal/membership"
 	"standpulley/internal/peers"
 	"standpulley/internal/raftlog"
-	"standpulley/internal/roster"
 )
 
 // Program is what acts on versions.
@@ -46,7 +46,7 @@
 	TakeUp(v agree.Version, lease *agree.Lease) error
 	// TakeList acts on a list of replicas from now on; it returns when nothing goes by the one before any more. living is the
 	// number of dispatchers, and counted whether this one may use its share of what is summed over them.
-	TakeList(l roster.List, living int, counted bool) error
+	TakeList(l membership.List, living int, counted bool) error
 	// Read starts or stops reading the register for all.
 	Read(bool)
 	// Alone tells that the lease is over.
@@ -85,7 +85,7 @@
 type Lists struct {
 	Readers int  // of the register, at once
 	Reads   bool // this dispatcher could be one
-	Limits  roster.Limits
+	Limits  membership.Limits
 }
 
 // Disk is where a voter writes before it speaks.
@@ -102,7 +102,7 @@
 	Lease    func(*agree.Lease)                          // a new one
 	Stale    func(bool) bool                             // whether another version is in force than the one that is held
 	Wall     func() time.Time
-	Limits   func(*roster.Limits)
+	Limits   func(*membership.Limits)
 	Patience time.Duration // more than is waited for a renewal
 	Refound  func(before, next *agree.Book)
 	Unsure   bool // a leader answers without asking the others whether it still leads
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,11 +10,11 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"standpulley/internal/dispatch"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 	"standpulley/logic"
 )
 
-var states = map[string]logic.Availability{roster.InService: logic.Ready, roster.Terminating: logic.Draining, roster.Terminated: logic.Gone}
+var states = map[string]logic.Availability{membership.InService: logic.Ready, membership.Terminating: logic.Draining, membership.Terminated: logic.Gone}
 
 // List is the whole list of replicas, or the entries of it that changed.
 type List struct {
@@ -24,7 +24,7 @@
 }
 
 // Entry is one replica as discovery names it.
-type Entry = roster.Entry
+type Entry = membership.Entry
 
 // Decode reads a list and says which entry is at fault.
 func Decode(body []byte) (List, error) {
--- a/internal/roster/join.go
+++ b/internal/membership/join.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 // Own is what a dispatcher's own register says, at a version of it. No entries (nil) mean that it is not read, or has said
 // nothing.
--- a/internal/roster/roster.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
-// Package roster decides how dispatchers agree on the list of replicas: what several readers of the register heard is merged
+// Package membership decides how dispatchers agree on the list of replicas: what several readers of the register heard is merged
 // into versions, and a dispatcher joins the agreed version with what its own register says. Stricter counts at once, looser
 // only by agreement. It does no I/O, reads no clock and keeps no goroutines.
 //
-//	roster.go  entries, versions, changes, and what is stricter
+//	membership.go  entries, versions, changes, and what is stricter
 //	merge.go   what readers heard, made into the next version or held
 //	orders.go  operators' overrides
 //	join.go    a dispatcher's own register beside the agreed version
 //	count.go   how many dispatchers live, and the share of each
-package roster
+package membership
 
 import (
 	"cmp"
--- a/internal/roster/roster_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"fmt"
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -18,7 +18,7 @@
 	"standpulley/internal/bookkeeping"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // agreed is the program's part in agreeing on settings: what a version is checked against, and how it is put in force.
@@ -58,7 +58,7 @@
 // Bounds of what is agreed on about lists of replicas.
 const (
 	listBatch = 50 * time.Millisecond // changes of the register are gathered for so long
-	listMost  = roster.PartMost       // entries that one version changes
+	listMost  = membership.PartMost   // entries that one version changes
 	listFresh = 15 * time.Second      // a reader that said nothing for so long does not count; its register answers within 10 s
 	listFlaps = 4                     // turns of one replica within listCalm, and it stays drained until it was still for that long
 	listCalm  = 30 * time.Second
@@ -72,7 +72,7 @@
 	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), Alone: cfg.Agree.Alone,
 		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: Seams}
 	if l := cfg.Agree.Lists; l != nil {
-		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: roster.Limits{Bulk: l.Bulk, Batch: listBatch, Most: listMost,
+		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, Most: listMost,
 			Fresh: listFresh, Flaps: listFlaps, Calm: listCalm}}
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; votes {
@@ -87,11 +87,11 @@
 
 // ListSeams are those of lists; the zero value puts in none.
 var ListSeams struct {
-	Join   func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry
-	Ignore bool                // agreed lists are not acted on
-	Forget bool                // who stops reading forgets what it heard
-	Entry  func(*roster.Entry) // of an agreed list, before it is acted on
-	Late   time.Duration       // agreed lists are acted on so much later, and the lease goes on
+	Join   func(agreed membership.List, own membership.Own, named bool) map[string]membership.Entry
+	Ignore bool                    // agreed lists are not acted on
+	Forget bool                    // who stops reading forgets what it heard
+	Entry  func(*membership.Entry) // of an agreed list, before it is acted on
+	Late   time.Duration           // agreed lists are acted on so much later, and the lease goes on
 }
 
 // WrapLicence is another such place; nil elsewhere.
@@ -246,7 +246,7 @@
 }
 
 // TakeList acts on an agreed list of replicas from now on, and goes by the number of dispatchers that live.
-func (a *agreed) TakeList(l roster.List, living int, counted bool) error {
+func (a *agreed) TakeList(l membership.List, living int, counted bool) error {
 	if !a.lists.take(l, living, counted) {
 		return nil
 	}
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -13,8 +13,8 @@
 	"standpulley/internal/agreement"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
+	"standpulley/internal/membership"
 	"standpulley/internal/recovery"
-	"standpulley/internal/roster"
 	"standpulley/logic"
 )
 
@@ -348,7 +348,7 @@
 	weights, warm = map[string]float64{}, len(l.told) > 0
 	now := time.Now()
 	for _, e := range l.told {
-		if e.State != roster.InService {
+		if e.State != membership.InService {
 			continue
 		}
 		weights[e.Kind] += e.Weight
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -10,7 +10,7 @@
 	"standpulley/internal/config"
 	"standpulley/internal/discovery"
 	"standpulley/internal/dispatch"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 	"standpulley/logic"
 )
 
@@ -22,12 +22,12 @@
 	orders chan bool // to the program's goroutine: read the register, or stop
 
 	mu      sync.Mutex
-	agreed  roster.List
-	own     map[string]roster.Entry // nil where the register is not read, or has said nothing
-	version int64                   // the register's
+	agreed  membership.List
+	own     map[string]membership.Entry // nil where the register is not read, or has said nothing
+	version int64                       // the register's
 	living  int
 	counted bool
-	told    map[string]roster.Entry // what the core has
+	told    map[string]membership.Entry // what the core has
 	reads   bool
 	wants   bool                 // a start is drawn and under way
 	differs map[string]time.Time // since when an entry of the own register differs from the agreed one
@@ -62,10 +62,10 @@
 	l.mu.Lock()
 	l.hurry(u)
 	if u.Full || l.own == nil {
-		l.own = map[string]roster.Entry{}
+		l.own = map[string]membership.Entry{}
 	}
 	for _, s := range u.Servers {
-		if e := entryOf(s); e.State == roster.Terminated {
+		if e := entryOf(s); e.State == membership.Terminated {
 			delete(l.own, e.ID)
 		} else {
 			l.own[e.ID] = e
@@ -81,12 +81,12 @@
 
 // hurry tells the core of drains before all else, as a list may be long. It needs mu.
 func (l *lists) hurry(u dispatch.Update) {
-	var some []roster.Entry
+	var some []membership.Entry
 	for _, s := range u.Servers {
 		had, ok := l.own[s.ID]
 		told, has := l.told[s.ID]
-		if ok && has && had.State == roster.InService && s.Availability == logic.Draining && told.State == roster.InService && ListSeams.Join == nil {
-			told.State = roster.Terminating
+		if ok && has && had.State == membership.InService && s.Availability == logic.Draining && told.State == membership.InService && ListSeams.Join == nil {
+			told.State = membership.Terminating
 			l.told[s.ID] = told
 			some = append(some, told)
 		}
@@ -124,15 +124,15 @@
 	if !l.reads && (l.agreed.Register >= l.version || ListSeams.Forget) {
 		l.own = nil // the agreed list knows all that this register told; until then what it made stricter stays so
 	}
-	join := roster.Join
+	join := membership.Join
 	if ListSeams.Join != nil {
 		join = ListSeams.Join
 	}
-	next := join(l.agreed, roster.Own{Version: l.version, Entries: l.own}, l.set.NamedBy == config.ByAgreed)
+	next := join(l.agreed, membership.Own{Version: l.version, Entries: l.own}, l.set.NamedBy == config.ByAgreed)
 	if !l.counted { // its share of cold replicas is none yet
 		for id, e := range next {
 			if e.StartedMS > 0 && time.Since(time.UnixMilli(e.StartedMS)) < l.ramp {
-				e.State = roster.Terminating
+				e.State = membership.Terminating
 				next[id] = e
 			}
 		}
@@ -144,7 +144,7 @@
 		}
 	}
 	l.compare()
-	diff := roster.Diff(l.told, next)
+	diff := membership.Diff(l.told, next)
 	l.told = next
 	if len(diff) > 0 {
 		core.core.Tell(updateOf(diff))
@@ -154,9 +154,9 @@
 // compare notes since when the own register and the agreed list differ on a replica. It needs mu.
 func (l *lists) compare() {
 	now := map[string]time.Time{}
-	for _, some := range []map[string]roster.Entry{l.agreed.Entries, l.own} {
+	for _, some := range []map[string]membership.Entry{l.agreed.Entries, l.own} {
 		for id := range some {
-			if l.own == nil || roster.Differs(at(l.agreed.Entries, id), at(l.own, id)) == "" {
+			if l.own == nil || membership.Differs(at(l.agreed.Entries, id), at(l.own, id)) == "" {
 				continue
 			}
 			now[id] = time.Now()
@@ -168,7 +168,7 @@
 	l.differs = now
 }
 
-func at(list map[string]roster.Entry, id string) *roster.Entry {
+func at(list map[string]membership.Entry, id string) *membership.Entry {
 	if e, ok := list[id]; ok {
 		return &e
 	}
@@ -181,13 +181,13 @@
 	defer l.mu.Unlock()
 	all := map[string]agreement.Beside{}
 	for id, since := range l.differs {
-		all[id] = agreement.Beside{Says: roster.Differs(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
+		all[id] = agreement.Beside{Says: membership.Differs(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
 	}
 	return all
 }
 
 // take acts on an agreed list from now on. It returns when the core goes by nothing older.
-func (l *lists) take(list roster.List, living int, counted bool) (moved bool) {
+func (l *lists) take(list membership.List, living int, counted bool) (moved bool) {
 	if ListSeams.Late > 0 && list.Number > 1 {
 		time.AfterFunc(ListSeams.Late, func() { l.act(list, living, counted) })
 		return false
@@ -195,7 +195,7 @@
 	return l.act(list, living, counted)
 }
 
-func (l *lists) act(list roster.List, living int, counted bool) (moved bool) {
+func (l *lists) act(list membership.List, living int, counted bool) (moved bool) {
 	if ListSeams.Entry != nil {
 		list = list.Clone()
 		for id, e := range list.Entries {
@@ -287,10 +287,10 @@
 	l.orders <- read
 }
 
-var states = map[logic.Availability]string{logic.Ready: roster.InService, logic.Draining: roster.Terminating, logic.Gone: roster.Terminated}
+var states = map[logic.Availability]string{logic.Ready: membership.InService, logic.Draining: membership.Terminating, logic.Gone: membership.Terminated}
 
-func entryOf(s dispatch.Server) roster.Entry {
-	e := roster.Entry{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: states[s.Availability], Weight: s.Weight}
+func entryOf(s dispatch.Server) membership.Entry {
+	e := membership.Entry{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: states[s.Availability], Weight: s.Weight}
 	if !s.LastBoot.IsZero() {
 		e.StartedMS = s.LastBoot.UnixMilli()
 	}
@@ -298,6 +298,6 @@
 }
 
 // updateOf puts entries into the core's form, as discovery does.
-func updateOf(entries []roster.Entry) dispatch.Update {
+func updateOf(entries []membership.Entry) dispatch.Update {
 	return discovery.List{Servers: entries}.Update()
 }
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -14,10 +14,10 @@
 	"standpulley/internal/bookkeeping"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/ledger"
+	"standpulley/internal/membership"
 	"standpulley/internal/program"
 	"standpulley/internal/raftlog"
 	"standpulley/internal/recovery"
-	"standpulley/internal/roster"
 	"standpulley/logic"
 )
 
@@ -107,7 +107,7 @@
 		program.Seams.Refound = func(_, next *agree.Book) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
-				e.State = roster.InService
+				e.State = membership.InService
 				next.List.Entries[id] = e
 			}
 		}
@@ -122,13 +122,13 @@
 		}
 	}},
 	"list-own-drain-ignored": {What: "a drain that its own register tells does not count for a dispatcher", put: func() {
-		program.ListSeams.Join = func(agreed roster.List, _ roster.Own, _ bool) map[string]roster.Entry {
-			return roster.Join(agreed, roster.Own{}, true)
+		program.ListSeams.Join = func(agreed membership.List, _ membership.Own, _ bool) map[string]membership.Entry {
+			return membership.Join(agreed, membership.Own{}, true)
 		}
 	}},
 	"list-looser-at-once": {What: "what its own register names counts before it is agreed on", put: func() {
-		program.ListSeams.Join = func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry {
-			all := roster.Join(agreed, own, named)
+		program.ListSeams.Join = func(agreed membership.List, own membership.Own, named bool) map[string]membership.Entry {
+			all := membership.Join(agreed, own, named)
 			maps.Copy(all, own.Entries)
 			return all
 		}
@@ -136,14 +136,14 @@
 	"list-ignored":        {What: "agreed lists after the first are not acted on", put: func() { program.ListSeams.Ignore = true }},
 	"list-reader-forgets": {What: "who stops reading forgets drains that nobody else has heard of", put: func() { program.ListSeams.Forget = true }},
 	"list-back-counts": {What: "a register that went back counts like any other", put: func() {
-		program.Seams.Limits = func(l *roster.Limits) { l.Back = true }
+		program.Seams.Limits = func(l *membership.Limits) { l.Back = true }
 	}},
 	"list-cold-unknown": {What: "when a replica started is lost on the way into the core", put: func() {
-		program.ListSeams.Entry = func(e *roster.Entry) { e.StartedMS = 0 }
+		program.ListSeams.Entry = func(e *membership.Entry) { e.StartedMS = 0 }
 	}},
 	"list-late": {What: "agreed lists are acted on seconds later, and the lease goes on", put: func() { program.ListSeams.Late = 4 * time.Second }},
 	"list-orders-free": {What: "operators' orders are on record and not kept", put: func() {
-		program.Seams.Limits = func(l *roster.Limits) { l.Free = true }
+		program.Seams.Limits = func(l *membership.Limits) { l.Free = true }
 	}},
 	"ledger-early": {What: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Seams.Early = true })},
 	"ledger-unsynced": {What: "intents are acknowledged before they are on disk", put: keeper(func(o *bookkeeping.Options) {
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -13,7 +13,7 @@
 
 	"standpulley/internal/agree"
 	"standpulley/internal/agreement"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // Bench is a fleet that is measured: no script, no judge.
@@ -217,15 +217,15 @@
 
 type idle struct{}
 
-func (idle) Check(string) *agree.Fault                { return nil }
-func (idle) TakeUp(agree.Version, *agree.Lease) error { return nil }
-func (idle) TakeList(roster.List, int, bool) error    { return nil }
-func (idle) Read(bool)                                {}
-func (idle) Alone()                                   {}
-func (idle) Deaf() bool                               { return false }
-func (idle) Phase() string                            { return "ready" }
-func (idle) Serves() time.Duration                    { return 0 }
-func (idle) Bears() map[string]float64                { return nil }
+func (idle) Check(string) *agree.Fault                 { return nil }
+func (idle) TakeUp(agree.Version, *agree.Lease) error  { return nil }
+func (idle) TakeList(membership.List, int, bool) error { return nil }
+func (idle) Read(bool)                                 {}
+func (idle) Alone()                                    {}
+func (idle) Deaf() bool                                { return false }
+func (idle) Phase() string                             { return "ready" }
+func (idle) Serves() time.Duration                     { return 0 }
+func (idle) Bears() map[string]float64                 { return nil }
 
 // Crowd adds so many members to the fleet, all in this process; each has a log and links of its own.
 func (b *Bench) Crowd(size int) (*crowd, error) {
--- a/internal/proving/register_list.go
+++ b/internal/proving/register_list.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"standpulley/internal/agreement"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 	"standpulley/internal/standin"
 )
 
@@ -91,7 +91,7 @@
 		list[at].ID, list[at].StartedMS = key+"-b", time.Now().UnixMilli()
 	case "restart": // all come back cold, at their addresses
 		for i := range list {
-			list[i].StartedMS, list[i].State = time.Now().UnixMilli(), roster.InService
+			list[i].StartedMS, list[i].State = time.Now().UnixMilli(), membership.InService
 		}
 	case "many": // further ones that drain
 		n, err := strconv.Atoi(arg)
@@ -99,7 +99,7 @@
 			return err
 		}
 		for i := range n {
-			list = append(list, standin.Entry{ID: fmt.Sprintf("many-%d", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "writer", State: roster.Terminating, Weight: 1})
+			list = append(list, standin.Entry{ID: fmt.Sprintf("many-%d", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "writer", State: membership.Terminating, Weight: 1})
 		}
 	case "twice", "kind": // a list that nobody can work with, for who is told
 		bad := list[0]
@@ -164,7 +164,7 @@
 					}
 					r, err := p.f.Ask(x, agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfList, Replica: replica}})
 					if err == nil && r.View != nil && r.View.Book.List.Number > 0 {
-						if e, ok := r.View.Book.List.Entries[replica]; !ok || e.State != roster.InService {
+						if e, ok := r.View.Book.List.Entries[replica]; !ok || e.State != membership.InService {
 							p.mu.Lock()
 							d.Agreed = p.f.Now()
 							p.mu.Unlock()
