--- a/cmd/standpulley/list.go
+++ b/cmd/standpulley/list.go
@@ -44,7 +44,7 @@
 		return c.print(r)
 	}
 	b := &r.View.Book
-	fmt.Fprintf(c.out, "version %d, of the register's version %d; readers: %s; dispatchers that live: %d\n", b.List.Number, b.List.Register,
+	fmt.Fprintf(c.out, "version %d, of the register's version %d; readers: %s; dispatchers that live: %d\n", b.List.Number, b.List.RegistryVersion,
 		strings.Join(r.View.Readers, ", "), len(b.Census.Names))
 	if h := r.View.Held; h != nil {
 		fmt.Fprintf(c.out, "HELD, %d replicas: %s. What drains there is kept all the same. A second reading or `list confirm` lets it pass.\n", len(h.Entries), h.Why)
@@ -96,7 +96,7 @@
 		if more := len(x.Entries) - len(words); more > 0 {
 			words = append(words, fmt.Sprintf("and %d more", more))
 		}
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\n", x.Number, x.Register, x.By, strings.Join(words, ", "))
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\n", x.Number, x.RegistryVersion, x.By, strings.Join(words, ", "))
 	}
 	return w.Flush()
 }
@@ -135,7 +135,7 @@
 type listHoldCmd struct{ orderFlags }
 
 func (l listHoldCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: membership.Keep, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.order(agreement.Command{Do: membership.Hold, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listUndrainCmd struct {
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -54,12 +54,12 @@
 		if !kept {
 			at.After = ""
 		}
-		p.Page = pager.Cut(&b.List, at.After)
+		p.Page = pager.PageAfter(&b.List, at.After)
 		return p
 	}
 	entries := 0
 	for _, c := range changes {
-		if entries += len(c.Entries); entries > membership.PartMost && len(p.Changes) > 0 {
+		if entries += len(c.Entries); entries > membership.MaxPartEntries && len(p.Changes) > 0 {
 			break
 		}
 		p.Changes = append(p.Changes, c)
@@ -90,7 +90,7 @@
 	b.Orders[o.ID] = o
 	if e := b.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
 		e.State = membership.Terminating
-		return b.change(membership.Change{Number: b.List.Number + 1, Register: b.List.Register, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
+		return b.change(membership.Change{Number: b.List.Number + 1, RegistryVersion: b.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
 	return nil
 }
--- a/internal/agree/lists_test.go
+++ b/internal/agree/lists_test.go
@@ -42,23 +42,23 @@
 			for range rapid.SampledFrom([]int{0, 0, 1, 2, 300}).Draw(rt, "changes") {
 				change(5)
 			}
-			part := b.Part(c.At(), &pager)
+			part := b.Part(c.Cursor(), &pager)
 			if n := len(part.Changes); n > 1 {
 				entries := 0
 				for _, x := range part.Changes {
 					entries += len(x.Entries)
 				}
-				if entries > membership.PartMost {
+				if entries > membership.MaxPartEntries {
 					rt.Fatalf("%d entries in one answer", entries)
 				}
 			}
-			if part.Page != nil && len(part.Page.Entries) > membership.PartMost {
+			if part.Page != nil && len(part.Page.Entries) > membership.MaxPartEntries {
 				rt.Fatalf("%d entries on a page", len(part.Page.Entries))
 			}
 			if rapid.IntRange(0, 5).Draw(rt, "lost") == 0 {
 				continue
 			}
-			whole, err := c.Take(part)
+			whole, err := c.Apply(part)
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -67,7 +67,7 @@
 			}
 		}
 		for range 12 {
-			if whole, err := c.Take(b.Part(c.At(), &pager)); err != nil {
+			if whole, err := c.Apply(b.Part(c.Cursor(), &pager)); err != nil {
 				rt.Fatal(err)
 			} else if whole {
 				return
@@ -88,11 +88,11 @@
 		}
 	}
 	for _, bad := range []membership.Part{{Number: 3, Changes: b.Changes[1:]}, {Number: 3, Page: &membership.Page{Number: 3, After: "s1"}}} {
-		if _, err := c.Take(bad); err == nil {
+		if _, err := c.Apply(bad); err == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
-	if whole, err := c.Take(b.Part(c.At(), &pager)); err != nil || !whole || len(c.List.Entries) != 3 {
+	if whole, err := c.Apply(b.Part(c.Cursor(), &pager)); err != nil || !whole || len(c.List.Entries) != 3 {
 		t.Errorf("%v %v %+v", whole, err, c.List)
 	}
 }
--- a/internal/agreement/desk.go
+++ b/internal/agreement/desk.go
@@ -258,7 +258,7 @@
 		err = n.Withdraw(c.Number, c.By)
 	case "view":
 		r.View, err = n.View(c.Extract)
-	case membership.Drain, membership.Keep:
+	case membership.Drain, membership.Hold:
 		err = n.Order(membership.Order{ID: c.ID, Do: c.Do, Owner: c.By, Why: c.Why, ForMS: c.ForMS, Version: c.Seen})
 	case "undrain":
 		err = n.Lift(c.ID, c.By, c.Seen)
--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -32,7 +32,7 @@
 		return
 	}
 	limits := v.n.opt.Lists.Limits
-	limits.Labels = v.role
+	limits.RoleOf = v.role
 	if v.n.opt.Seams.Limits != nil {
 		v.n.opt.Seams.Limits(&limits)
 	}
@@ -95,12 +95,12 @@
 	l.now = l.readers.Pick(v.n.now(), v.tally, v.n.opt.Lists.Readers)
 	for name := range before {
 		if !l.now[name] {
-			l.merger.Forget(name)
+			l.merger.RemoveReader(name)
 		}
 	}
 	read := uint64(0)
 	if r.Reads && !r.Deaf && l.now[r.Name] {
-		read = l.merger.Still(v.n.now(), r.Name, r.Boot)
+		read = l.merger.Refresh(v.n.now(), r.Name, r.Boot)
 	}
 	return &listNews{Part: v.book.Part(r.List, &l.pager), Living: len(v.book.Census.Names), Counted: v.book.Census.Names[r.Name], Read: l.now[r.Name],
 		Fresh: l.merger.Settled(), Heard: read}
@@ -129,8 +129,8 @@
 		case v.lists.merger == nil:
 			p.Error = "dispatchers do not agree on lists here"
 		default:
-			switch err := v.lists.merger.Hear(v.n.now(), r); {
-			case errors.Is(err, membership.ErrSince):
+			switch err := v.lists.merger.AddReading(v.n.now(), r); {
+			case errors.Is(err, membership.ErrUnknownBase):
 				p.Whole = true
 			case err != nil:
 				p.Error = err.Error()
@@ -278,7 +278,7 @@
 	}
 	m.register.poke() // a new leader knows nothing of it yet
 	m.mu.Lock()
-	whole, err := m.copied.Take(l.Part)
+	whole, err := m.copied.Apply(l.Part)
 	m.mu.Unlock()
 	if err != nil {
 		return err
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -145,7 +145,7 @@
 		r.Since = (m.n.now() - m.lost).Milliseconds()
 	}
 	if m.n.opt.Lists != nil {
-		r.List, r.Reads, r.Deaf = m.copied.At(), m.n.opt.Lists.Reads, m.n.prog.Deaf()
+		r.List, r.Reads, r.Deaf = m.copied.Cursor(), m.n.opt.Lists.Reads, m.n.prog.Deaf()
 	}
 	if m.open.Number != 0 && m.open.Number > r.Version {
 		r.Version = m.open.Number // if that is in force by now its content is here
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -68,11 +68,11 @@
 	TrustedNetwork bool   `json:"trusted_network"` // whoever can reach the address is trusted
 }
 
-// Names gives the voters' names, in order.
-func (a Agree) Names() []string { return slices.Sorted(maps.Keys(a.Voters)) }
+// VoterNames gives the voters' names, in order.
+func (a Agree) VoterNames() []string { return slices.Sorted(maps.Keys(a.Voters)) }
 
-// On tells whether dispatchers agree.
-func (a Agree) On() bool { return a.Cluster != "" }
+// Enabled tells whether dispatchers agree.
+func (a Agree) Enabled() bool { return a.Cluster != "" }
 
 // Timing gives the times that follow from Within.
 func (a Agree) Timing() agree.Timing {
@@ -83,9 +83,9 @@
 	return agree.TimingOf(within)
 }
 
-// Alone refuses what a platform does not have, on which dispatchers share nothing.
-func (c Config) Alone() error {
-	if c.Agree.On() {
+// CheckNoCluster refuses what a platform does not have, on which dispatchers share nothing.
+func (c Config) CheckNoCluster() error {
+	if c.Agree.Enabled() {
 		return &Fault{"agree", "not where the environment starts the program (EDGE_CONFIG): dispatchers there may not talk to each other"}
 	}
 	return nil
@@ -155,7 +155,7 @@
 	}
 	_, votes := a.Voters[c.Name]
 	switch {
-	case !votes && !a.Knows(c.Name):
+	case !votes && !a.MatchesOthers(c.Name):
 		return &Fault{"agree.others", fmt.Sprintf("this dispatcher, %q, is neither a voter nor among them", c.Name)}
 	case votes && c.Peers.Listen == "":
 		return &Fault{"peers.listen", "missing: this dispatcher is a voter"}
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// Knows tells whether a name is one of the others.
-func (a Agree) Knows(name string) bool {
+// MatchesOthers tells whether a name is one of the others.
+func (a Agree) MatchesOthers(name string) bool {
 	return slices.ContainsFunc(a.Others, func(pattern string) bool { ok, _ := path.Match(pattern, name); return ok })
 }
 
@@ -230,15 +230,15 @@
 	return contentOf(all)
 }
 
-// Print is the fingerprint of a content.
-func Print(content string) string {
+// Fingerprint is the fingerprint of a content.
+func Fingerprint(content string) string {
 	sum := sha256.Sum256([]byte(content))
 	return hex.EncodeToString(sum[:16])
 }
 
-// With gives the configuration with agreed settings in place of the file's, or says which key of theirs this dispatcher
+// WithSettings gives the configuration with agreed settings in place of the file's, or says which key of theirs this dispatcher
 // can't act on.
-func (c Config) With(content string) (Config, error) {
+func (c Config) WithSettings(content string) (Config, error) {
 	val, err := Flatten([]byte(content))
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
@@ -254,10 +254,10 @@
 	return c, c.settle(val)
 }
 
-// Moves refuses a file whose settings have changed since the one before, to what is not the agreed content: settings
+// CheckReload refuses a file whose settings have changed since the one before, to what is not the agreed content: settings
 // change by a proposal.
-func (c Config) Moves(before Config, agreed string) error {
-	if !before.Agree.On() && !c.Agree.On() {
+func (c Config) CheckReload(before Config, agreed string) error {
+	if !before.Agree.Enabled() && !c.Agree.Enabled() {
 		return nil
 	}
 	if !sameAgreement(c, before) {
@@ -297,8 +297,8 @@
 		a.Agree.Alone == b.Agree.Alone && reflect.DeepEqual(a.Agree.Lists, b.Agree.Lists) && maps.Equal(a.Agree.Voters, b.Agree.Voters) && slices.Equal(a.Agree.Others, b.Agree.Others)
 }
 
-// FaultOf gives an error the form in which a version is turned down.
-func FaultOf(err error) *agree.Fault {
+// AgreeFault gives an error the form in which a version is turned down.
+func AgreeFault(err error) *agree.Fault {
 	if err == nil {
 		return nil
 	}
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -17,13 +17,13 @@
 
 func TestAgreeFaultsNameTheKey(t *testing.T) {
 	c, err := Parse([]byte(withAgree()), none)
-	if err != nil || !c.Agree.On() || c.Agree.Alone != agree.Safe || c.Agree.Timing().Within.String() != "1s" {
+	if err != nil || !c.Agree.Enabled() || c.Agree.Alone != agree.Safe || c.Agree.Timing().Within.String() != "1s" {
 		t.Fatalf("%+v %v", c.Agree, err)
 	}
-	if !c.Agree.Knows("m7") || c.Agree.Knows("n7") {
+	if !c.Agree.MatchesOthers("m7") || c.Agree.MatchesOthers("n7") {
 		t.Error("others")
 	}
-	if err := c.Alone(); err == nil || !strings.Contains(err.Error(), "key agree:") {
+	if err := c.CheckNoCluster(); err == nil || !strings.Contains(err.Error(), "key agree:") {
 		t.Errorf("on the platform: %v", err)
 	}
 	for _, f := range []struct{ old, new, key string }{
@@ -59,7 +59,7 @@
 		return strings.Replace(withAgree(), `"name":"n0"`, `"name":"n0","ledger":`+ledger, 1)
 	}
 	c, err := Parse([]byte(with(`{}`)), none)
-	if err != nil || c.Ledger == nil || c.Ledger.FindTime() != 200*time.Millisecond || c.Ledger.Limits() != (ledger.Limits{Entries: 1e6, Keep: 24 * time.Hour, Share: 2}) ||
+	if err != nil || c.Ledger == nil || c.Ledger.FindTimeout() != 200*time.Millisecond || c.Ledger.Limits() != (ledger.Limits{Entries: 1e6, Keep: 24 * time.Hour, Share: 2}) ||
 		c.Ledger.Survive != bookkeeping.Site {
 		t.Errorf("%+v %v", c.Ledger, err)
 	}
@@ -83,7 +83,7 @@
 // Guards: what others mean by keys of these names does not stop a start on the platform.
 func TestPeersAloneMeanNothing(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(good, `"name":"n0"`, `"name":"n0","peers":["10.0.0.1"]`, 1)), none)
-	if err != nil || c.Agree.On() || c.Alone() != nil {
+	if err != nil || c.Agree.Enabled() || c.CheckNoCluster() != nil {
 		t.Errorf("%v", err)
 	}
 }
@@ -98,17 +98,17 @@
 		t.Fatalf("%s %v", content, err)
 	}
 	again, err := ReadContent([]byte(withAgree()))
-	if err != nil || again != content || Print(again) != Print(content) {
+	if err != nil || again != content || Fingerprint(again) != Fingerprint(content) {
 		t.Errorf("from the file: %v\n%s", err, again)
 	}
 	next := strings.Replace(content, `"try_limit": 6`, `"try_limit": 5`, 1)
-	with, err := c.With(next)
+	with, err := c.WithSettings(next)
 	if err != nil || with.Settings.MaxAttempts != 5 || with.Settings.Zone != "z" || c.Settings.MaxAttempts != 6 {
 		t.Errorf("%v %+v", err, with.Settings)
 	}
 	for old, key := range map[string]string{`"try_limit": 6`: "settings.limits.try_limt", `"siblings": 3`: "settings.zone", `"repeat": "idempotent"`: "settings.services.0.repeat"} {
 		bad := map[string]string{"settings.limits.try_limt": `"try_limt": 6`, "settings.zone": `"siblings": 3, "zone": "z"`, "settings.services.0.repeat": `"repeat": "often"`}[key]
-		if _, err := c.With(strings.Replace(content, old, bad, 1)); err == nil || !strings.Contains(err.Error(), "key "+key+":") {
+		if _, err := c.WithSettings(strings.Replace(content, old, bad, 1)); err == nil || !strings.Contains(err.Error(), "key "+key+":") {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
@@ -122,16 +122,16 @@
 		return c
 	}
 	five, four := change(`"try_limit":6`, `"try_limit":5`), change(`"try_limit":6`, `"try_limit":4`)
-	if err := five.Moves(c, next); err != nil {
+	if err := five.CheckReload(c, next); err != nil {
 		t.Errorf("what is agreed on: %v", err)
 	}
-	if err := c.Moves(c, next); err != nil {
+	if err := c.CheckReload(c, next); err != nil {
 		t.Errorf("what it had: %v", err)
 	}
-	if err := four.Moves(c, next); err == nil || !strings.Contains(err.Error(), "key settings.limits.try_limit:") {
+	if err := four.CheckReload(c, next); err == nil || !strings.Contains(err.Error(), "key settings.limits.try_limit:") {
 		t.Errorf("%v", err)
 	}
-	if err := change(`"within":"1s"`, `"within":"3s"`).Moves(c, content); err == nil || !strings.Contains(err.Error(), "key agree:") {
+	if err := change(`"within":"1s"`, `"within":"3s"`).CheckReload(c, content); err == nil || !strings.Contains(err.Error(), "key agree:") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -84,7 +84,7 @@
 	}
 	c, err := Parse(text, os.Getenv)
 	if err == nil {
-		err = c.Alone()
+		err = c.CheckNoCluster()
 	}
 	return c, err
 }
@@ -182,8 +182,8 @@
 	return keys
 }
 
-// Lacks names a key that the file in force has and this one has lost: half a file must not be taken for a whole one.
-func (c Config) Lacks(inForce Config) error {
+// CheckMissingKeys names a key that the file in force has and this one has lost: half a file must not be taken for a whole one.
+func (c Config) CheckMissingKeys(inForce Config) error {
 	for _, key := range slices.Sorted(maps.Keys(inForce.keys)) {
 		if inForce.keys[key] && !c.keys[key] {
 			return &Fault{key, "missing, and the file in force has it"}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -113,11 +113,11 @@
 	env := func(key string) string { return "127.0.0.1:" + strconv.Itoa(len(key)) }
 	for _, lost := range []string{`"listen":"127.0.0.1:1",`, `"discovery":"127.0.0.1:2",`, `"cancel":true,`} {
 		c, err := Parse([]byte(strings.Replace(good, lost, "", 1)), env)
-		if key := strings.Split(lost, `"`)[1]; err != nil || c.Lacks(inForce) == nil || !strings.Contains(c.Lacks(inForce).Error(), key) {
-			t.Errorf("without %s: %v, %v", key, err, c.Lacks(inForce))
+		if key := strings.Split(lost, `"`)[1]; err != nil || c.CheckMissingKeys(inForce) == nil || !strings.Contains(c.CheckMissingKeys(inForce).Error(), key) {
+			t.Errorf("without %s: %v, %v", key, err, c.CheckMissingKeys(inForce))
 		}
 	}
-	if err := inForce.Lacks(inForce); err != nil {
+	if err := inForce.CheckMissingKeys(inForce); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -69,5 +69,5 @@
 	return ledger.Limits{Entries: l.Entries, Keep: checked(l.Keep), Share: l.Share}
 }
 
-// FindTime bounds what an intent or a repeat may take.
-func (l *Ledger) FindTime() time.Duration { return checked(l.Find) }
+// FindTimeout bounds what an intent or a repeat may take.
+func (l *Ledger) FindTimeout() time.Duration { return checked(l.Find) }
--- a/internal/config/recovery.go
+++ b/internal/config/recovery.go
@@ -36,11 +36,11 @@
 	return nil
 }
 
-// FindTime is Find.
-func (r *Recovery) FindTime() time.Duration { return checked(r.Find) }
+// FindTimeout is Find.
+func (r *Recovery) FindTimeout() time.Duration { return checked(r.Find) }
 
-// LearnTime is Learn.
-func (r *Recovery) LearnTime() time.Duration { return checked(r.Learn) }
+// LearnTimeout is Learn.
+func (r *Recovery) LearnTimeout() time.Duration { return checked(r.Learn) }
 
 // checked reads a time that the checks have seen.
 func checked(text string) time.Duration {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -48,7 +48,7 @@
 	told := make(chan dispatch.Update, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	w := &discovery.Watcher{Addr: a.Addr, Kinds: []logic.Kind{{Name: "k"}}, Tell: func(u dispatch.Update) { told <- u }}
+	w := &discovery.Watcher{Addr: a.Addr, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { told <- u }}
 	go func() { w.Run(ctx); close(ended) }()
 	if u := <-told; !u.Full || len(u.Servers) != 1 {
 		t.Errorf("got %+v", u)
@@ -103,7 +103,7 @@
 		a.Overload(true)
 		told := make(chan dispatch.Update, 8)
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &discovery.Watcher{Addr: a.Addr, Siblings: siblings, Kinds: []logic.Kind{{Name: "k"}}, Tell: func(u dispatch.Update) { told <- u }}
+		w := &discovery.Watcher{Addr: a.Addr, Siblings: siblings, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { told <- u }}
 		ended := make(chan struct{})
 		go func() { w.Run(ctx); close(ended) }()
 		return a, told, func() { cancel(); <-ended; a.Close() }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -9,7 +9,7 @@
 // all dispatchers at once.
 func TestSilentWatchIsOpenedAnewInTime(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
-		w := Watcher{Pushed: pushed}
+		w := Watcher{PushMode: pushed}
 		least, most := time.Hour, time.Duration(0)
 		for range 1000 {
 			d := w.silence()
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, pushed := range []bool{true, false} {
-		w := Watcher{Pushed: pushed}
+		w := Watcher{PushMode: pushed}
 		silent := w.wait() + silentMost + reconnectAfter + dialLimit
 		for name, wrong := range map[string]time.Duration{
 			"is not answered":  w.replyLimit() + reconnectAfter + dialLimit,
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -80,7 +80,7 @@
 func watch(t *testing.T, w *discovery.Watcher) chan dispatch.Update {
 	t.Helper()
 	told := make(chan dispatch.Update, 8)
-	w.Kinds, w.Tell = []logic.Kind{{Name: "k"}}, func(u dispatch.Update) { told <- u }
+	w.Kinds, w.OnUpdate = []logic.Kind{{Name: "k"}}, func(u dispatch.Update) { told <- u }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx); close(ended) }()
@@ -99,7 +99,7 @@
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
 		s := script(t)
-		told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, Pushed: pushed})
+		told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, PushMode: pushed})
 		s.next(t).answer(1, "in_service")
 		<-told
 		if q := s.next(t).query; !strings.HasPrefix(q, "index=1&wait=") { // and nothing more is said on it
@@ -137,7 +137,7 @@
 			t.Run(fmt.Sprintf("%s, pushed %v", name, pushed), func(t *testing.T) {
 				t.Parallel()
 				s := script(t)
-				told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, Pushed: pushed})
+				told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, PushMode: pushed})
 				s.next(t).answer(1, "in_service")
 				<-told
 				s.next(t) // the watch, on which nothing more is said
@@ -160,7 +160,7 @@
 func TestReturnOfAPushedAgentIsFound(t *testing.T) {
 	t.Parallel()
 	s := script(t)
-	told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, Pushed: true})
+	told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, PushMode: true})
 	s.next(t).answer(1, "in_service")
 	<-told
 	for range 4 { // the watch, and three calls that ask what it missed
@@ -213,7 +213,7 @@
 func TestWhoKnowsAListAsksWhatHasChanged(t *testing.T) {
 	t.Parallel()
 	s, version := script(t), int64(7)
-	told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, Known: &version})
+	told := watch(t, &discovery.Watcher{Addr: s.addr, Siblings: 300, KnownVersion: &version})
 	c := s.next(t)
 	if c.query != "index=7&wait=0" {
 		t.Errorf("asked %q", c.query)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -47,13 +47,13 @@
 // their number, Siblings (0 counts as 1), and doubles up to backoffMost. Asked again at once by all, it would never have time
 // to answer any.
 type Watcher struct {
-	Addr     string
-	Siblings int
-	Pushed   bool         // lists are pushed to the agent, which answers by itself
-	Known    *int64       // version of the list that is known already; nil: none
-	Kinds    []logic.Kind // those that lists may name
-	Tell     func(dispatch.Update)
-	Heard    func(bool) // after each call, whether it was answered; may be nil
+	Addr         string
+	Siblings     int
+	PushMode     bool         // lists are pushed to the agent, which answers by itself
+	KnownVersion *int64       // version of the list that is known already; nil: none
+	Kinds        []logic.Kind // those that lists may name
+	OnUpdate     func(dispatch.Update)
+	OnResult     func(bool) // after each call, whether it was answered; may be nil
 
 	index int64 // version of the last list
 
@@ -73,13 +73,13 @@
 	stop := context.AfterFunc(ctx, w.hangUp)
 	defer stop()
 	missed, first, away := true, true, 0
-	if w.Known != nil {
-		w.index = *w.Known
+	if w.KnownVersion != nil {
+		w.index = *w.KnownVersion
 	}
 	for ctx.Err() == nil {
 		path, limit := "/api/targets", w.replyLimit()
 		switch {
-		case first && w.Known == nil: // the whole list
+		case first && w.KnownVersion == nil: // the whole list
 		case missed:
 			path += fmt.Sprintf("?index=%d&wait=0", w.index)
 		default:
@@ -87,8 +87,8 @@
 			limit = w.silence()
 		}
 		list, err := w.call(path, limit)
-		if w.Heard != nil && ctx.Err() == nil {
-			w.Heard(err == nil)
+		if w.OnResult != nil && ctx.Err() == nil {
+			w.OnResult(err == nil)
 		}
 		if err != nil {
 			if ctx.Err() == nil {
@@ -107,7 +107,7 @@
 		}
 		away = 0
 		if list.Full || len(list.Servers) > 0 || first {
-			w.Tell(list.Update())
+			w.OnUpdate(list.Update())
 		}
 		w.index, missed, first = list.Version, false, false
 	}
@@ -115,7 +115,7 @@
 
 // replyLimit is how long a call that does not wait may take.
 func (w *Watcher) replyLimit() time.Duration {
-	if w.Pushed {
+	if w.PushMode {
 		return agentLimit
 	}
 	return replyLimit
@@ -123,7 +123,7 @@
 
 // wait is how long a watch waits for news.
 func (w *Watcher) wait() time.Duration {
-	if w.Pushed {
+	if w.PushMode {
 		return agentWait
 	}
 	return watchWait
--- a/internal/membership/flaps.go
+++ b/internal/membership/flaps.go
@@ -21,12 +21,12 @@
 // damp keeps an entry that turned too often at the strictest it was, until it has been still.
 func (m *Merger) damp(now time.Duration, want map[string]Entry) {
 	for id, at := range m.turns {
-		at = slices.DeleteFunc(at, func(at time.Duration) bool { return now-at > m.limits.Calm })
+		at = slices.DeleteFunc(at, func(at time.Duration) bool { return now-at > m.limits.FlapWindow })
 		m.turns[id] = at
 		if len(at) == 0 {
 			delete(m.turns, id)
 		}
-		if e, ok := want[id]; ok && len(at) >= m.limits.Flaps && e.State == InService {
+		if e, ok := want[id]; ok && len(at) >= m.limits.MaxFlaps && e.State == InService {
 			e.State = Terminating
 			want[id] = e
 		}
@@ -37,7 +37,7 @@
 func (m *Merger) Flapping() map[string]int {
 	some := map[string]int{}
 	for id, at := range m.turns {
-		if len(at) >= m.limits.Flaps {
+		if len(at) >= m.limits.MaxFlaps {
 			some[id] = len(at)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -60,18 +60,18 @@
 
 // List is one version.
 type List struct {
-	Number   uint64           `json:"number"`
-	Register int64            `json:"register"` // the register's version that it goes by
-	Entries  map[string]Entry `json:"entries"`
+	Number          uint64           `json:"number"`
+	RegistryVersion int64            `json:"register"` // the register's version that it goes by
+	Entries         map[string]Entry `json:"entries"`
 }
 
 // Change makes one version out of the one before. An entry that is gone stands as terminated.
 type Change struct {
-	Number   uint64  `json:"number"` // of the version that it makes
-	Register int64   `json:"register"`
-	Entries  []Entry `json:"entries"`
-	By       string  `json:"by"`            // the readers that it goes by, or an operator
-	Why      string  `json:"why,omitempty"` // for people
+	Number          uint64  `json:"number"` // of the version that it makes
+	RegistryVersion int64   `json:"register"`
+	Entries         []Entry `json:"entries"`
+	By              string  `json:"by"`            // the readers that it goes by, or an operator
+	Why             string  `json:"why,omitempty"` // for people
 }
 
 // Apply makes the next version. A gap in the numbers is an error: somebody has missed one.
@@ -89,12 +89,12 @@
 			l.Entries[e.ID] = e
 		}
 	}
-	l.Number, l.Register = c.Number, c.Register
+	l.Number, l.RegistryVersion = c.Number, c.RegistryVersion
 	return nil
 }
 
 // Clone is a copy of its own.
-func (l *List) Clone() List { return List{l.Number, l.Register, maps.Clone(l.Entries)} }
+func (l *List) Clone() List { return List{l.Number, l.RegistryVersion, maps.Clone(l.Entries)} }
 
 // Diff gives the entries that make to out of from, those that are gone as terminated, those first that
 // allow least, then by id.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,15 +16,15 @@
 }
 
 func listOf(number uint64, entries ...Entry) *List {
-	l := &List{Number: number, Register: int64(number), Entries: map[string]Entry{}}
+	l := &List{Number: number, RegistryVersion: int64(number), Entries: map[string]Entry{}}
 	for _, e := range entries {
 		l.Entries[e.ID] = e
 	}
 	return l
 }
 
-var limits = Limits{Bulk: 0.5, Batch: 50 * time.Millisecond, Most: 100, Fresh: 10 * time.Second, Flaps: 3, Calm: 20 * time.Second,
-	Labels: func(string) string { return "read" }}
+var limits = Limits{Bulk: 0.5, Batch: 50 * time.Millisecond, MaxEntries: 100, MaxAge: 10 * time.Second, MaxFlaps: 3, FlapWindow: 20 * time.Second,
+	RoleOf: func(string) string { return "read" }}
 
 // story is a merger with a clock.
 type story struct {
@@ -41,7 +41,7 @@
 
 func (s *story) hears(reader string, index int64, entries ...Entry) {
 	s.t.Helper()
-	if err := s.m.Hear(s.now, Reading{Reader: reader, Index: index, Entries: entries}); err != nil {
+	if err := s.m.AddReading(s.now, Reading{Reader: reader, Index: index, Entries: entries}); err != nil {
 		s.t.Error(err)
 	}
 }
@@ -95,11 +95,11 @@
 	again.State, again.StartedMS, again.Addr = InService, 900, "b1:2"
 	s.hears("x", 8, a, again, c)
 	s.wants("a1 in_service, b1 in_service, c1 in_service", "")
-	if got := s.list.Entries["b1"]; got.Addr != "b1:2" || s.list.Register != 8 {
-		t.Errorf("%+v of %d", got, s.list.Register)
+	if got := s.list.Entries["b1"]; got.Addr != "b1:2" || s.list.RegistryVersion != 8 {
+		t.Errorf("%+v of %d", got, s.list.RegistryVersion)
 	}
 	for name, bad := range map[string][]Entry{"empty": nil, "twice": {a, a}} {
-		if err := s.m.Hear(s.now, Reading{Reader: "x", Index: 9, Entries: bad}); err == nil {
+		if err := s.m.AddReading(s.now, Reading{Reader: "x", Index: 9, Entries: bad}); err == nil {
 			t.Errorf("%s: it counts", name)
 		}
 	}
@@ -123,7 +123,7 @@
 	s.hears("x", 6, all[:2]...)
 	s.wants(everyone, "zone za")
 	s.now += time.Second
-	s.m.Still(s.now, "x", 0) // it has heard nothing else, which is no second reading
+	s.m.Refresh(s.now, "x", 0) // it has heard nothing else, which is no second reading
 	s.wants(everyone, "zone za")
 	s.hears("x", 6, all[:2]...) // the same reader, later
 	s.wants(few, "")
@@ -174,10 +174,10 @@
 		s.settles()
 	}
 	s.wants("a1 in_service, b1 terminating", "")
-	if s.m.Flapping()["b1"] < limits.Flaps {
+	if s.m.Flapping()["b1"] < limits.MaxFlaps {
 		t.Errorf("%v", s.m.Flapping())
 	}
-	s.now += limits.Calm
+	s.now += limits.FlapWindow
 	s.hears("x", 20, a, b)
 	s.wants("a1 in_service, b1 in_service", "")
 }
@@ -193,7 +193,7 @@
 	s.wants("a1 in_service, b1 terminating", "") // also where nobody reads
 	s.hears("x", 6, a, b)
 	s.wants("a1 in_service, b1 terminating", "")
-	s.orders["b1"] = Order{ID: "b1", Do: Keep, Owner: "op", Why: "smoke", Version: 5}
+	s.orders["b1"] = Order{ID: "b1", Do: Hold, Owner: "op", Why: "smoke", Version: 5}
 	s.wants("a1 in_service, b1 terminating", "") // it stays as it is
 	delete(s.orders, "b1")
 	s.wants("a1 in_service, b1 in_service", "")
@@ -204,7 +204,7 @@
 		"not in the list":  {ID: "q", Do: Drain, Owner: "op", Why: "x", Version: s.list.Number},
 		"has an order by ": {ID: "a1", Do: Drain, Owner: "op", Why: "x", Version: s.list.Number},
 	} {
-		s.orders["a1"] = Order{ID: "a1", Do: Keep, Owner: "another", Why: "y"}
+		s.orders["a1"] = Order{ID: "a1", Do: Hold, Owner: "another", Why: "y"}
 		if err := s.orders.Check(o, s.list); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v", o, err)
 		}
@@ -217,23 +217,23 @@
 	drained, looser, reborn := b, c, a
 	drained.State, looser.State, reborn.StartedMS = Terminating, InService, 9
 	own := map[string]Entry{"b1": drained, "c1": looser, "a1": reborn, "n1": server("n1", InService)}
-	got := Join(List{Register: 5, Entries: agreed}, Own{5, own}, true)
+	got := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{5, own}, true)
 	for id, want := range map[string]string{"a1": Terminating, "b1": Terminating, "c1": Terminating, "n1": ""} {
 		if got[id].State != want {
 			t.Errorf("%s: %q, wanted %q", id, got[id].State, want)
 		}
 	}
 	delete(own, "b1")
-	if _, ok := Join(List{Register: 5, Entries: agreed}, Own{5, own}, false)["b1"]; ok {
+	if _, ok := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{5, own}, false)["b1"]; ok {
 		t.Error("used though its own register does not name it")
 	}
-	if _, ok := Join(List{Register: 5, Entries: agreed}, Own{5, own}, true)["b1"]; !ok {
+	if _, ok := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{5, own}, true)["b1"]; !ok {
 		t.Error("not used though agreed lists name it")
 	}
-	if _, ok := Join(List{Register: 5, Entries: agreed}, Own{6, own}, true)["b1"]; ok {
+	if _, ok := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{6, own}, true)["b1"]; ok {
 		t.Error("used though a newer version of its own register has it no more")
 	}
-	if len(Join(List{Entries: agreed}, Own{}, true)) != 3 || len(Join(List{Entries: agreed}, Own{}, false)) != 0 {
+	if len(Effective(List{Entries: agreed}, OwnList{}, true)) != 3 || len(Effective(List{Entries: agreed}, OwnList{}, false)) != 0 {
 		t.Error("without a register of its own")
 	}
 }
@@ -264,7 +264,7 @@
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		agreed, own := entries.Draw(t, "agreed"), entries.Draw(t, "own")
-		for id, e := range Join(List{Register: 5, Entries: agreed}, Own{rapid.Int64Range(4, 6).Draw(t, "version"), own}, rapid.Bool().Draw(t, "named")) {
+		for id, e := range Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{rapid.Int64Range(4, 6).Draw(t, "version"), own}, rapid.Bool().Draw(t, "named")) {
 			a, ok := agreed[id]
 			if !ok || strictness(e.State) < strictness(a.State) || e.Weight > a.Weight {
 				t.Fatalf("%+v, agreed was %+v", e, a)
@@ -355,14 +355,14 @@
 		list.Entries[all[i].ID] = all[i]
 	}
 	m := NewMerger(limits)
-	if err := m.Hear(0, Reading{Reader: "x", Index: 6, Number: 1, Entries: all}); err != nil {
+	if err := m.AddReading(0, Reading{Reader: "x", Index: 6, Number: 1, Entries: all}); err != nil {
 		b.Fatal(err)
 	}
 	now := time.Second
 	for i := range b.N {
 		one := all[i%len(all)]
 		one.Weight = float64(i + 2)
-		if err := m.Hear(now, Reading{Reader: "x", Index: int64(7 + i), Number: uint64(i + 2), Since: uint64(i + 1), Entries: []Entry{one}}); err != nil {
+		if err := m.AddReading(now, Reading{Reader: "x", Index: int64(7 + i), Number: uint64(i + 2), Since: uint64(i + 1), Entries: []Entry{one}}); err != nil {
 			b.Fatal(err)
 		}
 		m.Next(now, list, nil)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -13,15 +13,15 @@
 
 // Limits are those of the merger.
 type Limits struct {
-	Bulk   float64                  // a share of a role or zone that may go at once; more waits for a second reading or an operator
-	Batch  time.Duration            // changes are gathered for so long
-	Most   int                      // entries that one version changes; more make several versions
-	Fresh  time.Duration            // a reading that is older tells nothing
-	Back   bool                     // a register that went back counts like any other; for trials
-	Free   bool                     // operators' orders are not kept; for trials
-	Flaps  int                      // looser turns of one entry within Calm before it is damped ...
-	Calm   time.Duration            // ... until it has been still for so long
-	Labels func(kind string) string // the role of a kind, for Bulk
+	Bulk          float64                  // a share of a role or zone that may go at once; more waits for a second reading or an operator
+	Batch         time.Duration            // changes are gathered for so long
+	MaxEntries    int                      // entries that one version changes; more make several versions
+	MaxAge        time.Duration            // a reading that is older tells nothing
+	AllowRollback bool                     // a register that went back counts like any other; for trials
+	IgnoreOrders  bool                     // operators' orders are not kept; for trials
+	MaxFlaps      int                      // looser turns of one entry within Calm before it is damped ...
+	FlapWindow    time.Duration            // ... until it has been still for so long
+	RoleOf        func(kind string) string // the role of a kind, for Bulk
 }
 
 // Reading is the list as one reader heard it from the register: all of it, or what differs from its reading before.
@@ -34,8 +34,8 @@
 	Entries []Entry `json:"entries"`
 }
 
-// ErrSince asks a reader for the whole list: the reading that it goes on from is not known here.
-var ErrSince = errors.New("the reading before is not known here")
+// ErrUnknownBase asks a reader for the whole list: the reading that it goes on from is not known here.
+var ErrUnknownBase = errors.New("the reading before is not known here")
 
 // heard is a reader's last reading.
 type heard struct {
@@ -85,13 +85,13 @@
 	return &Merger{limits: limits, dirty: true, seed: maphash.MakeSeed(), readers: map[string]*heard{}, turns: map[string][]time.Duration{}}
 }
 
-// Hear takes a reading. A list without any replica, or with an id twice, is none. ErrSince asks for the whole list.
-func (m *Merger) Hear(now time.Duration, r Reading) error {
+// AddReading takes a reading. A list without any replica, or with an id twice, is none. ErrSince asks for the whole list.
+func (m *Merger) AddReading(now time.Duration, r Reading) error {
 	h := &heard{Reading: r, at: now, read: now}
 	if r.Since != 0 {
 		before := m.readers[r.Reader]
 		if before == nil || before.Boot != r.Boot || before.Number != r.Since {
-			return ErrSince
+			return ErrUnknownBase
 		}
 		h.entries = before.entries
 	}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// Still notes that a reader is heard and has heard nothing else since. It gives the number of its last reading, 0 if there is
+// Refresh notes that a reader is heard and has heard nothing else since. It gives the number of its last reading, 0 if there is
 // none.
-func (m *Merger) Still(now time.Duration, reader string, boot uint64) uint64 {
+func (m *Merger) Refresh(now time.Duration, reader string, boot uint64) uint64 {
 	h := m.readers[reader]
 	if h == nil || h.Boot != boot {
 		return 0
@@ -132,8 +132,8 @@
 	return len(m.readers) > 0 && !m.dirty && m.waiting == 0 && len(m.rest) == 0
 }
 
-// Forget drops a reader that reads no more.
-func (m *Merger) Forget(reader string) {
+// RemoveReader drops a reader that reads no more.
+func (m *Merger) RemoveReader(reader string) {
 	if _, ok := m.readers[reader]; ok {
 		delete(m.readers, reader)
 		m.dirty = true
@@ -161,7 +161,7 @@
 func (m *Merger) fresh(now time.Duration) []*heard {
 	var some []*heard
 	for _, h := range m.readers {
-		if now-h.at < m.limits.Fresh {
+		if now-h.at < m.limits.MaxAge {
 			some = append(some, h)
 		}
 	}
@@ -215,11 +215,11 @@
 	m.waiting, m.dirty, m.number, m.orders, m.again = 0, false, agreed.Number, len(orders), now+lookAgain
 	m.rest = nil
 	for len(diff) > 0 {
-		part := diff[:min(len(diff), m.limits.Most)]
+		part := diff[:min(len(diff), m.limits.MaxEntries)]
 		diff = diff[len(part):]
-		c := Change{Number: agreed.Number + 1 + uint64(len(m.rest)), Register: index, Entries: part, By: by}
+		c := Change{Number: agreed.Number + 1 + uint64(len(m.rest)), RegistryVersion: index, Entries: part, By: by}
 		if len(diff) > 0 { // not all of it is there before the last
-			c.Register = min(index, agreed.Register)
+			c.RegistryVersion = min(index, agreed.RegistryVersion)
 		}
 		m.rest = append(m.rest, c)
 	}
@@ -232,9 +232,9 @@
 // look gives what is to change, in whole, with the register's version that it goes by and who read it.
 func (m *Merger) look(now time.Duration, agreed *List, orders Orders) (diff []Entry, index int64, by string) {
 	readers := m.fresh(now)
-	m.register = agreed.Register
+	m.register = agreed.RegistryVersion
 	if len(readers) == 0 {
-		return m.ordersAlone(agreed, orders), agreed.Register, "orders"
+		return m.ordersAlone(agreed, orders), agreed.RegistryVersion, "orders"
 	}
 	by = names(readers)
 	if m.dirty || m.said == nil || m.by != by {
@@ -245,7 +245,7 @@
 	}
 	want := maps.Clone(m.said)
 	m.damp(now, want)
-	if !m.limits.Free {
+	if !m.limits.IgnoreOrders {
 		orders.apply(want, agreed.Entries)
 	}
 	diff = Diff(agreed.Entries, want)
@@ -260,8 +260,8 @@
 		m.held = nil
 	}
 	index = readers[0].Index
-	if m.Held() != nil && index < agreed.Register {
-		index = agreed.Register // what is looser there still waits
+	if m.Held() != nil && index < agreed.RegistryVersion {
+		index = agreed.RegistryVersion // what is looser there still waits
 	}
 	return diff, index, by
 }
@@ -282,7 +282,7 @@
 // sift parts a change into what may pass and what must be confirmed, with the reason.
 func (m *Merger) sift(readers []*heard, agreed *List, diff []Entry) (pass, hold []Entry, why string) {
 	var reasons []string
-	if newest := readers[0].Index; newest < agreed.Register && !m.limits.Back {
+	if newest := readers[0].Index; newest < agreed.RegistryVersion && !m.limits.AllowRollback {
 		// A register that was restored knows less than what was agreed on: it makes stricter, and no looser but by an operator.
 		for _, e := range diff {
 			had, ok := agreed.Entries[e.ID]
@@ -292,7 +292,7 @@
 				pass = append(pass, e)
 			}
 		}
-		return pass, hold, fmt.Sprintf("the register went back from version %d to %d", agreed.Register, newest)
+		return pass, hold, fmt.Sprintf("the register went back from version %d to %d", agreed.RegistryVersion, newest)
 	}
 	bulk := m.bulk(agreed, diff)
 	for _, e := range diff {
@@ -325,7 +325,7 @@
 // bulk names the roles and zones of which more would go at once than is let.
 func (m *Merger) bulk(agreed *List, diff []Entry) (why []string) {
 	total, gone := map[string]int{}, map[string]int{}
-	groups := func(e Entry) []string { return []string{"role " + m.limits.Labels(e.Kind), "zone " + e.Zone} }
+	groups := func(e Entry) []string { return []string{"role " + m.limits.RoleOf(e.Kind), "zone " + e.Zone} }
 	for _, e := range agreed.Entries {
 		if e.State == InService {
 			for _, g := range groups(e) {
@@ -362,7 +362,7 @@
 			}
 		}
 	}
-	back := readers[0].Index < m.register && !m.limits.Back
+	back := readers[0].Index < m.register && !m.limits.AllowRollback
 	m.held.passed = m.held.passed || len(m.held.readers) >= 2 && !back || m.confirm == print
 	return m.held.passed
 }
--- a/internal/membership/orders.go
+++ b/internal/membership/orders.go
@@ -15,7 +15,7 @@
 // What orders do.
 const (
 	Drain = "drain" // nothing new to it
-	Keep  = "hold"  // its entry stays as it is, whatever the register says, unless that is stricter
+	Hold  = "hold"  // its entry stays as it is, whatever the register says, unless that is stricter
 )
 
 // Orders are those in force, by replica.
@@ -30,7 +30,7 @@
 		case ok && order.Do == Drain && strictness(e.State) < strictness(Terminating):
 			e.State = Terminating
 			want[id] = e
-		case ok && agreed && order.Do == Keep && Loosens(&had, &e):
+		case ok && agreed && order.Do == Hold && Loosens(&had, &e):
 			want[id] = had
 		}
 	}
@@ -39,8 +39,8 @@
 // Check says why an order can't be given: to a replica that nobody knows, without a reason, or over somebody else's.
 func (o Orders) Check(order Order, list *List) error {
 	switch {
-	case order.Do != Drain && order.Do != Keep:
-		return fmt.Errorf("%q is neither %s nor %s", order.Do, Drain, Keep)
+	case order.Do != Drain && order.Do != Hold:
+		return fmt.Errorf("%q is neither %s nor %s", order.Do, Drain, Hold)
 	case order.Why == "":
 		return fmt.Errorf("an order needs a reason")
 	case order.Version != list.Number:
--- a/internal/membership/part.go
+++ b/internal/membership/part.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// PartMost bounds the entries that one answer brings, but for a change that holds more by itself.
-const PartMost = 500
+// MaxPartEntries bounds the entries that one answer brings, but for a change that holds more by itself.
+const MaxPartEntries = 500
 
 // Part brings a copy of the list nearer to the agreed one: changes that follow it, or a page of the whole list.
 type Part struct {
@@ -19,11 +19,11 @@
 // Page holds the entries of the list that follow an id, in order. Pages of one copy may be cut from different versions: the
 // changes since the first page's version follow the last page, and make up for that, as a change says what an entry is.
 type Page struct {
-	Number   uint64  `json:"number"` // the version that it was cut from
-	Register int64   `json:"register"`
-	After    string  `json:"after,omitempty"`
-	Entries  []Entry `json:"entries"`
-	Last     bool    `json:"last,omitempty"`
+	Number          uint64  `json:"number"` // the version that it was cut from
+	RegistryVersion int64   `json:"register"`
+	After           string  `json:"after,omitempty"`
+	Entries         []Entry `json:"entries"`
+	Last            bool    `json:"last,omitempty"`
 }
 
 // Cursor is how far a copy is: it holds Number, and is taking pages up to After if that is set.
@@ -38,8 +38,8 @@
 	ids    []string
 }
 
-// Cut gives the page that follows an id.
-func (p *Pager) Cut(l *List, after string) *Page {
+// PageAfter gives the page that follows an id.
+func (p *Pager) PageAfter(l *List, after string) *Page {
 	if p.ids == nil || p.number != l.Number {
 		p.number, p.ids = l.Number, slices.Sorted(maps.Keys(l.Entries))
 	}
@@ -47,8 +47,8 @@
 	if found {
 		at++
 	}
-	end := min(at+PartMost, len(p.ids))
-	page := &Page{Number: l.Number, Register: l.Register, After: after, Last: end == len(p.ids), Entries: make([]Entry, 0, end-at)}
+	end := min(at+MaxPartEntries, len(p.ids))
+	page := &Page{Number: l.Number, RegistryVersion: l.RegistryVersion, After: after, Last: end == len(p.ids), Entries: make([]Entry, 0, end-at)}
 	for _, id := range p.ids[at:end] {
 		page.Entries = append(page.Entries, l.Entries[id])
 	}
@@ -63,16 +63,16 @@
 	after string
 }
 
-// At tells how far it is.
-func (c *Copy) At() Cursor {
+// Cursor tells how far it is.
+func (c *Copy) Cursor() Cursor {
 	if c.next == nil {
 		return Cursor{Number: c.List.Number}
 	}
 	return Cursor{c.next.Number, c.after}
 }
 
-// Take adds a part and tells whether the copy has the agreed version by now. After an error it begins anew.
-func (c *Copy) Take(p Part) (whole bool, err error) {
+// Apply adds a part and tells whether the copy has the agreed version by now. After an error it begins anew.
+func (c *Copy) Apply(p Part) (whole bool, err error) {
 	defer func() {
 		if err != nil {
 			c.next, c.after = &List{}, ""
@@ -80,7 +80,7 @@
 	}()
 	switch page := p.Page; {
 	case page != nil && page.After == "":
-		c.next = &List{Number: page.Number, Register: page.Register, Entries: make(map[string]Entry, len(page.Entries))}
+		c.next = &List{Number: page.Number, RegistryVersion: page.RegistryVersion, Entries: make(map[string]Entry, len(page.Entries))}
 	case page != nil && (c.next == nil || c.after != page.After):
 		return false, fmt.Errorf("a page after %q, wanted was one after %q", page.After, c.after)
 	case c.next == nil && len(p.Changes) > 0:
@@ -101,7 +101,7 @@
 			return false, err
 		}
 	}
-	at := c.At()
+	at := c.Cursor()
 	switch {
 	case at.After != "" || at.Number < p.Number:
 		return false, nil
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,7 +13,7 @@
 // Program is what the door leads to. Its methods are called from the door's own goroutines and must not block.
 type Program interface {
 	Ready() bool     // it can serve
-	Figures() []byte // one a line
+	Metrics() []byte // one a line
 	Drain()          // send clients away
 	Resume()         // and take them again
 }
@@ -38,7 +38,7 @@
 				ctx.Error("not ready", fasthttp.StatusServiceUnavailable)
 			}
 		},
-		"GET /-/metrics": func(ctx *fasthttp.RequestCtx) { ctx.SetBody(p.Figures()) },
+		"GET /-/metrics": func(ctx *fasthttp.RequestCtx) { ctx.SetBody(p.Metrics()) },
 		"PUT /-/drain":   func(*fasthttp.RequestCtx) { p.Drain() },
 		"PUT /-/resume":  func(*fasthttp.RequestCtx) { p.Resume() },
 	}
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -57,10 +57,10 @@
 
 // Bounds of what is agreed on about lists of replicas.
 const (
-	listBatch = 50 * time.Millisecond // changes of the register are gathered for so long
-	listMost  = membership.PartMost   // entries that one version changes
-	listFresh = 15 * time.Second      // a reader that said nothing for so long does not count; its register answers within 10 s
-	listFlaps = 4                     // turns of one replica within listCalm, and it stays drained until it was still for that long
+	listBatch = 50 * time.Millisecond     // changes of the register are gathered for so long
+	listMost  = membership.MaxPartEntries // entries that one version changes
+	listFresh = 15 * time.Second          // a reader that said nothing for so long does not count; its register answers within 10 s
+	listFlaps = 4                         // turns of one replica within listCalm, and it stays drained until it was still for that long
 	listCalm  = 30 * time.Second
 )
 
@@ -72,13 +72,16 @@
 	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), Alone: cfg.Agree.Alone,
 		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: Seams}
 	if l := cfg.Agree.Lists; l != nil {
-		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, Most: listMost,
-			Fresh: listFresh, Flaps: listFlaps, Calm: listCalm}}
+		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMost,
+			MaxAge: listFresh, MaxFlaps: listFlaps, FlapWindow: listCalm}}
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; votes {
 		opt.Listen = cfg.Peers.Listen
 	}
-	opt.Knows = func(name string) bool { _, votes := cfg.Agree.Voters[name]; return votes || cfg.Agree.Knows(name) }
+	opt.Knows = func(name string) bool {
+		_, votes := cfg.Agree.Voters[name]
+		return votes || cfg.Agree.MatchesOthers(name)
+	}
 	return opt
 }
 
@@ -87,7 +90,7 @@
 
 // ListSeams are those of lists; the zero value puts in none.
 var ListSeams struct {
-	Join   func(agreed membership.List, own membership.Own, named bool) map[string]membership.Entry
+	Join   func(agreed membership.List, own membership.OwnList, named bool) map[string]membership.Entry
 	Ignore bool                    // agreed lists are not acted on
 	Forget bool                    // who stops reading forgets what it heard
 	Entry  func(*membership.Entry) // of an agreed list, before it is acted on
@@ -125,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	return agreement.Found(Options(cfg, string(dir)), content, keys, config.Print(content))
+	return agreement.Found(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
 }
 
 // Seat gives the seat of the voter that runs on a state folder to its present log, as its earlier one is lost.
@@ -183,7 +186,7 @@
 		return a, cfg, nil
 	}
 	a.content = known.Content
-	with, err := cfg.With(known.Content)
+	with, err := cfg.WithSettings(known.Content)
 	if err != nil {
 		slog.Warn("agreement: the version that this dispatcher acted on does not go with its file any more", "version", known.Number, "error", err)
 		return a, cfg, nil
@@ -207,19 +210,19 @@
 	a.mu.Lock()
 	file := a.file
 	a.mu.Unlock()
-	cfg, err := file.With(content)
+	cfg, err := file.WithSettings(content)
 	if err == nil && len(file.Known.Servers) > 0 {
 		if err = file.Known.CheckKinds(cfg.Settings.Kinds); err != nil {
 			err = fmt.Errorf("key known: %w", err)
 		}
 	}
-	return config.FaultOf(err)
+	return config.AgreeFault(err)
 }
 
 // TakeUp acts on a version from now on. What is open stays open.
 func (a *agreed) TakeUp(v agree.Version, lease *agree.Lease) error {
 	a.mu.Lock()
-	cfg, err := a.file.With(v.Content)
+	cfg, err := a.file.WithSettings(v.Content)
 	a.mu.Unlock()
 	if err != nil {
 		return err
@@ -257,7 +260,7 @@
 func (a *agreed) again() error {
 	a.mu.Lock()
 	content := a.content
-	cfg, err := a.file.With(content)
+	cfg, err := a.file.WithSettings(content)
 	a.mu.Unlock()
 	if err != nil || content == "" {
 		return nil // there is nothing yet that goes by the number
@@ -328,12 +331,12 @@
 func (a *agreed) adopt(cfg config.Config) (config.Config, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if err := cfg.Moves(a.file, a.content); err != nil {
+	if err := cfg.CheckReload(a.file, a.content); err != nil {
 		return cfg, err
 	}
 	with, err := cfg, error(nil)
 	if a.content != "" {
-		with, err = cfg.With(a.content)
+		with, err = cfg.WithSettings(a.content)
 	}
 	if err == nil {
 		a.file = cfg
@@ -350,7 +353,7 @@
 	if err != nil {
 		r.Error = err.Error()
 	} else {
-		r = a.node.Do(c, func(content string) (map[string]string, error) { return config.Flatten([]byte(content)) }, config.Print)
+		r = a.node.Do(c, func(content string) (map[string]string, error) { return config.Flatten([]byte(content)) }, config.Fingerprint)
 	}
 	if a.keeper != nil && strings.HasPrefix(c.Do, "ledger-") {
 		r = a.ledger(c)
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -67,7 +67,7 @@
 func newComeback(a *agreed, cfg config.Config) *comeback {
 	b := &comeback{a: a, name: cfg.Name, ramp: cfg.Settings.RampTime, from: cfg.Settings.ColdFrom, began: time.Now(), since: time.Now(), gate: recovery.NewGate(0),
 		drawn: rand.New(rand.NewPCG(cfg.Seed, 23))}
-	b.machine = recovery.NewMachine(0, recovery.Bounds{Find: cfg.Recovery.FindTime(), Learn: cfg.Recovery.LearnTime(), Admit: cfg.Settings.RampTime + backSlack, Leave: leaveTime})
+	b.machine = recovery.NewMachine(0, recovery.Bounds{Find: cfg.Recovery.FindTimeout(), Learn: cfg.Recovery.LearnTimeout(), Admit: cfg.Settings.RampTime + backSlack, Leave: leaveTime})
 	b.manner = recovery.Manner{Why: "it is starting"}
 	text, err := a.node.Recall(bearsNote)
 	if err == nil && text != nil {
--- a/internal/program/door.go
+++ b/internal/program/door.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// Figures tells operators what the program has done since its start, and how it stands: a name, a value and whether it
+// Metrics tells operators what the program has done since its start, and how it stands: a name, a value and whether it
 // counts or is a present one.
-func (p *program) Figures() []byte {
+func (p *program) Metrics() []byte {
 	var out bytes.Buffer
 	say := func(name string, value int, kind string) { fmt.Fprintf(&out, "edge.%s:%d|%s\n", name, value, kind) }
 	if s := p.live.Load(); s != nil {
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -22,8 +22,8 @@
 
 // openLedger opens this dispatcher's part of the ledger.
 func (a *agreed) openLedger(cfg config.Config, folder string) (*bookkeeping.Keeper, error) {
-	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.Names(), Limits: cfg.Ledger.Limits(),
-		Find: cfg.Ledger.FindTime(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
+	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
+		Find: cfg.Ledger.FindTimeout(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
 		Speak: func(name string, ask, answer any, limit time.Duration) error {
 			return a.node.Speak(name, ledgerCall, ask, answer, limit)
 		}}
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -121,14 +121,14 @@
 	if core == nil {
 		return
 	}
-	if !l.reads && (l.agreed.Register >= l.version || ListSeams.Forget) {
+	if !l.reads && (l.agreed.RegistryVersion >= l.version || ListSeams.Forget) {
 		l.own = nil // the agreed list knows all that this register told; until then what it made stricter stays so
 	}
-	join := membership.Join
+	join := membership.Effective
 	if ListSeams.Join != nil {
 		join = ListSeams.Join
 	}
-	next := join(l.agreed, membership.Own{Version: l.version, Entries: l.own}, l.set.NamedBy == config.ByAgreed)
+	next := join(l.agreed, membership.OwnList{Version: l.version, Entries: l.own}, l.set.NamedBy == config.ByAgreed)
 	if !l.counted { // its share of cold replicas is none yet
 		for id, e := range next {
 			if e.StartedMS > 0 && time.Since(time.UnixMilli(e.StartedMS)) < l.ramp {
@@ -156,7 +156,7 @@
 	now := map[string]time.Time{}
 	for _, some := range []map[string]membership.Entry{l.agreed.Entries, l.own} {
 		for id := range some {
-			if l.own == nil || membership.Differs(at(l.agreed.Entries, id), at(l.own, id)) == "" {
+			if l.own == nil || membership.DescribeDifference(at(l.agreed.Entries, id), at(l.own, id)) == "" {
 				continue
 			}
 			now[id] = time.Now()
@@ -181,7 +181,7 @@
 	defer l.mu.Unlock()
 	all := map[string]agreement.Beside{}
 	for id, since := range l.differs {
-		all[id] = agreement.Beside{Says: membership.Differs(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
+		all[id] = agreement.Beside{Says: membership.DescribeDifference(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
 	}
 	return all
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -58,7 +58,7 @@
 func (p *program) reload(load func() (config.Config, error)) {
 	cfg, err := load()
 	if err == nil {
-		err = cfg.Lacks(p.now.cfg)
+		err = cfg.CheckMissingKeys(p.now.cfg)
 	}
 	if err == nil {
 		err = p.adopt(cfg)
@@ -75,7 +75,7 @@
 func (p *program) adopt(cfg config.Config) (err error) {
 	if p.agreed != nil {
 		cfg, err = p.agreed.adopt(cfg)
-	} else if cfg.Agree.On() {
+	} else if cfg.Agree.Enabled() {
 		err = &config.Fault{Key: "agree", Text: "can't be switched on while the program runs"}
 	}
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	var takeups chan takeup
 	var reads chan bool
-	if cfg.Agree.On() {
+	if cfg.Agree.Enabled() {
 		if p.agreed, cfg, err = p.agreeOn(cfg, string(m.dir)); err != nil {
 			return err
 		}
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -152,10 +152,10 @@
 		return
 	}
 	time.AfterFunc(handOver, before)
-	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, Pushed: !cfg.Settings.ListOnRequest, Known: s.known, Kinds: cfg.Settings.Kinds, Tell: tell}
+	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, PushMode: !cfg.Settings.ListOnRequest, KnownVersion: s.known, Kinds: cfg.Settings.Kinds, OnUpdate: tell}
 	s.known = nil
 	if s.lists != nil {
-		w.Heard = s.lists.heard
+		w.OnResult = s.lists.heard
 	}
 	go w.Run(ctx)
 }
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -122,13 +122,13 @@
 		}
 	}},
 	"list-own-drain-ignored": {What: "a drain that its own register tells does not count for a dispatcher", put: func() {
-		program.ListSeams.Join = func(agreed membership.List, _ membership.Own, _ bool) map[string]membership.Entry {
-			return membership.Join(agreed, membership.Own{}, true)
+		program.ListSeams.Join = func(agreed membership.List, _ membership.OwnList, _ bool) map[string]membership.Entry {
+			return membership.Effective(agreed, membership.OwnList{}, true)
 		}
 	}},
 	"list-looser-at-once": {What: "what its own register names counts before it is agreed on", put: func() {
-		program.ListSeams.Join = func(agreed membership.List, own membership.Own, named bool) map[string]membership.Entry {
-			all := membership.Join(agreed, own, named)
+		program.ListSeams.Join = func(agreed membership.List, own membership.OwnList, named bool) map[string]membership.Entry {
+			all := membership.Effective(agreed, own, named)
 			maps.Copy(all, own.Entries)
 			return all
 		}
@@ -136,14 +136,14 @@
 	"list-ignored":        {What: "agreed lists after the first are not acted on", put: func() { program.ListSeams.Ignore = true }},
 	"list-reader-forgets": {What: "who stops reading forgets drains that nobody else has heard of", put: func() { program.ListSeams.Forget = true }},
 	"list-back-counts": {What: "a register that went back counts like any other", put: func() {
-		program.Seams.Limits = func(l *membership.Limits) { l.Back = true }
+		program.Seams.Limits = func(l *membership.Limits) { l.AllowRollback = true }
 	}},
 	"list-cold-unknown": {What: "when a replica started is lost on the way into the core", put: func() {
 		program.ListSeams.Entry = func(e *membership.Entry) { e.StartedMS = 0 }
 	}},
 	"list-late": {What: "agreed lists are acted on seconds later, and the lease goes on", put: func() { program.ListSeams.Late = 4 * time.Second }},
 	"list-orders-free": {What: "operators' orders are on record and not kept", put: func() {
-		program.Seams.Limits = func(l *membership.Limits) { l.Free = true }
+		program.Seams.Limits = func(l *membership.Limits) { l.IgnoreOrders = true }
 	}},
 	"ledger-early": {What: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Seams.Early = true })},
 	"ledger-unsynced": {What: "intents are acknowledged before they are on disk", put: keeper(func(o *bookkeeping.Options) {
