--- a/cmd/standpulley/list.go
+++ b/cmd/standpulley/list.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"standpulley/internal/agreement"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // listCmd holds the commands about the agreed list of replicas.
@@ -44,14 +44,14 @@
 		return c.print(r)
 	}
 	b := &r.View.Book
-	fmt.Fprintf(c.out, "version %d, of the register's version %d; readers: %s; dispatchers that live: %d\n", b.List.Number, b.List.Register,
+	fmt.Fprintf(c.out, "version %d, of the register's version %d; readers: %s; dispatchers that live: %d\n", b.List.Number, b.List.RegistryVersion,
 		strings.Join(r.View.Readers, ", "), len(b.Census.Names))
 	if h := r.View.Held; h != nil {
 		fmt.Fprintf(c.out, "HELD, %d replicas: %s. What drains there is kept all the same. A second reading or `list confirm` lets it pass.\n", len(h.Entries), h.Why)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REPLICA\tKIND\tZONE\tADDRESS\tAGREED\tOWN REGISTER\tORDER")
-	entries := slices.SortedFunc(maps.Values(b.List.Entries), func(a, b roster.Entry) int { return cmp.Compare(a.ID, b.ID) })
+	entries := slices.SortedFunc(maps.Values(b.List.Entries), func(a, b membership.Entry) int { return cmp.Compare(a.ID, b.ID) })
 	for _, e := range entries {
 		order, own := "", ""
 		if o, ok := b.Orders[e.ID]; ok {
@@ -96,7 +96,7 @@
 		if more := len(x.Entries) - len(words); more > 0 {
 			words = append(words, fmt.Sprintf("and %d more", more))
 		}
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\n", x.Number, x.Register, x.By, strings.Join(words, ", "))
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\n", x.Number, x.RegistryVersion, x.By, strings.Join(words, ", "))
 	}
 	return w.Flush()
 }
@@ -129,13 +129,13 @@
 type listDrainCmd struct{ orderFlags }
 
 func (l listDrainCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: roster.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.order(agreement.Command{Do: membership.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listHoldCmd struct{ orderFlags }
 
 func (l listHoldCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: roster.Keep, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.order(agreement.Command{Do: membership.Hold, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listUndrainCmd struct {
--- a/internal/roster/roster.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
-// Package roster decides how dispatchers agree on the list of replicas: what several readers of the register heard is merged
+// Package membership decides how dispatchers agree on the list of replicas: what several readers of the register heard is merged
 // into versions, and a dispatcher joins the agreed version with what its own register says. Stricter counts at once, looser
 // only by agreement. It does no I/O, reads no clock and keeps no goroutines.
 //
-//	roster.go  entries, versions, changes, and what is stricter
+//	membership.go  entries, versions, changes, and what is stricter
 //	merge.go   what readers heard, made into the next version or held
 //	orders.go  operators' overrides
 //	join.go    a dispatcher's own register beside the agreed version
 //	count.go   how many dispatchers live, and the share of each
-package roster
+package membership
 
 import (
 	"cmp"
@@ -60,18 +60,18 @@
 
 // List is one version.
 type List struct {
-	Number   uint64           `json:"number"`
-	Register int64            `json:"register"` // the register's version that it goes by
-	Entries  map[string]Entry `json:"entries"`
+	Number          uint64           `json:"number"`
+	RegistryVersion int64            `json:"register"` // the register's version that it goes by
+	Entries         map[string]Entry `json:"entries"`
 }
 
 // Change makes one version out of the one before. An entry that is gone stands as terminated.
 type Change struct {
-	Number   uint64  `json:"number"` // of the version that it makes
-	Register int64   `json:"register"`
-	Entries  []Entry `json:"entries"`
-	By       string  `json:"by"`            // the readers that it goes by, or an operator
-	Why      string  `json:"why,omitempty"` // for people
+	Number          uint64  `json:"number"` // of the version that it makes
+	RegistryVersion int64   `json:"register"`
+	Entries         []Entry `json:"entries"`
+	By              string  `json:"by"`            // the readers that it goes by, or an operator
+	Why             string  `json:"why,omitempty"` // for people
 }
 
 // Apply makes the next version. A gap in the numbers is an error: somebody has missed one.
@@ -89,12 +89,12 @@
 			l.Entries[e.ID] = e
 		}
 	}
-	l.Number, l.Register = c.Number, c.Register
+	l.Number, l.RegistryVersion = c.Number, c.RegistryVersion
 	return nil
 }
 
 // Clone is a copy of its own.
-func (l *List) Clone() List { return List{l.Number, l.Register, maps.Clone(l.Entries)} }
+func (l *List) Clone() List { return List{l.Number, l.RegistryVersion, maps.Clone(l.Entries)} }
 
 // Diff gives the entries that make to out of from, those that are gone as terminated, those first that
 // allow least, then by id.
