--- a/cmd/standpulley/main.go
+++ b/cmd/standpulley/main.go
@@ -59,7 +59,7 @@
 func main() {
 	log.SetFlags(log.Ltime | log.Lmicroseconds)
 	if len(os.Args) < 2 {
-		if err := program.Logged(program.Run); err != nil {
+		if err := program.WithAsyncLog(program.Run); err != nil {
 			log.Fatalf("standpulley: %v", err)
 		}
 		return
@@ -118,7 +118,7 @@
 type runCmd struct{}
 
 func (runCmd) Run(c *context) error {
-	return program.Logged(func() error { return program.RunAppliance(c.dir) })
+	return program.WithAsyncLog(func() error { return program.RunAppliance(c.dir) })
 }
 
 type planCmd struct {
--- a/cmd/standpulley/recovery.go
+++ b/cmd/standpulley/recovery.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	book, err := program.Refound(c.dir, lost, r.From, operator())
+	book, err := program.Rebootstrap(c.dir, lost, r.From, operator())
 	if err != nil {
 		c.code = exitRefused
 		return err
--- a/cmd/standpulley/settings.go
+++ b/cmd/standpulley/settings.go
@@ -66,7 +66,7 @@
 type initCmd struct{}
 
 func (initCmd) Run(c *context) error {
-	if err := program.Found(c.dir); err != nil {
+	if err := program.Bootstrap(c.dir); err != nil {
 		return err
 	}
 	fmt.Fprintln(c.out, "The cluster is founded. Start all voters; version 1 is in force once each has taken its seat.")
@@ -262,7 +262,7 @@
 
 type seatCmd struct{}
 
-func (seatCmd) Run(c *context) error { return program.Seat(c.dir) }
+func (seatCmd) Run(c *context) error { return program.ReclaimSeat(c.dir) }
 
 type statusCmd struct{}
 
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -70,7 +70,7 @@
 // Options gives what a node of the agreement is told by a configuration.
 func Options(cfg config.Config, folder string) agreement.Options {
 	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), Alone: cfg.Agree.Alone,
-		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: Seams}
+		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: AgreementHooks}
 	if l := cfg.Agree.Lists; l != nil {
 		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: roster.Limits{Bulk: l.Bulk, Batch: listBatch, Most: listMost,
 			Fresh: listFresh, Flaps: listFlaps, Calm: listCalm}}
@@ -82,25 +82,25 @@
 	return opt
 }
 
-// Seams are where a test's own build puts faults in; none elsewhere.
-var Seams agreement.Seams
+// AgreementHooks are where a test's own build puts faults in; none elsewhere.
+var AgreementHooks agreement.Seams
 
-// ListSeams are those of lists; the zero value puts in none.
-var ListSeams struct {
-	Join   func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry
-	Ignore bool                // agreed lists are not acted on
-	Forget bool                // who stops reading forgets what it heard
-	Entry  func(*roster.Entry) // of an agreed list, before it is acted on
-	Late   time.Duration       // agreed lists are acted on so much later, and the lease goes on
+// ListHooks are those of lists; the zero value puts in none.
+var ListHooks struct {
+	OverrideMerge func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry
+	IgnoreAgreed  bool                // agreed lists are not acted on
+	ForgetOnStop  bool                // who stops reading forgets what it heard
+	MutateEntry   func(*roster.Entry) // of an agreed list, before it is acted on
+	ApplyDelay    time.Duration       // agreed lists are acted on so much later, and the lease goes on
 }
 
-// WrapLicence is another such place; nil elsewhere.
-var WrapLicence func(dispatch.Licence) dispatch.Licence
+// WrapLease is another such place; nil elsewhere.
+var WrapLease func(dispatch.Licence) dispatch.Licence
 
 func (a *agreed) under(lease *agree.Lease) dispatch.Licence {
 	var l dispatch.Licence = &licence{lease, a.node.Now}
-	if WrapLicence != nil {
-		l = WrapLicence(l)
+	if WrapLease != nil {
+		l = WrapLease(l)
 	}
 	if a.back != nil {
 		l = &coming{l, a.back}
@@ -108,8 +108,8 @@
 	return l
 }
 
-// Found makes the log of a cluster's first voter, with the settings of the file that is in force in a state folder.
-func Found(dir appliance.Dir) error {
+// Bootstrap makes the log of a cluster's first voter, with the settings of the file that is in force in a state folder.
+func Bootstrap(dir appliance.Dir) error {
 	cfg, err := dir.Load()
 	if err != nil {
 		return err
@@ -128,8 +128,8 @@
 	return agreement.Found(Options(cfg, string(dir)), content, keys, config.Print(content))
 }
 
-// Seat gives the seat of the voter that runs on a state folder to its present log, as its earlier one is lost.
-func Seat(dir appliance.Dir) error {
+// ReclaimSeat gives the seat of the voter that runs on a state folder to its present log, as its earlier one is lost.
+func ReclaimSeat(dir appliance.Dir) error {
 	var r agreement.Reply
 	if err := dir.Settings(agreement.Command{Do: "seat"}, &r); err != nil {
 		return err
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Refound makes a new cluster out of what is left of a lost one, with the voter of a state folder as its first.
-func Refound(dir appliance.Dir, lost uint64, others []string, by string) (agree.Book, error) {
+// Rebootstrap makes a new cluster out of what is left of a lost one, with the voter of a state folder as its first.
+func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (agree.Book, error) {
 	cfg, err := dir.Load()
 	if err != nil {
 		return agree.Book{}, err
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -18,13 +18,13 @@
 	"standpulley/logic"
 )
 
-// BackSeams are where a test's own build puts faults in; none elsewhere.
-var BackSeams struct {
-	Trusts   func(recovery.Known) recovery.Known                // what is gone by, in place of what is known
-	Says     func(name string, k recovery.Known) recovery.Known // and what others are told
-	Manner   func(recovery.Manner) recovery.Manner
-	Rate     func(float64) float64 // that is let in
-	Believes bool                  // a list from before the start, as to which replicas are warm
+// RecoveryHooks are where a test's own build puts faults in; none elsewhere.
+var RecoveryHooks struct {
+	OverrideKnown    func(recovery.Known) recovery.Known                // what is gone by, in place of what is known
+	OverrideReported func(name string, k recovery.Known) recovery.Known // and what others are told
+	OverrideManner   func(recovery.Manner) recovery.Manner
+	OverrideRate     func(float64) float64 // that is let in
+	TrustInitialList bool                  // a list from before the start, as to which replicas are warm
 }
 
 const (
@@ -98,8 +98,8 @@
 	if len(k) == 0 {
 		k = b.told
 	}
-	if BackSeams.Trusts != nil {
-		k = BackSeams.Trusts(k)
+	if RecoveryHooks.OverrideKnown != nil {
+		k = RecoveryHooks.OverrideKnown(k)
 	}
 	return k
 }
@@ -109,8 +109,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.known
-	if BackSeams.Says != nil {
-		k = BackSeams.Says(b.name, k)
+	if RecoveryHooks.OverrideReported != nil {
+		k = RecoveryHooks.OverrideReported(b.name, k)
 	}
 	if k == nil {
 		return recovery.Known{}
@@ -216,8 +216,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if BackSeams.Manner != nil {
-		defer func() { b.manner = BackSeams.Manner(b.manner) }()
+	if RecoveryHooks.OverrideManner != nil {
+		defer func() { b.manner = RecoveryHooks.OverrideManner(b.manner) }()
 	}
 	b.bears = b.trusts().Capacity(weights, b.kinds)
 	f.Held = b.bears > 0 && b.gate.Held(now.Sub(b.began)) // where nothing is known of replicas, warm ones tell themselves
@@ -235,8 +235,8 @@
 	}
 	if w.Ramps {
 		rate := b.rampOf().Rate(now.Sub(b.admits), proven)
-		if BackSeams.Rate != nil {
-			rate = BackSeams.Rate(rate)
+		if RecoveryHooks.OverrideRate != nil {
+			rate = RecoveryHooks.OverrideRate(rate)
 		}
 		b.gate.Allow(now.Sub(b.began), rate)
 	}
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -15,8 +15,8 @@
 
 const ledgerCall = "/ledger"
 
-// LedgerSeams are where a test's own build puts faults in; the zero value puts in none.
-var LedgerSeams struct {
+// LedgerHooks are where a test's own build puts faults in; the zero value puts in none.
+var LedgerHooks struct {
 	Options func(*bookkeeping.Options)
 }
 
@@ -27,8 +27,8 @@
 		Speak: func(name string, ask, answer any, limit time.Duration) error {
 			return a.node.Speak(name, ledgerCall, ask, answer, limit)
 		}}
-	if LedgerSeams.Options != nil {
-		LedgerSeams.Options(&opt)
+	if LedgerHooks.Options != nil {
+		LedgerHooks.Options(&opt)
 	}
 	return bookkeeping.Open(opt)
 }
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -41,7 +41,7 @@
 
 func newLists(a *agreed, cfg config.Config) *lists {
 	l := &lists{a: a, set: *cfg.Agree.Lists, orders: make(chan bool, 1), ramp: cfg.Settings.RampTime, within: cfg.Agree.Timing().Within, reads: true}
-	if cfg.Recovery != nil && !BackSeams.Believes {
+	if cfg.Recovery != nil && !RecoveryHooks.TrustInitialList {
 		l.doubt = time.Now()
 	}
 	return l
@@ -85,7 +85,7 @@
 	for _, s := range u.Servers {
 		had, ok := l.own[s.ID]
 		told, has := l.told[s.ID]
-		if ok && has && had.State == roster.InService && s.Availability == logic.Draining && told.State == roster.InService && ListSeams.Join == nil {
+		if ok && has && had.State == roster.InService && s.Availability == logic.Draining && told.State == roster.InService && ListHooks.OverrideMerge == nil {
 			told.State = roster.Terminating
 			l.told[s.ID] = told
 			some = append(some, told)
@@ -121,12 +121,12 @@
 	if core == nil {
 		return
 	}
-	if !l.reads && (l.agreed.Register >= l.version || ListSeams.Forget) {
+	if !l.reads && (l.agreed.Register >= l.version || ListHooks.ForgetOnStop) {
 		l.own = nil // the agreed list knows all that this register told; until then what it made stricter stays so
 	}
 	join := roster.Join
-	if ListSeams.Join != nil {
-		join = ListSeams.Join
+	if ListHooks.OverrideMerge != nil {
+		join = ListHooks.OverrideMerge
 	}
 	next := join(l.agreed, roster.Own{Version: l.version, Entries: l.own}, l.set.NamedBy == config.ByAgreed)
 	if !l.counted { // its share of cold replicas is none yet
@@ -188,24 +188,24 @@
 
 // take acts on an agreed list from now on. It returns when the core goes by nothing older.
 func (l *lists) take(list roster.List, living int, counted bool) (moved bool) {
-	if ListSeams.Late > 0 && list.Number > 1 {
-		time.AfterFunc(ListSeams.Late, func() { l.act(list, living, counted) })
+	if ListHooks.ApplyDelay > 0 && list.Number > 1 {
+		time.AfterFunc(ListHooks.ApplyDelay, func() { l.act(list, living, counted) })
 		return false
 	}
 	return l.act(list, living, counted)
 }
 
 func (l *lists) act(list roster.List, living int, counted bool) (moved bool) {
-	if ListSeams.Entry != nil {
+	if ListHooks.MutateEntry != nil {
 		list = list.Clone()
 		for id, e := range list.Entries {
-			ListSeams.Entry(&e)
+			ListHooks.MutateEntry(&e)
 			list.Entries[id] = e
 		}
 	}
 	l.mu.Lock()
 	moved = living != l.living
-	if !ListSeams.Ignore || l.agreed.Number == 0 {
+	if !ListHooks.IgnoreAgreed || l.agreed.Number == 0 {
 		l.agreed = list
 	}
 	l.living, l.counted = living, counted
--- a/internal/program/log.go
+++ b/internal/program/log.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Logged runs a server whose log never makes it wait.
-func Logged(run func() error) error {
+// WithAsyncLog runs a server whose log never makes it wait.
+func WithAsyncLog(run func() error) error {
 	w := newLogWriter(os.Stderr)
 	log.SetOutput(w)
 	err := run()
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -32,14 +32,14 @@
 	Harmless bool // it must do no harm
 }{
 	"lease-from-reply": {What: "a lease counts from when the renewal was answered, however late", put: func() {
-		program.Seams.Patience = 3 * time.Second
-		program.Seams.Renewed = func(_, now time.Duration) time.Duration { return now }
+		program.AgreementHooks.Patience = 3 * time.Second
+		program.AgreementHooks.Renewed = func(_, now time.Duration) time.Duration { return now }
 	}},
 	"lease-without-end": {What: "a lease never ends", put: func() {
-		program.Seams.Lease = func(l *agree.Lease) { l.Renewed(1000*time.Hour, agree.TimingOf(time.Second)) }
+		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Renewed(1000*time.Hour, agree.TimingOf(time.Second)) }
 	}},
 	"no-wait": {What: "a version is put in force without waiting for who may be acting", put: func() {
-		program.Seams.Tally = func(t *agree.Tally) {
+		program.AgreementHooks.Tally = func(t *agree.Tally) {
 			t.Known = 0
 			for _, m := range t.Members {
 				m.Until, m.Fault = 0, nil
@@ -47,14 +47,14 @@
 		}
 	}},
 	"turned-down-in-force": {What: "a version that was turned down is put in force", put: func() {
-		program.Seams.Entry = func(_ *agree.Book, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(_ *agree.Book, e *agree.Entry) {
 			if e.TurnDown != nil {
 				*e = agree.Entry{Activate: &agree.Activate{Number: e.TurnDown.Number}}
 			}
 		}
 	}},
 	"number-again": {What: "a number is given to another content", put: func() {
-		program.Seams.Entry = func(b *agree.Book, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
 			if e.Propose != nil && b.Last > 1 && b.Last%2 == 0 {
 				b.Last--
 			}
@@ -62,33 +62,33 @@
 	}},
 	"no-check-at-send": {What: "leave is not asked again before the first byte", put: func() { wrap(dispatchSend) }},
 	"no-check-at-take": {What: "leave is not asked where a request is taken", put: func() { wrap(dispatchTake) }},
-	"unsure-leader":    {What: "a leader grants leases without asking whether it still leads", put: func() { program.Seams.Unsure = true }},
+	"unsure-leader":    {What: "a leader grants leases without asking whether it still leads", put: func() { program.AgreementHooks.Unsure = true }},
 	"old-version-renewed": {What: "a lease on the version before is renewed by what is granted for the one in force", put: func() {
-		program.Seams.Stale = func(bool) bool { return false }
+		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
 	"entries-unwritten": {What: "entries are acknowledged and not written", put: func() {
-		program.Seams.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l, entries: true} }
+		program.AgreementHooks.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l, entries: true} }
 	}},
 	"vote-unwritten": {What: "votes and terms are given and not written", put: func() {
-		program.Seams.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l} }
+		program.AgreementHooks.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l} }
 	}},
 	"wall-clock-back": {What: "the wall clock is an hour behind", put: func() {
-		program.Seams.Wall = func() time.Time { return time.Now().Add(-time.Hour) }
+		program.AgreementHooks.Wall = func() time.Time { return time.Now().Add(-time.Hour) }
 	}, Harmless: true},
 	"recovery-known-tenfold": {What: "what replicas bore is taken for ten times as much", put: func() {
-		program.BackSeams.Trusts = func(k recovery.Known) recovery.Known { return times(k, 10) }
-		program.BackSeams.Rate = func(x float64) float64 { return 10 * x }
+		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 10) }
+		program.RecoveryHooks.OverrideRate = func(x float64) float64 { return 10 * x }
 	}},
 	"recovery-known-of-all": {What: "each dispatcher takes what replicas bear of all for its own part, and lets all in", put: func() {
-		program.BackSeams.Trusts = func(k recovery.Known) recovery.Known { return times(k, 5) }
-		program.BackSeams.Rate = func(float64) float64 { return 1e6 }
+		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 5) }
+		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}},
-	"recovery-old-list": {What: "a list from before the loss of power says which replicas are warm", put: func() { program.BackSeams.Believes = true }},
+	"recovery-old-list": {What: "a list from before the loss of power says which replicas are warm", put: func() { program.RecoveryHooks.TrustInitialList = true }},
 	"recovery-no-ramp": {What: "all are let in at once: the cold budget alone must keep the rule", put: func() {
-		program.BackSeams.Rate = func(float64) float64 { return 1e6 }
+		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}, Harmless: true},
 	"recovery-liar": {What: "o1 says that replicas bear a thousand times as much: the median must keep the rule", put: func() {
-		program.BackSeams.Says = func(name string, k recovery.Known) recovery.Known {
+		program.RecoveryHooks.OverrideReported = func(name string, k recovery.Known) recovery.Known {
 			if name == "o1" {
 				return recovery.Known{"reader": 1e4, "writer": 1e4}
 			}
@@ -96,15 +96,15 @@
 		}
 	}, Harmless: true},
 	"recovery-early-instructions": {What: "instructions are let in before it is known what may have run: the ledger must refuse them", put: func() {
-		program.BackSeams.Manner = func(m recovery.Manner) recovery.Manner { m.Instructions = m.Takes; return m }
+		program.RecoveryHooks.OverrideManner = func(m recovery.Manner) recovery.Manner { m.Instructions = m.Takes; return m }
 	}, Harmless: true},
 	"recovery-refound-forgets-acts": {What: "a new cluster leaves out what dispatchers acted on and its log lacks", put: func() {
-		program.Seams.Refound = func(before, next *agree.Book) {
+		program.AgreementHooks.Refound = func(before, next *agree.Book) {
 			*next, _ = before.Refound(next.Cluster, next.Wanted, next.Seats[0], nil, "fault")
 		}
 	}},
 	"recovery-refound-forgets-orders": {What: "a new cluster leaves out the orders in force", put: func() {
-		program.Seams.Refound = func(_, next *agree.Book) {
+		program.AgreementHooks.Refound = func(_, next *agree.Book) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
 				e.State = roster.InService
@@ -113,37 +113,37 @@
 		}
 	}},
 	"recovery-refound-numbers-again": {What: "a new cluster begins its numbers anew", put: func() {
-		program.Seams.Refound = func(_, next *agree.Book) { next.Last = 1 }
+		program.AgreementHooks.Refound = func(_, next *agree.Book) { next.Last = 1 }
 	}},
 	"recovery-refound-old-version": {What: "a new cluster goes back to version 1", put: func() {
-		program.Seams.Refound = func(_, next *agree.Book) {
+		program.AgreementHooks.Refound = func(_, next *agree.Book) {
 			next.InForce().State = agree.Superseded
 			next.Force, next.Versions[0].State = 1, agree.InForce
 		}
 	}},
 	"list-own-drain-ignored": {What: "a drain that its own register tells does not count for a dispatcher", put: func() {
-		program.ListSeams.Join = func(agreed roster.List, _ roster.Own, _ bool) map[string]roster.Entry {
+		program.ListHooks.OverrideMerge = func(agreed roster.List, _ roster.Own, _ bool) map[string]roster.Entry {
 			return roster.Join(agreed, roster.Own{}, true)
 		}
 	}},
 	"list-looser-at-once": {What: "what its own register names counts before it is agreed on", put: func() {
-		program.ListSeams.Join = func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry {
+		program.ListHooks.OverrideMerge = func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry {
 			all := roster.Join(agreed, own, named)
 			maps.Copy(all, own.Entries)
 			return all
 		}
 	}},
-	"list-ignored":        {What: "agreed lists after the first are not acted on", put: func() { program.ListSeams.Ignore = true }},
-	"list-reader-forgets": {What: "who stops reading forgets drains that nobody else has heard of", put: func() { program.ListSeams.Forget = true }},
+	"list-ignored":        {What: "agreed lists after the first are not acted on", put: func() { program.ListHooks.IgnoreAgreed = true }},
+	"list-reader-forgets": {What: "who stops reading forgets drains that nobody else has heard of", put: func() { program.ListHooks.ForgetOnStop = true }},
 	"list-back-counts": {What: "a register that went back counts like any other", put: func() {
-		program.Seams.Limits = func(l *roster.Limits) { l.Back = true }
+		program.AgreementHooks.Limits = func(l *roster.Limits) { l.Back = true }
 	}},
 	"list-cold-unknown": {What: "when a replica started is lost on the way into the core", put: func() {
-		program.ListSeams.Entry = func(e *roster.Entry) { e.StartedMS = 0 }
+		program.ListHooks.MutateEntry = func(e *roster.Entry) { e.StartedMS = 0 }
 	}},
-	"list-late": {What: "agreed lists are acted on seconds later, and the lease goes on", put: func() { program.ListSeams.Late = 4 * time.Second }},
+	"list-late": {What: "agreed lists are acted on seconds later, and the lease goes on", put: func() { program.ListHooks.ApplyDelay = 4 * time.Second }},
 	"list-orders-free": {What: "operators' orders are on record and not kept", put: func() {
-		program.Seams.Limits = func(l *roster.Limits) { l.Free = true }
+		program.AgreementHooks.Limits = func(l *roster.Limits) { l.Free = true }
 	}},
 	"ledger-early": {What: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Seams.Early = true })},
 	"ledger-unsynced": {What: "intents are acknowledged before they are on disk", put: keeper(func(o *bookkeeping.Options) {
@@ -201,7 +201,7 @@
 	})},
 	"ledger-forgets": {What: "what is on disk is not read at the start", put: keeper(func(o *bookkeeping.Options) { o.Seams.Forgets = true })},
 	"base-unchecked": {What: "a proposal counts whatever version it was made from", put: func() {
-		program.Seams.Entry = func(b *agree.Book, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
 			if e.Propose != nil {
 				e.Propose.Base = b.Force
 			}
@@ -210,7 +210,7 @@
 }
 
 func keeper(change func(*bookkeeping.Options)) func() {
-	return func() { program.LedgerSeams.Options = change }
+	return func() { program.LedgerHooks.Options = change }
 }
 
 // PowerEnv has a dispatcher lose what was not synced when it is killed.
@@ -246,7 +246,7 @@
 )
 
 func wrap(leaves string) {
-	program.WrapLicence = func(l dispatch.Licence) dispatch.Licence { return &wrapped{l, leaves} }
+	program.WrapLease = func(l dispatch.Licence) dispatch.Licence { return &wrapped{l, leaves} }
 }
 
 func (w *wrapped) Take(q dispatch.Taking) error {
--- a/internal/proving/subject.go
+++ b/internal/proving/subject.go
@@ -17,9 +17,9 @@
 	dir := appliance.Dir(args[len(args)-1])
 	switch do := strings.Join(args[:2], " "); do {
 	case "settings init":
-		return program.Found(dir)
+		return program.Bootstrap(dir)
 	case "settings seat":
-		return program.Seat(dir)
+		return program.ReclaimSeat(dir)
 	case "recovery refound", "recovery join":
 		lost, err := strconv.ParseUint(args[3], 16, 64) // after --lost
 		if err != nil {
@@ -32,10 +32,10 @@
 		for i := 4; i+1 < len(args) && args[i] == "--from"; i += 2 {
 			others = append(others, args[i+1])
 		}
-		_, err = program.Refound(dir, lost, others, "trial")
+		_, err = program.Rebootstrap(dir, lost, others, "trial")
 		return err
 	case "run --state":
-		return program.Logged(func() error { return program.RunAppliance(dir) })
+		return program.WithAsyncLog(func() error { return program.RunAppliance(dir) })
 	default:
 		return fmt.Errorf("a trial runs no %q", do)
 	}
