--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -67,7 +67,7 @@
 	case len(d.requests) >= d.bounds.Requests || d.size+r.size > d.bounds.Bytes:
 		d.answer(r, Answer{Verdict: Refused, After: fullAfter, Reason: "too many requests are open"})
 	case d.licence != nil:
-		if err := d.licence.Take(Taking{r.class.Name, r.ask.Tenant, r.ask.Again, r.class.Repeat == logic.Unsafe}); err != nil {
+		if err := d.licence.Take(Taking{r.class.Name, r.ask.Tenant, r.ask.Retried, r.class.Repeat == logic.Unsafe}); err != nil {
 			d.answer(r, Answer{Verdict: Refused, After: comeBack(err), Mark: noMark, Reason: err.Error()})
 		}
 	}
--- a/internal/dispatch/book.go
+++ b/internal/dispatch/book.go
@@ -87,7 +87,7 @@
 
 func (b attemptBooked) apply(d *Dispatcher) {
 	b.r.held.releasing = false
-	b.ev.Over = b.r.answered
+	b.ev.RequestEnded = b.r.answered
 	d.route(b.ev)
 	d.settle(b.r)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -188,7 +188,7 @@
 }
 
 func (q retuning) apply(d *Dispatcher) {
-	err := d.router.Retune(q.set)
+	err := d.router.UpdateSettings(q.set)
 	if err == nil {
 		d.set, d.bounds, d.surest = q.set, q.bounds.under(q.set), nil
 		d.Phases.setAble(d.able())
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -66,7 +66,7 @@
 func (d *Dispatcher) Figures() (Figures, bool) { return ask(d, make(counting, 1)) }
 
 func (q counting) apply(d *Dispatcher) {
-	f := Figures{Classes: map[string]Results{}, Listed: len(d.servers), LeftAlone: d.router.LeftAlone(d.now())}
+	f := Figures{Classes: map[string]Results{}, Listed: len(d.servers), LeftAlone: d.router.Ejected(d.now())}
 	for _, c := range d.set.Classes {
 		f.Classes[c.Name] = Results{}
 	}
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -14,7 +14,7 @@
 	d, _ := core(t, 9)
 	set := d.set
 	set.Classes = []logic.Class{{Name: "keyed", Aim: time.Second, Deadline: 3 * time.Second, Repeat: logic.Keyed, Scope: scope, Window: window}}
-	if err := d.router.Retune(set); err != nil {
+	if err := d.router.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
 	d.set = set
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -34,7 +34,7 @@
 	if !d.maySend(r, s) {
 		d.Counts.ended(logic.NotSent)
 		d.route(logic.Event{Kind: logic.Ended, RequestID: r.id, Server: a.Server, Attempt: at.n,
-			Outcome: logic.NotSent, Over: r.answered})
+			Outcome: logic.NotSent, RequestEnded: r.answered})
 		return
 	}
 	at.addr, at.role = s.Addr, d.roleOf(s)
--- a/internal/dispatch/unheard_test.go
+++ b/internal/dispatch/unheard_test.go
@@ -38,8 +38,8 @@
 func TestReadThatWasGivenUpIsNotSentAgainByTheCore(t *testing.T) {
 	d, _, _ := clocked(t)
 	set := d.set
-	set.CancelEnds = true
-	if err := d.router.Retune(set); err != nil {
+	set.CancelStopsWork = true
+	if err := d.router.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
 	k, p := take(d, "a", "unsafe")
--- a/internal/fleetmodel/client.go
+++ b/internal/fleetmodel/client.go
@@ -71,7 +71,7 @@
 			{Name: "instruction", Aim: 2500 * time.Millisecond, AimPer1K: 40 * time.Millisecond, TokenAim: 80 * time.Millisecond,
 				Deadline: 10 * time.Second, LateWorth: 0.3, Worth: 2, Repeat: logic.Unsafe},
 		},
-		CanCancel: true, CancelEnds: true, MaxAttempts: 6, CrossZone: 0.028, MaxRetryAfter: 2 * time.Second, ReleaseWithin: 500 * time.Millisecond,
+		CanCancel: true, CancelStopsWork: true, MaxAttempts: 6, CrossZonePrice: 0.028, MaxRetryAfter: 2 * time.Second, ReleaseWithin: 500 * time.Millisecond,
 		ColdFrom: 0.27, RampTime: 14 * time.Second, FallMultiple: 2.5, FallTime: 3 * time.Second,
 		DrainGrace: time.Second, AnswerSlack: 16 * time.Millisecond, ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond,
 		Resume: true,
@@ -93,7 +93,7 @@
 		{Name: "claim", Aim: 2600 * time.Millisecond, AimPer1K: 80 * time.Millisecond, TokenAim: 80 * time.Millisecond,
 			Deadline: 9 * time.Second, LateWorth: 0.3, Worth: 4, Repeat: logic.Unsafe},
 	}
-	set.MaxAttempts, set.CrossZone, set.MaxRetryAfter, set.ReleaseWithin = 4, 0.05, 800*time.Millisecond, 400*time.Millisecond
+	set.MaxAttempts, set.CrossZonePrice, set.MaxRetryAfter, set.ReleaseWithin = 4, 0.05, 800*time.Millisecond, 400*time.Millisecond
 	set.FallMultiple, set.ConnIdle = 2, 12*time.Second
 	return set
 }, classes: []class{
--- a/internal/fleetmodel/power.go
+++ b/internal/fleetmodel/power.go
@@ -58,8 +58,8 @@
 	b.ramp = recovery.Ramp{From: r.m.set.ColdFrom, Warming: r.m.set.RampTime, Capacity: r.known.Capacity(r.m.kindWeights(), r.m.set.Kinds)}
 	r.now.back = b
 	set := r.m.set
-	set.Zone, set.Bears = zoneName(r.zone), r.known
-	if err := r.now.logic.Retune(set); err != nil {
+	set.Zone, set.WarmRates = zoneName(r.zone), r.known
+	if err := r.now.logic.UpdateSettings(set); err != nil {
 		return
 	}
 }
--- a/internal/fleetmodel/router.go
+++ b/internal/fleetmodel/router.go
@@ -227,7 +227,7 @@
 	}
 	over := q.answered || as == logic.Delivered || c.began
 	p.handle(&logic.Event{Kind: logic.Ended, RequestID: q.id, Server: c.to.entry.ID, Attempt: c.n, Outcome: as,
-		Took: p.r.m.now - c.sentAt, Over: over, Tokens: found, NoState: noState})
+		Took: p.r.m.now - c.sentAt, RequestEnded: over, Tokens: found, NoState: noState})
 	if over && q.out == nil {
 		delete(p.open, q.id)
 	}
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -119,7 +119,7 @@
 	}
 	h := &ctx.Request.Header
 	ask.Remaining = patience(h, class, ask.PromptTokens)
-	ask.Again = repeated(h)
+	ask.Retried = repeated(h)
 	if !b.Stream {
 		if text, err = streamed(text); err != nil {
 			return invalid("", err.Error())
@@ -132,7 +132,7 @@
 	var noted dispatch.Noted
 	switch {
 	case class.Repeat == logic.Unsafe && f.set.Ledger != nil:
-		noted, err = once.Enter(f.set.Ledger, h, customer(h, b), text, ask.Again, received.Add(ask.Remaining))
+		noted, err = once.Enter(f.set.Ledger, h, customer(h, b), text, ask.Retried, received.Add(ask.Remaining))
 		if bookkeeping.MayHaveRun(err) {
 			f.mayHaveRun(ctx, err.Error())
 			return nil
@@ -142,7 +142,7 @@
 		}
 	case class.Repeat != logic.Safe:
 		key, named := f.mark(h, b, text)
-		known, full := f.ledger.enter(key, named || ask.Again)
+		known, full := f.ledger.enter(key, named || ask.Retried)
 		switch {
 		case known:
 			f.mayHaveRun(ctx, "this instruction was taken before and may have run: it is not sent again")
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -54,7 +54,7 @@
 
 // Retune puts other settings in force for the requests to come.
 func (f *Front) Retune(set logic.Settings) {
-	s := &settings{classes: map[string]logic.Class{}, movable: set.Movable()}
+	s := &settings{classes: map[string]logic.Class{}, movable: set.CanResumeElsewhere()}
 	for _, c := range set.Classes {
 		s.classes[c.Name] = c
 	}
@@ -91,7 +91,7 @@
 	}
 	q.Received, q.ClientGone = received, front.HungUp(ctx)
 	if f.ledger != nil && !q.Ask.Resumed && f.set.Load().classes[q.Ask.Class].Repeat == logic.Unsafe {
-		q.Noted, err = once.Enter(f.ledger, &ctx.Request.Header, q.Ask.Tenant, body, q.Ask.Again, received.Add(q.Ask.Remaining))
+		q.Noted, err = once.Enter(f.ledger, &ctx.Request.Header, q.Ask.Tenant, body, q.Ask.Retried, received.Add(q.Ask.Remaining))
 		if err != nil {
 			unsent(ctx, err)
 			return
@@ -162,7 +162,7 @@
 	}
 	ask.Remaining = min(ask.Remaining, longest(class, ask.PromptTokens))
 	try := string(in.Header.Peek("X-Second-Try"))
-	ask.Again, ask.Resumed = try == "1", try == "again"
+	ask.Retried, ask.Resumed = try == "1", try == "again"
 	parcel := &replica.Parcel{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
 		URI: string(in.RequestURI()), Host: string(in.Header.Host()), Body: body}
 	parcel.Headers = front.PassedOn(&in.Header, "X-Trace-Id", "X-Expires-In")
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -85,7 +85,7 @@
 func (b *comeback) fit(cfg *config.Config) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.kinds, cfg.Settings.Bears = cfg.Settings.Kinds, b.trusts()
+	b.kinds, cfg.Settings.WarmRates = cfg.Settings.Kinds, b.trusts()
 	if n := len(cfg.Settings.Classes); n != len(b.classes) {
 		b.gate = recovery.NewGate(n) // which lets in again from the next step on
 	}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -178,7 +178,7 @@
 	if m.Settings, err = config.Settings(val); errors.As(err, &fault) {
 		f.fail(fault.Key, fault.Text)
 	}
-	m.Settings.CancelEnds = true // here each attempt that was called off is told of as such
+	m.Settings.CancelStopsWork = true // here each attempt that was called off is told of as such
 }
 
 func (r *Reader) arrived(f *fields, m *Message) {
@@ -206,7 +206,7 @@
 			q.MaxOutput = f.int()
 		case "bits":
 			bits := f.int()
-			q.Again, q.Resumed = bits&2 != 0, bits&16 != 0
+			q.Retried, q.Resumed = bits&2 != 0, bits&16 != 0
 		case "size_hint_us":
 			q.OutputHint = f.micros()
 		case "remaining_us":
@@ -236,7 +236,7 @@
 		case "duration_us":
 			m.Event.Took = f.micros()
 		case "over":
-			m.Event.Over = f.bool()
+			m.Event.RequestEnded = f.bool()
 		case "note":
 			note = f.int()
 		case "rc":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	want := logic.Request{Class: "points", Tenant: "a", Session: 0x91f03b7c55d20a64, Prefix: 0x2b8e6401d9f37c10,
-		PrefixTokens: 1200, PromptTokens: 1800, MaxOutput: 256, Again: true,
+		PrefixTokens: 1200, PromptTokens: 1800, MaxOutput: 256, Retried: true,
 		Remaining: 240 * time.Millisecond}
 	if m.Instance != 3 || m.Event.RequestID != "abc" || m.Event.Request != want {
 		t.Errorf("got %+v", m)
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -31,7 +31,7 @@
 	try := tryKey{r.Session, r.PromptTokens} // a client's further try has used up some of the aim
 	if at, ok := l.firstSeen[try]; !ok || l.now-at > class.Deadline {
 		l.firstSeen[try] = l.now
-		if r.Again { // its first try was elsewhere
+		if r.Retried { // its first try was elsewhere
 			l.firstSeen[try] -= class.Aim / 2
 		}
 	}
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -41,7 +41,7 @@
 	write := find(acts, Send).Server
 	e = Event{Kind: StreamStarted, RequestID: id, Server: write, Attempt: 1, Took: ms(1)}
 	acts = l.Handle(now+ms(3), &e, acts[:0])
-	e = Event{Kind: Ended, RequestID: id, Server: write, Attempt: 1, Outcome: Delivered, Over: true}
+	e = Event{Kind: Ended, RequestID: id, Server: write, Attempt: 1, Outcome: Delivered, RequestEnded: true}
 	l.Handle(now+ms(4), &e, acts[:0])
 }
 
--- a/logic/choices_test.go
+++ b/logic/choices_test.go
@@ -129,7 +129,7 @@
 }
 
 func deliver(l *Router, now time.Duration, i int, writer string) {
-	l.Handle(now, &Event{Kind: Ended, RequestID: fmt.Sprint("q", i), Server: writer, Attempt: 1, Outcome: Delivered, Over: true}, nil)
+	l.Handle(now, &Event{Kind: Ended, RequestID: fmt.Sprint("q", i), Server: writer, Attempt: 1, Outcome: Delivered, RequestEnded: true}, nil)
 }
 
 // Requests spread over a large fleet as they come: none is sent many times its share.
--- a/logic/events.go
+++ b/logic/events.go
@@ -59,7 +59,7 @@
 	PrefixTokens int64
 	PromptTokens int64
 	MaxOutput    int64
-	Again        bool          // the client says that it tried before
+	Retried      bool          // the client says that it tried before
 	Resumed      bool          // its stream broke, and it asks for the rest
 	OutputHint   time.Duration // guess of the answer's length at the token aim; 0 = none
 	Remaining    time.Duration // until the client gives up
@@ -94,19 +94,19 @@
 
 // Event is one thing that happened; its Kind tells which fields count.
 type Event struct {
-	Kind      EventKind
-	RequestID string
-	Request   Request
-	Server    string
-	Attempt   int
-	Took      time.Duration
-	Outcome   Outcome
-	Over      bool  // the request has ended
-	Tokens    int64 // with ReadDone and Delivered: prompt tokens found kept
-	NoState   bool  // nothing is left to fetch
-	Report    *Report
-	Servers   []ServerEntry // not kept after the call
-	Tag       uint64
+	Kind         EventKind
+	RequestID    string
+	Request      Request
+	Server       string
+	Attempt      int
+	Took         time.Duration
+	Outcome      Outcome
+	RequestEnded bool  // the request has ended
+	Tokens       int64 // with ReadDone and Delivered: prompt tokens found kept
+	NoState      bool  // nothing is left to fetch
+	Report       *Report
+	Servers      []ServerEntry // not kept after the call
+	Tag          uint64
 }
 
 // ActionKind names what the host is to do.
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -43,7 +43,7 @@
 	handle(1150*time.Millisecond, logic.Event{Kind: logic.StreamStarted, RequestID: "r1", Server: "10.0.0.2:80",
 		Attempt: 1, Took: 50 * time.Millisecond})
 	handle(3*time.Second, logic.Event{Kind: logic.Ended, RequestID: "r1", Server: "10.0.0.2:80", Attempt: 1,
-		Outcome: logic.Delivered, Over: true, Took: 1900 * time.Millisecond})
+		Outcome: logic.Delivered, RequestEnded: true, Took: 1900 * time.Millisecond})
 	// Shutdown: drop the Router. It keeps no goroutine, file or connection; timers that fire later are ignored.
 
 	// Output:
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -97,7 +97,7 @@
 			start := e
 			start.Kind = StreamStarted
 			f.later = append(f.later, step{f.now + ms(50), router, start, tenant})
-			e.Outcome, e.Over = Delivered, true
+			e.Outcome, e.RequestEnded = Delivered, true
 		}
 		f.later = append(f.later, step{f.now + e.Took + ms(1), router, e, tenant})
 	}
@@ -183,7 +183,7 @@
 			set := settings()
 			if known {
 				bears := rate / servers / float64(n)
-				set.Bears = map[string]float64{"r": bears, "w": bears}
+				set.WarmRates = map[string]float64{"r": bears, "w": bears}
 			}
 			f := newFleet(t, set, n, nil)
 			f.now = started
--- a/logic/health.go
+++ b/logic/health.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// LeftAlone counts the listed servers that are passed over now because they failed.
-func (l *Router) LeftAlone(now time.Duration) (n int) {
+// Ejected counts the listed servers that are passed over now because they failed.
+func (l *Router) Ejected(now time.Duration) (n int) {
 	for _, s := range l.order {
 		if s.listed && s.fails > 0 && now < s.backAt {
 			n++
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -369,7 +369,7 @@
 		l.average = 0.0001
 		l.servers["r1"].unread = 4000
 		ev := arrival("q", 7, 9)
-		ev.Request.Again = again
+		ev.Request.Retried = again
 		if refused := find(l.Handle(ms(1), ev, nil), Refuse) != nil; refused != again {
 			t.Errorf("marked %v: refused %v", again, refused)
 		}
@@ -455,7 +455,7 @@
 			w = find(l.Handle(ms(at+25), &Event{Kind: Ended, RequestID: id, Server: w, Attempt: 1, Outcome: ServerError, Took: ms(5)}, nil), Send).Server
 		}
 		l.Handle(ms(at+45), &Event{Kind: StreamStarted, RequestID: id, Server: w, Took: ms(20)}, nil)
-		l.Handle(ms(at+60), &Event{Kind: Ended, RequestID: id, Server: w, Outcome: Delivered, Over: true}, nil)
+		l.Handle(ms(at+60), &Event{Kind: Ended, RequestID: id, Server: w, Outcome: Delivered, RequestEnded: true}, nil)
 		at += 100
 	}
 	if sent["w1"] > 20 {
@@ -483,7 +483,7 @@
 		l.Handle(at, arrival(id, uint64(i+1), uint64(i+1)), nil)
 		l.Handle(at+ms(20), &Event{Kind: Ended, RequestID: id, Server: r, Outcome: ReadDone, Took: ms(20)}, nil)
 		l.Handle(at+ms(40), &Event{Kind: StreamStarted, RequestID: id, Server: w, Attempt: 1, Took: ms(20)}, nil)
-		l.Handle(at+ms(60), &Event{Kind: Ended, RequestID: id, Server: w, Attempt: 1, Outcome: Delivered, Over: true}, nil)
+		l.Handle(at+ms(60), &Event{Kind: Ended, RequestID: id, Server: w, Attempt: 1, Outcome: Delivered, RequestEnded: true}, nil)
 		l.Handle(at+ms(80), &Event{Kind: TimerFired, Tag: tagTick}, nil)
 	}
 	known := int(2 * keyLife / time.Second) // two servers a second, with as much again for the sweep
@@ -504,7 +504,7 @@
 	far := func(id string) ServerEntry { e := entry(id, "r", 2); e.Zone = "z2"; return e }
 	chosen := func(price float64) (own int) {
 		set := settings()
-		set.CrossZone = price
+		set.CrossZonePrice = price
 		l := newRouter(t, set, entry("r1", "r", 1), far("r2"), entry("w1", "w", 1))
 		l.average, l.extraAt = 50e-6, 0
 		for i := range 200 {
@@ -563,7 +563,7 @@
 	class := l.requests["old"].class
 	bad, set := settings(), settings()
 	bad.MaxAttempts = 0
-	if err := l.Retune(bad); err == nil || l.set.MaxAttempts == 0 {
+	if err := l.UpdateSettings(bad); err == nil || l.set.MaxAttempts == 0 {
 		t.Errorf("a faulty setting: %v", err)
 	}
 	set.MaxAttempts = 2
@@ -571,7 +571,7 @@
 	for i := range set.Classes[1:] {
 		set.Classes[1+i].Aim *= 2
 	}
-	if err := l.Retune(set); err != nil {
+	if err := l.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
 	ev := arrival("new", 2, 0)
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -124,7 +124,7 @@
 				s.homeWeight = 1 / min(max(s.zoneCrowd, 1), homeWeightMost)
 			}
 			s.keyWeight = s.homeWeight
-			if l.set.CrossZone > 0 && s.Zone == l.set.Zone {
+			if l.set.CrossZonePrice > 0 && s.Zone == l.set.Zone {
 				s.keyWeight *= zoneAffinity
 			}
 		}
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -79,7 +79,7 @@
 		c.read = float64(max(r.PromptTokens-c.match.tokens, 1)) * rate
 		charge := c.read
 		if s.Zone != l.set.Zone {
-			charge += l.set.CrossZone * zonePrice * l.overdue / overdueAim
+			charge += l.set.CrossZonePrice * zonePrice * l.overdue / overdueAim
 		}
 		if c.rehome {
 			charge += crowd * homePrice * float64(longest-c.match.tokens) * rate
--- a/logic/request.go
+++ b/logic/request.go
@@ -71,7 +71,7 @@
 func (l *Router) send(r *request, s *server, p phase, expected float64) {
 	until := r.deadline
 	half := (r.deadline - l.now) / 2
-	if r.attempts+1 < l.set.MaxAttempts && (r.class.Repeat == Safe || p == reading && (r.class.Repeat == Keyed || l.set.CancelEnds)) &&
+	if r.attempts+1 < l.set.MaxAttempts && (r.class.Repeat == Safe || p == reading && (r.class.Repeat == Keyed || l.set.CancelStopsWork)) &&
 		half.Seconds() > l.overdueAfter(expected, false) {
 		until = l.now + half
 	}
@@ -144,11 +144,11 @@
 	l.judge(r, s, was, ev)
 	gaveUp := ev.Outcome == TimedOut || ev.Outcome == Cancelled
 	if r.ranAt == nil && (was == writing && (gaveUp || ev.Outcome == ServerError || ev.Outcome == ConnectionLost) ||
-		gaveUp && !l.set.CancelEnds && r.class.Repeat != Safe) { // its read may go on
+		gaveUp && !l.set.CancelStopsWork && r.class.Repeat != Safe) { // its read may go on
 		r.ranAt, r.ranSince = s, r.sentAt
 	}
 	r.phase = parked
-	if r.ended || ev.Over {
+	if r.ended || ev.RequestEnded {
 		l.drop(r, !(was == streaming))
 		return
 	}
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -54,7 +54,7 @@
 		l.failed(s)
 	}
 	if !l.set.CanCancel || l.retryBudget < 1 || r.attempts >= l.set.MaxAttempts ||
-		r.class.Repeat != Safe && (r.phase == writing || r.class.Repeat == Unsafe && !l.set.CancelEnds) {
+		r.class.Repeat != Safe && (r.phase == writing || r.class.Repeat == Unsafe && !l.set.CancelStopsWork) {
 		return
 	}
 	l.retryBudget--
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -247,13 +247,13 @@
 	}
 	gaveUp := ev.Outcome == TimedOut || ev.Outcome == Cancelled
 	ranPossible := p.role != Reader && (gaveUp || ev.Outcome == ServerError || ev.Outcome == ConnectionLost) ||
-		gaveUp && !w.set.CancelEnds // nothing shows that a read is over: the end of its connection may never come there
+		gaveUp && !w.set.CancelStopsWork // nothing shows that a read is over: the end of its connection may never come there
 	if ranPossible && p.ranAt == nil {
 		p.ranAt, p.ranSince = w.entry(server), p.sentAt
 	}
 	p.out = ""
 	ev.Kind, ev.RequestID, ev.Server, ev.Attempt, ev.Took = Ended, p.id, server, attempt-1, ms(20)
-	ev.Over = p.answered || p.departed || ev.Outcome == Delivered || p.streaming
+	ev.RequestEnded = p.answered || p.departed || ev.Outcome == Delivered || p.streaming
 	if ev.Outcome == ReadDone {
 		p.held = true
 	}
@@ -390,7 +390,7 @@
 		"only writers":    func(s *Settings) { s.Kinds[0].Role, s.ReadInPlace = Writer, true },
 		"only readers":    func(s *Settings) { s.Kinds[1].Role, s.Kinds[2].Role = Reader, Reader },
 		"no cancel":       func(s *Settings) { s.CanCancel = false },
-		"cancel ends":     func(s *Settings) { s.CancelEnds, s.Classes[0].Repeat = true, Unsafe },
+		"cancel ends":     func(s *Settings) { s.CancelStopsWork, s.Classes[0].Repeat = true, Unsafe },
 		"one attempt":     func(s *Settings) { s.MaxAttempts = 1 },
 		"one router":      func(s *Settings) { s.Siblings = 1 },
 		"tenants":         func(s *Settings) { s.Tenants = []Tenant{{"t", 5}} },
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -78,31 +78,31 @@
 
 // Settings is what an instance is told at its start.
 type Settings struct {
-	Siblings       int // instances of this tier, this one included
-	Zone           string
-	Kinds          []Kind
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64       // worth of what exceeds a tenant's share, as a fraction
-	ReadInPlace    bool          // a writer without a state reads the prompt itself
-	CanCancel      bool          // Cancel is allowed
-	CanProbe       bool          // Probe is allowed
-	ProbePrice     float64       // price of a probe for each request, as a share of its worth
-	CancelEnds     bool          // what was given up is over; else its read may go on, as the end of a connection may not come to the server
-	ListOnRequest  bool          // the list of servers comes only after Watch or Fetch
-	MaxAttempts    int           // sends for a request, at most
-	CrossZone      float64       // price of an attempt in another zone, as a share of a request's worth
-	MaxRetryAfter  time.Duration // longest pause a client honours; 0 where none is conveyed
-	ReleaseWithin  time.Duration // a held state is sent on or released within this
-	ColdFrom       float64       // capacity of a just started server, at least
-	RampTime       time.Duration // and it is warm no later than this
-	FallMultiple   float64       // sent more than this multiple of its capacity
-	FallTime       time.Duration // for this long, it falls over
-	AskEvery       time.Duration // ask for the list no less often, where it must be asked
-
-	// Bears is the requests a second that a warm server of a kind and of weight 1 is known to have borne for this router, for while
+	Siblings         int // instances of this tier, this one included
+	Zone             string
+	Kinds            []Kind
+	Classes          []Class
+	Tenants          []Tenant
+	OverQuotaWorth   float64       // worth of what exceeds a tenant's share, as a fraction
+	ReadInPlace      bool          // a writer without a state reads the prompt itself
+	CanCancel        bool          // Cancel is allowed
+	CanProbe         bool          // Probe is allowed
+	ProbePrice       float64       // price of a probe for each request, as a share of its worth
+	CancelStopsWork  bool          // what was given up is over; else its read may go on, as the end of a connection may not come to the server
+	ListOnRequest    bool          // the list of servers comes only after Watch or Fetch
+	MaxAttempts      int           // sends for a request, at most
+	CrossZonePrice   float64       // price of an attempt in another zone, as a share of a request's worth
+	MaxRetryAfter    time.Duration // longest pause a client honours; 0 where none is conveyed
+	ReleaseWithin    time.Duration // a held state is sent on or released within this
+	ColdFrom         float64       // capacity of a just started server, at least
+	RampTime         time.Duration // and it is warm no later than this
+	FallMultiple     float64       // sent more than this multiple of its capacity
+	FallTime         time.Duration // for this long, it falls over
+	ListPollInterval time.Duration // ask for the list no less often, where it must be asked
+
+	// WarmRates is the requests a second that a warm server of a kind and of weight 1 is known to have borne for this router, for while
 	// none of its kind is warm; none where nothing is known.
-	Bears map[string]float64
+	WarmRates map[string]float64
 
 	// What follows binds the host that carries out the actions; no decision reads it.
 	DrainGrace     time.Duration // a draining or gone server gets nothing new later than this
@@ -113,8 +113,8 @@
 	Resume         bool          // clients ask for the rest of a stream that broke
 }
 
-// Movable tells whether a client whose stream ends early finds the rest of it at another router.
-func (s Settings) Movable() bool { return s.Resume && s.Siblings > 1 }
+// CanResumeElsewhere tells whether a client whose stream ends early finds the rest of it at another router.
+func (s Settings) CanResumeElsewhere() bool { return s.Resume && s.Siblings > 1 }
 
 // check names the first setting that no Router can work with.
 func (s Settings) check() error {
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// Retune puts other settings in force, or says which is wrong. What was learned stays, and so do the classes of
+// UpdateSettings puts other settings in force, or says which is wrong. What was learned stays, and so do the classes of
 // the requests that are open.
-func (l *Router) Retune(set Settings) error {
+func (l *Router) UpdateSettings(set Settings) error {
 	if err := set.check(); err != nil {
 		return err
 	}
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -66,7 +66,7 @@
 	served, weight := load.warm[s.Kind].served, load.warm[s.Kind].weight
 	safety = coldSafety
 	if weight == 0 {
-		served, weight = cmp.Or(l.set.Bears[s.Kind], l.borne[s.Kind])*rateMemory.Seconds(), 1
+		served, weight = cmp.Or(l.set.WarmRates[s.Kind], l.borne[s.Kind])*rateMemory.Seconds(), 1
 		if served > 0 {
 			safety = coldAloneSafety
 		}
