--- a/logic/admission.go
+++ b/logic/admission.go
@@ -9,88 +9,88 @@
 // Admission and refusal of requests as they arrive.
 
 const (
-	aimShare      = 0.7 // waiting may use this share of the aim: estimates err
-	overShareWait = 0.2 // over-share requests may wait this part of what others may
-	overShareLoad = 0.6 // and none is taken while the least writer is this full
-	inPlaceLoad   = 0.5 // a server this full takes no request whole
-	inPlaceSlower = 2.0 // and reads at about this multiple of a reader's rate
+	aimShare        = 0.7 // waiting may use this share of the aim: estimates err
+	overQuotaWait   = 0.2 // over-share requests may wait this part of what others may
+	overQuotaLoad   = 0.6 // and none is taken while the least writer is this full
+	maxInPlaceLoad  = 0.5 // a server this full takes no request whole
+	inPlaceSlowdown = 2.0 // and reads at about this multiple of a reader's rate
 )
 
 // tryKey tells a client's tries of one request from other requests.
-type tryKey struct {
+type retryKey struct {
 	session uint64
 	tokens  int64
 }
 
-func (l *Router) arrive(ev *Event) {
+func (l *Router) handleArrived(ev *Event) {
 	class := cmp.Or(l.classes[ev.Request.Class], l.classes[l.set.Classes[0].Name])
 	l.seq++
 	r := &request{Request: ev.Request, id: ev.RequestID, seq: l.seq, class: class}
 	r.deadline = l.now + r.Remaining
 	l.requests[r.id], l.bySeq[r.seq] = r, r
-	try := tryKey{r.Session, r.PromptTokens} // a client's further try has used up some of the aim
-	if at, ok := l.firstSeen[try]; !ok || l.now-at > class.Deadline {
-		l.firstSeen[try] = l.now
+	key := retryKey{r.Session, r.PromptTokens} // a client's further try has used up some of the aim
+	if at, ok := l.firstSeen[key]; !ok || l.now-at > class.Deadline {
+		l.firstSeen[key] = l.now
 		if r.Retried { // its first try was elsewhere
-			l.firstSeen[try] -= class.Aim / 2
+			l.firstSeen[key] -= class.Aim / 2
 		}
 	}
-	r.first = l.firstSeen[try]
+	r.firstTried = l.firstSeen[key]
 	l.open = append(l.open, r)
 	l.out = append(l.out, Action{Kind: Wake, After: r.Remaining, Tag: r.seq})
-	l.retryBudget = min(l.retryBudget+retryShare, 1+retryShare*l.arrivals.add(l.now, 0, keyLife), retryBurst)
-	s := l.popular[cmp.Or(r.Prefix, r.Session)]
-	s.add(l.now, 1, keyLife)
-	l.popular[cmp.Or(r.Prefix, r.Session)] = s
-	l.arrivals.add(l.now, 1, keyLife)
-	l.came.add(l.now, 1, rateMemory)
-	over := l.overQuota(r)
+	l.retryBudget = min(l.retryBudget+retryShare, 1+retryShare*l.arrivals.add(l.now, 0, entryTTL), retryBurst)
+	s := l.keyArrivals[cmp.Or(r.Prefix, r.Session)]
+	s.add(l.now, 1, entryTTL)
+	l.keyArrivals[cmp.Or(r.Prefix, r.Session)] = s
+	l.arrivals.add(l.now, 1, entryTTL)
+	l.recentArrivals.add(l.now, 1, rateDecay)
+	overQuota := l.overQuota(r)
 	c := l.chooseReader(r)
-	pause, no := l.refuses(r, c, over)
-	if !no {
-		if !l.probe(r, c) {
-			l.start(r, c)
+	retryAfter, refused := l.shouldRefuse(r, c, overQuota)
+	if !refused {
+		if !l.startProbes(r, c) {
+			l.startRead(r, c)
 		}
-	} else if s := l.inPlace(r); s != nil && !over {
-		l.sendWhole(r, s)
+	} else if s := l.inPlaceServer(r); s != nil && !overQuota {
+		l.sendInPlace(r, s)
 	} else {
-		l.finish(r, Refuse, pause)
+		l.finish(r, Refuse, retryAfter)
 	}
 }
 
 // refuses tells whether waiting, at the reader or at the writers, would push the request past its aim.
-func (l *Router) refuses(r *request, c readChoice, over bool) (time.Duration, bool) {
-	if l.average == 0 || c.at == nil || r.Resumed {
+func (l *Router) shouldRefuse(r *request, c readChoice, overQuota bool) (time.Duration, bool) {
+	if l.meanPerToken == 0 || c.server == nil || r.Resumed {
 		return 0, false // nothing is refused before a rate is learned, nor the rest of what was served so far
 	}
 	aim := aimShare * l.aimOf(r)
 	wait, least := math.Inf(1), math.Inf(1)
 	for _, s := range l.candidates(r, false).servers {
-		wait, least = min(wait, l.startWait(s)), min(least, l.load(s))
+		wait, least = min(wait, l.firstTokenWait(s)), min(least, l.load(s))
 	}
 	wait += c.wait
-	room := max(aim-c.read, aim/2) // its own long read never refuses it
-	if over {
-		room *= overShareWait
+	allowed := max(aim-c.readTime, aim/2) // its own long read never refuses it
+	if overQuota {
+		allowed *= overQuotaWait
 	}
-	if wait <= room && !(over && least > overShareLoad) {
+	if wait <= allowed && !(overQuota && least > overQuotaLoad) {
 		return 0, false
 	}
-	pause := min(max(wait-room, overdueAim*aim), l.set.MaxRetryAfter.Seconds())
-	return time.Duration(pause * float64(time.Second)), true
+	retryAfter := min(max(wait-allowed, overdueAimShare*aim), l.set.MaxRetryAfter.Seconds())
+	return time.Duration(retryAfter * float64(time.Second)), true
 }
 
 // inPlace finds a server to read and answer a request whole where the readers' queue would refuse it: a
 // mixed one, else a writer that reads in place, with room and no longer a queue of them than the aim allows.
-func (l *Router) inPlace(r *request) *server {
+func (l *Router) inPlaceServer(r *request) *server {
 	var best *server
 	aim := aimShare * l.aimOf(r)
 	least := aim
 	for _, s := range l.candidates(r, false).servers {
-		if s.role == Writer && !l.set.ReadInPlace || l.load(s) > inPlaceLoad {
+		if s.role == Writer && !l.set.ReadInPlace || l.load(s) > maxInPlaceLoad {
 			continue
 		}
-		wait := float64(s.unread+r.PromptTokens)*inPlaceSlower*l.average + l.startWait(s)
+		wait := float64(s.unreadTokens+r.PromptTokens)*inPlaceSlowdown*l.meanPerToken + l.firstTokenWait(s)
 		better := best == nil || best.role == s.role && wait < least || s.role == Mixed && best.role != Mixed
 		if wait < aim && better {
 			best, least = s, wait
@@ -102,6 +102,6 @@
 // aimOf is the seconds in which the first token is wanted, or in which the client leaves, if that is sooner.
 func (l *Router) aimOf(r *request) float64 {
 	aim := r.class.Aim.Seconds() + r.class.AimPer1K.Seconds()*float64(r.PromptTokens)/1000
-	left := min(aim-(l.now-r.first).Seconds(), r.Remaining.Seconds())
-	return max(left, aim*overShareWait) // late answers are worth as little as those over a share
+	left := min(aim-(l.now-r.firstTried).Seconds(), r.Remaining.Seconds())
+	return max(left, aim*overQuotaWait) // late answers are worth as little as those over a share
 }
--- a/logic/affinity.go
+++ b/logic/affinity.go
@@ -9,43 +9,43 @@
 // Affinity: which readers a session or a shared prefix hashes to.
 
 const (
-	homesPerShare = 4.0 // homes of a key for each reader's worth of its traffic
-	shareDoubt    = 10  // arrivals assumed beside those seen
-	demandDoubt   = 2   // and where too many would push a cold server over
-	homesWeighed  = 16  // homes that are weighed in a large fleet
-	zoneAffinity  = 4.0 // and so much more readily one in the own zone is a home
+	homesPerReaderLoad = 4.0 // homes of a key for each reader's worth of its traffic
+	sharePrior         = 10  // arrivals assumed beside those seen
+	demandPrior        = 2   // and where too many would push a cold server over
+	homesCompared      = 16  // homes that are weighed in a large fleet
+	zoneAffinity       = 4.0 // and so much more readily one in the own zone is a home
 )
 
 // ranked is a server with its rank for a key in rendezvous hashing: the lowest wins.
 type ranked struct {
-	at   *server
-	rank float64
+	server *server
+	rank   float64
 }
 
 // demand is the traffic that begins as a request does, as its share of arrivals here tells, in even shares of so many readers.
 func (l *Router) demand(r *request, readers int, doubt float64) float64 {
-	s := l.popular[cmp.Or(r.Prefix, r.Session)]
-	seen := max(s.add(l.now, 0, keyLife)-0.5, 0)
-	return seen / (l.arrivals.add(l.now, 0, keyLife) + doubt) * float64(readers)
+	s := l.keyArrivals[cmp.Or(r.Prefix, r.Session)]
+	seen := max(s.add(l.now, 0, entryTTL)-0.5, 0)
+	return seen / (l.arrivals.add(l.now, 0, entryTTL) + doubt) * float64(readers)
 }
 
 // homeCount is how many homes the key of a request has among so many readers: one, and some more for each reader's worth of its traffic.
 func (l *Router) homeCount(r *request, readers int) int {
-	more := l.demand(r, readers, shareDoubt)
-	if !l.seesLittle() { // else a share seen is chance, and each change of it moves sessions
-		more *= homesPerShare
+	extra := l.demand(r, readers, sharePrior)
+	if !l.hasPartialView() { // else a share seen is chance, and each change of it moves sessions
+		extra *= homesPerReaderLoad
 	}
-	return min(1+int(more), readers)
+	return min(1+int(extra), readers)
 }
 
 // homes are the readers that a key's hash picks, the same at every router with the same list. They are ordered by the session's hash, so
 // that its later prompts find its earlier ones.
-func (l *Router) homes(r *request, from choices, may func(*server) bool) []ranked {
-	count := l.homeCount(r, from.count)
-	if from.all == nil {
-		return l.lowest(from.servers, l.keyRank(r), sessionRank(r), count, count, nil)
+func (l *Router) homes(r *request, readers candidateSet, eligible func(*server) bool) []ranked {
+	count := l.homeCount(r, readers.count)
+	if readers.listed == nil {
+		return l.lowestRanked(readers.servers, l.keyRanking(r), sessionRanking(r), count, count, nil)
 	}
-	return l.lowest(from.all, l.keyRank(r), sessionRank(r), count, homesWeighed, may)
+	return l.lowestRanked(readers.listed, l.keyRanking(r), sessionRanking(r), count, homesCompared, eligible)
 }
 
 // ranking is an order of servers by a key in weighted rendezvous hashing: the lowest -log(draw)/weight wins.
@@ -54,119 +54,119 @@
 	weight func(s *server) float64
 }
 
-func (k ranking) draw(s *server) float64 { return unit(k.key ^ s.hash) }
+func (k ranking) uniform(s *server) float64 { return unit(k.key ^ s.hash) }
 
 // keyRank ranks by what a request begins with. Where the front keeps a session's clients, readers of the own zone come more readily.
-func (l *Router) keyRank(r *request) ranking {
+func (l *Router) keyRanking(r *request) ranking {
 	return ranking{cmp.Or(r.Prefix, r.Session), func(s *server) float64 { return s.keyWeight }}
 }
 
 // sessionRank ranks by a request's session.
-func sessionRank(r *request) ranking {
+func sessionRanking(r *request) ranking {
 	return ranking{r.Session, func(s *server) float64 { return s.homeWeight }}
 }
 
 // lowest gives the servers of the lowest rank by one ranking, up to a count, in their order by another, of which no more than most. With may
 // only those count for which it holds.
-func (l *Router) lowest(from []*server, by, then ranking, count, most int, may func(*server) bool) []ranked {
-	best := selection{most: min(count, most)}
-	if best.most <= 0 {
+func (l *Router) lowestRanked(from []*server, first, second ranking, count, limit int, eligible func(*server) bool) []ranked {
+	best := selection{limit: min(count, limit)}
+	if best.limit <= 0 {
 		return nil
 	}
-	if count > most { // far more than are weighed: those under the rank that so many have, in the other order
-		bound := rankOf(float64(len(from)), float64(count))
+	if count > limit { // far more than are weighed: those under the rank that so many have, in the other order
+		bound := rankBound(float64(len(from)), float64(count))
 		for _, s := range from {
-			if draw, weight := by.draw(s), by.weight(s); 1-draw < weight*bound && -math.Log(draw) < weight*bound {
-				best.add(s, then.draw(s), then.weight(s), may)
+			if draw, weight := first.uniform(s), first.weight(s); 1-draw < weight*bound && -math.Log(draw) < weight*bound {
+				best.add(s, second.uniform(s), second.weight(s), eligible)
 			}
 		}
 		return best.sorted()
 	}
 	for _, s := range from { // as -log(x) is 1-x at least, most are passed over without a logarithm
-		if draw, weight := by.draw(s), by.weight(s); 1-draw < weight*best.bound() {
-			best.add(s, draw, weight, may)
+		if draw, weight := first.uniform(s), first.weight(s); 1-draw < weight*best.cutoff() {
+			best.add(s, draw, weight, eligible)
 		}
 	}
 	all := best.sorted()
-	for i, one := range all {
-		all[i].rank = -math.Log(then.draw(one.at)) / then.weight(one.at)
+	for i, r := range all {
+		all[i].rank = -math.Log(second.uniform(r.server)) / second.weight(r.server)
 	}
-	slices.SortStableFunc(all, byRank)
+	slices.SortStableFunc(all, compareRank)
 	return all
 }
 
 // rankOf is the rank under which count of so many servers of weight 1 are expected.
-func rankOf(servers, count float64) float64 { return -math.Log(max(1-count/servers, 1e-9)) }
+func rankBound(servers, count float64) float64 { return -math.Log(max(1-count/servers, 1e-9)) }
 
-func byRank(a, b ranked) int { return cmp.Compare(a.rank, b.rank) }
+func compareRank(a, b ranked) int { return cmp.Compare(a.rank, b.rank) }
 
 // selection keeps the servers of the lowest rank.
 type selection struct {
-	most int
-	all  []ranked // ordered, once there are so many
+	limit   int
+	entries []ranked // ordered, once there are so many
 }
 
 // bound is the rank under which a server is taken in.
-func (n *selection) bound() float64 {
-	if len(n.all) < n.most {
+func (n *selection) cutoff() float64 {
+	if len(n.entries) < n.limit {
 		return math.Inf(1)
 	}
-	return n.all[n.most-1].rank
+	return n.entries[n.limit-1].rank
 }
 
 // add takes a server in if its rank is among the lowest.
-func (n *selection) add(s *server, draw, weight float64, may func(*server) bool) {
-	full := len(n.all) == n.most
+func (n *selection) add(s *server, draw, weight float64, eligible func(*server) bool) {
+	full := len(n.entries) == n.limit
 	rank := -math.Log(draw) / weight
-	if rank >= n.bound() || may != nil && !may(s) {
+	if rank >= n.cutoff() || eligible != nil && !eligible(s) {
 		return
 	}
 	if full {
-		n.all = n.all[:n.most-1]
+		n.entries = n.entries[:n.limit-1]
 	}
-	if n.all = append(n.all, ranked{s, rank}); len(n.all) < n.most {
+	if n.entries = append(n.entries, ranked{s, rank}); len(n.entries) < n.limit {
 		return
 	}
 	if !full {
-		slices.SortStableFunc(n.all, byRank)
+		slices.SortStableFunc(n.entries, compareRank)
 		return
 	}
-	for i := n.most - 1; i > 0 && n.all[i].rank < n.all[i-1].rank; i-- {
-		n.all[i], n.all[i-1] = n.all[i-1], n.all[i]
+	for i := n.limit - 1; i > 0 && n.entries[i].rank < n.entries[i-1].rank; i-- {
+		n.entries[i], n.entries[i-1] = n.entries[i-1], n.entries[i]
 	}
 }
 
 func (n *selection) sorted() []ranked {
-	slices.SortStableFunc(n.all, byRank)
-	return n.all
+	slices.SortStableFunc(n.entries, compareRank)
+	return n.entries
 }
 
 // previousHome gives a session's home among the readers as they were before the changes of late, if it may still be sent
 // to, and how many have gone since for each that has come.
-func (l *Router) previousHome(r *request, readers choices) (kept *server, gone float64) {
+func (l *Router) previousHome(r *request, candidates candidateSet) (home *server, lossRatio float64) {
 	var before []*server
-	still := 0
+	remaining := 0
 	for _, s := range l.order {
-		if s.role != Reader || s.listed && l.inSlowStart(s) || !s.listed && l.now-s.offAt > l.set.RampTime {
+		if s.role != Reader || s.listed && l.inSlowStart(s) || !s.listed && l.now-s.unlistedAt > l.set.RampTime {
 			continue
 		}
 		before = append(before, s)
 		if s.listed {
-			still++
+			remaining++
 		}
 	}
 	count := l.homeCount(r, len(before))
-	homes := l.lowest(before, l.keyRank(r), sessionRank(r), count, max(homesWeighed, min(count, allWeighed)), nil)
-	if len(homes) > 0 && l.among(r, readers, homes[0].at) {
-		kept = homes[0].at
+	homes := l.lowestRanked(before, l.keyRanking(r), sessionRanking(r), count, max(homesCompared, min(count, fullScanLimit)), nil)
+	if len(homes) > 0 && l.isCandidate(r, candidates, homes[0].server) {
+		home = homes[0].server
 	}
-	return kept, float64(len(before)-still) / max(float64(readers.count-still), 1)
+	return home, float64(len(before)-remaining) / max(float64(candidates.count-remaining), 1)
 }
 
 // among tells whether a reader is among the choices for a request, weighed so far or not.
-func (l *Router) among(r *request, readers choices, s *server) bool {
-	if readers.all == nil {
-		return slices.Contains(readers.servers, s)
+func (l *Router) isCandidate(r *request, candidates candidateSet, s *server) bool {
+	if candidates.listed == nil {
+		return slices.Contains(candidates.servers, s)
 	}
 	return s.listed && l.readiness(r, s) == ready && !slices.Contains(r.avoid, s)
 }
--- a/logic/choices.go
+++ b/logic/choices.go
@@ -10,27 +10,27 @@
 // nearly as good as the best of all (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
 
 const (
-	allWeighed    = 256  // servers of a side, up to which all are weighed
-	drawn         = 48   // servers that are drawn of more
-	drawnNear     = 16   // and so many each of the cell and of the zone of a read state
-	recentMost    = 32   // writers that answered last, which are weighed too: connections to them are open
-	newConnection = 0.1  // share of its memory that a writer counts as fuller by if it takes a new connection
-	drawStride    = 7919 // a prime above the size of any fleet: steps of it come to each server once, and to all zones in turn
+	fullScanLimit        = 256  // servers of a side, up to which all are weighed
+	sampleSize           = 48   // servers that are drawn of more
+	localSampleSize      = 16   // and so many each of the cell and of the zone of a read state
+	maxRecent            = 32   // writers that answered last, which are weighed too: connections to them are open
+	newConnectionPenalty = 0.1  // share of its memory that a writer counts as fuller by if it takes a new connection
+	sampleStride         = 7919 // a prime above the size of any fleet: steps of it come to each server once, and to all zones in turn
 )
 
 // side is what takes one of the two stages of a request: the readers, or all others.
-type side struct {
+type pool struct {
 	servers []*server // that are listed, in order of first listing
 	cells   map[int64][]*server
 	zones   map[string][]*server
-	load    sideLoad
+	load    poolLoad
 	recent  []*server // that answered last, each once, the latest last
 }
 
 // sideOf gives the side of a server.
-func (l *Router) sideOf(s *server) *side { return l.side(s.role == Reader) }
+func (l *Router) poolOf(s *server) *pool { return l.poolFor(s.role == Reader) }
 
-func (l *Router) side(readers bool) *side {
+func (l *Router) poolFor(readers bool) *pool {
 	if readers {
 		return &l.readers
 	}
@@ -38,69 +38,69 @@
 }
 
 // refresh puts the lists that were told since into the index, and weighs places anew.
-func (l *Router) refresh() {
-	if l.unindexed && (l.indexedAt == 0 || l.now-l.indexedAt >= sumEvery*time.Duration(len(l.order))) {
-		l.index()
-		l.weighPlaces()
+func (l *Router) refreshIndex() {
+	if l.indexStale && (l.indexedAt == 0 || l.now-l.indexedAt >= sumIntervalPerServer*time.Duration(len(l.order))) {
+		l.rebuildIndex()
+		l.updateHomeWeights()
 	}
 }
 
 // index sorts the listed servers by what they are looked up by.
-func (l *Router) index() {
-	l.unindexed, l.indexedAt = false, max(l.now, 1)
+func (l *Router) rebuildIndex() {
+	l.indexStale, l.indexedAt = false, max(l.now, 1)
 	for _, readers := range []bool{true, false} {
-		side := l.side(readers)
-		*side = side.cleared()
+		pool := l.poolFor(readers)
+		*pool = pool.cleared()
 	}
 	for _, s := range l.order {
 		if s.listed {
-			side := l.sideOf(s)
-			side.servers = append(side.servers, s)
-			side.cells[s.Cell] = append(side.cells[s.Cell], s)
-			side.zones[s.Zone] = append(side.zones[s.Zone], s)
+			pool := l.poolOf(s)
+			pool.servers = append(pool.servers, s)
+			pool.cells[s.Cell] = append(pool.cells[s.Cell], s)
+			pool.zones[s.Zone] = append(pool.zones[s.Zone], s)
 		}
 	}
 }
 
 // cleared gives an empty side that uses the memory again.
-func (d *side) cleared() side {
-	return side{recent: d.recent, servers: d.servers[:0], cells: map[int64][]*server{}, zones: map[string][]*server{}}
+func (p *pool) cleared() pool {
+	return pool{recent: p.recent, servers: p.servers[:0], cells: map[int64][]*server{}, zones: map[string][]*server{}}
 }
 
 // noteRecent notes that a server has answered.
-func (d *side) noteRecent(s *server) {
-	if s.recent {
+func (p *pool) addRecent(s *server) {
+	if s.recentlyAnswered {
 		return
 	}
-	if len(d.recent) == recentMost {
-		d.recent[0].recent = false
-		d.recent = append(d.recent[:0], d.recent[1:]...)
+	if len(p.recent) == maxRecent {
+		p.recent[0].recentlyAnswered = false
+		p.recent = append(p.recent[:0], p.recent[1:]...)
 	}
-	s.recent = true
-	d.recent = append(d.recent, s)
+	s.recentlyAnswered = true
+	p.recent = append(p.recent, s)
 }
 
 // connectPrice is what a writer counts as fuller by in a large fleet, most of which no connection leads to, if it has not answered lately.
-func (l *Router) connectPrice(s *server) float64 {
-	if s.recent || len(l.writers.servers) <= allWeighed {
+func (l *Router) connectionPenalty(s *server) float64 {
+	if s.recentlyAnswered || len(l.writers.servers) <= fullScanLimit {
 		return 0
 	}
-	return newConnection
+	return newConnectionPenalty
 }
 
 // choices are the servers among which one is chosen for a request.
-type choices struct {
+type candidateSet struct {
 	servers []*server // that are weighed
 	count   int       // of all that may be sent to, as far as the draw tells
-	all     []*server // where not all are weighed: those that are listed, else nil
+	listed  []*server // where not all are weighed: those that are listed, else nil
 }
 
 // readiness tells whether a server may be sent a request.
 type readiness uint8
 
 const (
-	unready readiness = iota
-	paused            // it has failed, and its pause is not over
+	notReady readiness = iota
+	ejected            // it has failed, and its pause is not over
 	ready
 )
 
@@ -108,82 +108,82 @@
 // After a pause one real request at a time tries a server, as probes may be forbidden.
 func (l *Router) readiness(r *request, s *server) readiness {
 	switch {
-	case !s.listed || !l.allowed(r, s):
-	case l.now < s.lane(r).fullTill || l.inSlowStart(s) && !l.coldAllows(s) && !(s.role == Reader && l.seesLittle()):
-	case s.fails == 0 || len(s.waiting) == 0 && l.coldAllows(s) && l.now >= s.backAt:
+	case !s.listed || !l.repeatAllowed(r, s):
+	case l.now < s.backpressureFor(r).fullUntil || l.inSlowStart(s) && !l.withinColdBudget(s) && !(s.role == Reader && l.hasPartialView()):
+	case s.failures == 0 || len(s.pending) == 0 && l.withinColdBudget(s) && l.now >= s.ejectedUntil:
 		return ready
-	case len(s.waiting) == 0:
-		return paused
+	case len(s.pending) == 0:
+		return ejected
 	}
-	return unready
+	return notReady
 }
 
 // candidates are the readers, or the writers, that may be sent a request now. Where all are in a pause it does not count, so that no
 // misjudgement shuts the fleet out.
-func (l *Router) candidates(r *request, readers bool) choices {
-	l.refresh()
-	side := l.side(readers)
-	if len(side.servers) <= allWeighed {
-		servers := l.untried(r, l.draw(r, side.servers, len(side.servers)).best())
-		return choices{servers: servers, count: len(servers)}
-	}
-	some := l.draw(r, side.servers, drawn)
+func (l *Router) candidates(r *request, readers bool) candidateSet {
+	l.refreshIndex()
+	pool := l.poolFor(readers)
+	if len(pool.servers) <= fullScanLimit {
+		servers := l.untried(r, l.sampleFrom(r, pool.servers, len(pool.servers)).best())
+		return candidateSet{servers: servers, count: len(servers)}
+	}
+	sampled := l.sampleFrom(r, pool.servers, sampleSize)
 	if !readers {
-		some.join(l.draw(r, side.recent, len(side.recent)))
+		sampled.merge(l.sampleFrom(r, pool.recent, len(pool.recent)))
 	}
-	if !readers && r.state != nil {
-		some.join(l.draw(r, side.cells[r.state.Cell], drawnNear))
-		some.join(l.draw(r, side.zones[r.state.Zone], drawnNear))
+	if !readers && r.stateReader != nil {
+		sampled.merge(l.sampleFrom(r, pool.cells[r.stateReader.Cell], localSampleSize))
+		sampled.merge(l.sampleFrom(r, pool.zones[r.stateReader.Zone], localSampleSize))
 	}
-	c := choices{servers: l.untried(r, some.best()), all: side.servers}
+	c := candidateSet{servers: l.untried(r, sampled.best()), listed: pool.servers}
 	c.count = len(c.servers)
 	if readers { // whose number tells how many homes a text has
-		c.count = l.loadOf(side).ready
+		c.count = l.loadOf(pool).ready
 	}
 	return c
 }
 
 // draft is what was drawn of some servers.
-type draft struct{ ready, paused []*server }
+type sample struct{ ready, ejected []*server }
 
 // best gives the servers that may be sent a request, or where there is none those in a pause.
-func (d draft) best() []*server {
+func (d sample) best() []*server {
 	if len(d.ready) == 0 {
-		return d.paused
+		return d.ejected
 	}
 	return d.ready
 }
 
 // join adds what was drawn elsewhere and is not there yet.
-func (d *draft) join(more draft) {
-	d.ready = joined(d.ready, more.ready)
-	d.paused = joined(d.paused, more.paused)
+func (d *sample) merge(other sample) {
+	d.ready = union(d.ready, other.ready)
+	d.ejected = union(d.ejected, other.ejected)
 }
 
 // draw draws so many servers that may be sent a request, or all that may where there are fewer.
-func (l *Router) draw(r *request, from []*server, most int) (d draft) {
+func (l *Router) sampleFrom(r *request, from []*server, limit int) (d sample) {
 	start, n := 0, len(from)
-	if most < n {
+	if limit < n {
 		start = int(mix(l.seed^r.seq^uint64(r.attempts)<<32) % uint64(n))
 	}
-	for i := 0; i < n && len(d.ready) < most; i++ {
+	for i := 0; i < n && len(d.ready) < limit; i++ {
 		s := from[i]
-		if most < n {
-			s = from[(start+i*drawStride)%n]
+		if limit < n {
+			s = from[(start+i*sampleStride)%n]
 		}
 		switch l.readiness(r, s) {
 		case ready:
 			d.ready = append(d.ready, s)
-		case paused:
-			d.paused = append(d.paused, s)
+		case ejected:
+			d.ejected = append(d.ejected, s)
 		}
 	}
 	return d
 }
 
 // joined adds servers that are not among others yet.
-func joined(all, more []*server) []*server {
-	for _, s := range more {
+func union(all, others []*server) []*server {
+	for _, s := range others {
 		if !slices.Contains(all, s) {
 			all = append(all, s)
 		}
--- a/logic/choices_test.go
+++ b/logic/choices_test.go
@@ -49,11 +49,11 @@
 	for key := range uint64(50) {
 		r := &request{Request: Request{Session: key + 1}, class: a.classes["c"]}
 		want := slices.MinFunc(a.readers.servers, func(x, y *server) int {
-			return byRank(ranked{x, -math.Log(unit(r.Session ^ x.hash))}, ranked{y, -math.Log(unit(r.Session ^ y.hash))})
+			return compareRank(ranked{x, -math.Log(unit(r.Session ^ x.hash))}, ranked{y, -math.Log(unit(r.Session ^ y.hash))})
 		})
 		for _, l := range []*Router{a, b} {
-			if got := l.homes(r, l.candidates(r, true), nil); len(got) != 1 || got[0].at.ID != want.ID {
-				t.Fatalf("key %d: got %d homes, first %s, want %s", key, len(got), got[0].at.ID, want.ID)
+			if got := l.homes(r, l.candidates(r, true), nil); len(got) != 1 || got[0].server.ID != want.ID {
+				t.Fatalf("key %d: got %d homes, first %s, want %s", key, len(got), got[0].server.ID, want.ID)
 			}
 		}
 	}
@@ -67,11 +67,11 @@
 	from := map[*server]bool{}
 	for session := range uint64(1000) {
 		r := &request{Request: Request{Session: session + 1, Prefix: 7}}
-		homes := l.lowest(l.readers.servers, l.keyRank(r), sessionRank(r), share, homesWeighed, nil)
-		if len(homes) != homesWeighed {
+		homes := l.lowestRanked(l.readers.servers, l.keyRanking(r), sessionRanking(r), share, homesCompared, nil)
+		if len(homes) != homesCompared {
 			t.Fatalf("%d homes are weighed", len(homes))
 		}
-		from[homes[0].at] = true
+		from[homes[0].server] = true
 	}
 	if len(from) < share/2 || len(from) > 2*share {
 		t.Errorf("the sessions of a text with %d homes go to %d readers", share, len(from))
@@ -83,13 +83,13 @@
 	l := benchFleet(t, largeFleet, 0)
 	seen := map[*server]bool{}
 	for seq := range uint64(1000) {
-		some := l.draw(&request{seq: seq, class: l.classes["c"]}, l.readers.servers, drawn).ready
+		some := l.sampleFrom(&request{seq: seq, class: l.classes["c"]}, l.readers.servers, sampleSize).ready
 		once := map[*server]bool{}
 		for _, s := range some {
 			seen[s], once[s] = true, true
 		}
-		if len(once) != drawn {
-			t.Fatalf("%d of %d drawn servers differ", len(once), drawn)
+		if len(once) != sampleSize {
+			t.Fatalf("%d of %d drawn servers differ", len(once), sampleSize)
 		}
 	}
 	if len(seen) != len(l.readers.servers) {
@@ -102,7 +102,7 @@
 	l := benchFleet(t, largeFleet, 0)
 	for i, s := range l.order {
 		if i%400 > 1 {
-			s.fails, s.backAt = 1, l.now+time.Hour
+			s.failures, s.ejectedUntil = 1, l.now+time.Hour
 		}
 	}
 	r := &request{Request: Request{Session: 3}, class: l.classes["c"]}
@@ -165,7 +165,7 @@
 	stayed := 0
 	for seq := range uint64(200) {
 		reader := l.readers.servers[int(seq)*7]
-		r := &request{seq: seq, class: l.classes["c"], state: reader}
+		r := &request{seq: seq, class: l.classes["c"], stateReader: reader}
 		if s := l.chooseWriter(r); s != nil && s.Cell == reader.Cell {
 			stayed++
 		}
@@ -189,15 +189,15 @@
 		if l.indexedAt != at {
 			passes, at = passes+1, l.indexedAt
 		}
-		if r := (&request{class: l.classes["c"]}); l.readiness(r, l.order[i]) != unready {
+		if r := (&request{class: l.classes["c"]}); l.readiness(r, l.order[i]) != notReady {
 			t.Fatalf("%s is gone, and may be sent to", e.ID)
 		}
 	}
-	if most := int(lists * ms(1) / (sumEvery * largeFleet)); passes > most {
+	if most := int(lists * ms(1) / (sumIntervalPerServer * largeFleet)); passes > most {
 		t.Errorf("the fleet was gone through %d times for %d lists, allowed are %d", passes, lists, most)
 	}
 	l.Handle(now, &Event{Kind: ListChanged, Servers: []ServerEntry{entry("r-new", "r", 1)}}, nil)
-	l.now = now + sumEvery*time.Duration(len(l.order))
+	l.now = now + sumIntervalPerServer*time.Duration(len(l.order))
 	l.candidates(&request{class: l.classes["c"]}, true)
 	if !slices.Contains(l.readers.servers, l.servers["r-new"]) {
 		t.Error("a server that came with a list is not found")
@@ -210,8 +210,8 @@
 	for i, s := range l.order { // three cells, each of many writers
 		s.Cell = int64(i / 2 % 3)
 	}
-	l.index()
-	l.weighPlaces()
+	l.rebuildIndex()
+	l.updateHomeWeights()
 	used := map[string]int{}
 	const requests = 2000
 	for i := range requests {
@@ -225,8 +225,8 @@
 		t.Errorf("%d writers for %d requests, one after the other", len(used), requests)
 	}
 	full := l.writers.recent[0]
-	full.held, full.writes = 0.5*full.memory, 1000
-	r := &request{seq: 1, class: l.classes["c"], state: l.readers.servers[0]}
+	full.heldTokens, full.openWrites = 0.5*full.memoryTokens, 1000
+	r := &request{seq: 1, class: l.classes["c"], stateReader: l.readers.servers[0]}
 	for r.seq = range uint64(100) {
 		if l.chooseWriter(r) == full {
 			t.Fatal("a writer that is fuller than others comes first")
@@ -240,10 +240,10 @@
 	l.now = time.Hour
 	reader := l.readers.servers[0]
 	for _, s := range l.writers.cells[reader.Cell] {
-		l.failed(s)
+		l.recordFailure(s)
 	}
 	for seq := range uint64(100) {
-		r := &request{seq: seq, class: l.classes["c"], state: reader}
+		r := &request{seq: seq, class: l.classes["c"], stateReader: reader}
 		if s := l.chooseWriter(r); s == nil || s.Cell == reader.Cell {
 			t.Fatalf("a request goes to %+v", s)
 		}
@@ -254,7 +254,7 @@
 func TestNoReadyServerInALargeFleet(t *testing.T) {
 	l := benchFleet(t, largeFleet, 0)
 	for _, s := range l.order {
-		s.fails, s.backAt, s.waiting = 1, l.now+time.Hour, []*request{{}}
+		s.failures, s.ejectedUntil, s.pending = 1, l.now+time.Hour, []*request{{}}
 	}
 	acts := l.Handle(time.Hour+time.Second, arrival("q", 7, 9), nil)
 	if find(acts, Send) != nil || l.requests["q"] == nil || l.requests["q"].phase != parked {
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -141,7 +141,7 @@
 					MaxOutput: 200, Remaining: 6 * time.Second}
 			}
 			hot, l := uint64(1), newRouter(t, set, list...)
-			for l.homes(&request{Request: ask(hot)}, l.candidates(&request{}, true), nil)[0].at.ID != "r0" {
+			for l.homes(&request{Request: ask(hot)}, l.candidates(&request{}, true), nil)[0].server.ID != "r0" {
 				hot++
 			}
 			traffic := func() Request {
@@ -191,7 +191,7 @@
 			for f.now < started+set.RampTime {
 				x := float64(f.now-started) / float64(set.RampTime)
 				come := 5.0 // times what is borne
-				if n > shareDoubt {
+				if n > sharePrior {
 					come = set.ColdFrom + (1-set.ColdFrom)*x*x // readers there take a part of what comes, so the host lets in no more (recovery.Ramp)
 				}
 				f.run(100*time.Millisecond, come*rate, func() Request {
@@ -333,7 +333,7 @@
 	goes := func(at time.Duration, key uint64) string {
 		l.now = at
 		ask := Request{Class: "c", Session: mix(key), Prefix: mix(key % 60), PrefixTokens: 1500, PromptTokens: 4000}
-		return l.chooseReader(&request{Request: ask, class: l.classes["c"]}).at.ID
+		return l.chooseReader(&request{Request: ask, class: l.classes["c"]}).server.ID
 	}
 	was := map[uint64]string{}
 	for key := range uint64(600) {
--- a/logic/health.go
+++ b/logic/health.go
@@ -5,93 +5,93 @@
 // Health of servers: failures, backoff, full queues and error rates.
 
 const (
-	backoffFirst = 1 * time.Second        // a failed server is left alone this long, then twice it ...
-	backoffMost  = 8 * time.Second        // ... up to this
-	errorsInRow  = 3                      // errors in a row that count as a failed server
-	errorDoubt   = 10.0                   // attempts without an error assumed beside those seen
-	errorPrice   = 4.0                    // a writer that always errs counts as so much fuller
-	fullCost     = 20                     // and this many times as long as it took to say so
-	fullPause    = 150 * time.Millisecond // a server that said full is passed over this long
+	minBackoff           = 1 * time.Second        // a failed server is left alone this long, then twice it ...
+	maxBackoff           = 8 * time.Second        // ... up to this
+	maxConsecutiveErrors = 3                      // errors in a row that count as a failed server
+	errorPrior           = 10.0                   // attempts without an error assumed beside those seen
+	errorPenalty         = 4.0                    // a writer that always errs counts as so much fuller
+	fullBackoffFactor    = 20                     // and this many times as long as it took to say so
+	minFullBackoff       = 150 * time.Millisecond // a server that said full is passed over this long
 )
 
 // laneKey tells the like of a request: its tenant and class.
-type laneKey struct {
+type tenantClass struct {
 	tenant string
 	class  *classState
 }
 
 // lane is how a server took the like of a request.
-type lane struct {
-	fullTill, pause time.Duration
+type backpressure struct {
+	fullUntil, pause time.Duration
 }
 
-func laneOf(r *request) laneKey { return laneKey{r.Tenant, r.class} }
+func tenantClassOf(r *request) tenantClass { return tenantClass{r.Tenant, r.class} }
 
-func (s *server) lane(r *request) lane { return s.lanes[laneOf(r)] }
+func (s *server) backpressureFor(r *request) backpressure { return s.backpressure[tenantClassOf(r)] }
 
-func (l *Router) failed(s *server) {
-	if s.fails == 0 && !l.inSlowStart(s) {
-		s.failedAt = l.now
+func (l *Router) recordFailure(s *server) {
+	if s.failures == 0 && !l.inSlowStart(s) {
+		s.failingSince = l.now
 	}
-	if s.fails == 0 || l.now >= s.backAt {
-		s.fails++
+	if s.failures == 0 || l.now >= s.ejectedUntil {
+		s.failures++
 	}
-	s.backAt = l.now + min(backoffFirst<<min(s.fails-1, 10), backoffMost)
+	s.ejectedUntil = l.now + min(minBackoff<<min(s.failures-1, 10), maxBackoff)
 }
 
 // refused notes a 'full', which may be meant for one tenant or class only: the like of the request passes the
 // server over, the longer the more time the answer took and the more often it came.
-func (l *Router) refused(r *request, s *server, took time.Duration) {
-	v := s.lane(r)
-	v.pause = min(max(2*v.pause, fullPause, fullCost*took), backoffMost)
-	v.fullTill = l.now + v.pause
-	s.lanes[laneOf(r)] = v
+func (l *Router) recordFull(r *request, s *server, took time.Duration) {
+	b := s.backpressureFor(r)
+	b.pause = min(max(2*b.pause, minFullBackoff, fullBackoffFactor*took), maxBackoff)
+	b.fullUntil = l.now + b.pause
+	s.backpressure[tenantClassOf(r)] = b
 }
 
 // accepted notes that a read ended or a stream began: the server is well and takes the like of the request.
-func (l *Router) accepted(r *request, s *server) {
-	s.heard, s.fails, s.errors, s.passed = l.now, 0, 0, max(s.passed, r.sentAt)
-	s.rate.add(l.now, 1, rateMemory)
-	delete(s.lanes, laneOf(r))
-	l.sideOf(s).noteRecent(s)
+func (l *Router) recordSuccess(r *request, s *server) {
+	s.lastResponse, s.failures, s.consecutiveErrors, s.lastAnsweredSend = l.now, 0, 0, max(s.lastAnsweredSend, r.sentAt)
+	s.served.add(l.now, 1, rateDecay)
+	delete(s.backpressure, tenantClassOf(r))
+	l.poolOf(s).addRecent(s)
 }
 
 // erring is the share of attempts that lately ended with an error at a server. Some err now and then for long, and
 // what may run once only is lost there.
 func (l *Router) errorRate(s *server) float64 {
-	return s.erred.add(l.now, 0, keyLife) / (s.tried.add(l.now, 0, keyLife) + errorDoubt)
+	return s.recentErrors.add(l.now, 0, entryTTL) / (s.recentAttempts.add(l.now, 0, entryTTL) + errorPrior)
 }
 
 // judge draws from an outcome what it tells of the server.
-func (l *Router) judge(r *request, s *server, was phase, ev *Event) {
+func (l *Router) recordOutcome(r *request, s *server, phase phase, ev *Event) {
 	switch ev.Outcome {
 	case ServerError, ConnectionLost:
-		s.erred.add(l.now, 1, keyLife)
+		s.recentErrors.add(l.now, 1, entryTTL)
 		fallthrough
 	case ReadDone, Delivered:
-		s.tried.add(l.now, 1, keyLife)
+		s.recentAttempts.add(l.now, 1, entryTTL)
 	}
 	switch ev.Outcome {
 	case ReadDone:
-		l.accepted(r, s)
+		l.recordSuccess(r, s)
 		l.learnRead(r, s, ev.Took, ev.Tokens)
 	case Delivered:
-		s.heard, s.fails, s.errors = l.now, 0, 0
+		s.lastResponse, s.failures, s.consecutiveErrors = l.now, 0, 0
 	case Full:
-		s.heard = l.now
+		s.lastResponse = l.now
 		if !ev.NoState {
-			l.refused(r, s, ev.Took)
-		} else if r.ranAt == nil && r.state != nil && r.state.heard < r.sentAt {
-			l.failed(r.state) // no attempt can have taken it: its reader is dead or cut off
+			l.recordFull(r, s, ev.Took)
+		} else if r.mayHaveRunAt == nil && r.stateReader != nil && r.stateReader.lastResponse < r.sentAt {
+			l.recordFailure(r.stateReader) // no attempt can have taken it: its reader is dead or cut off
 		}
 	case ServerError, ConnectionLost: // one lost connection is no dead server: more would be lost
-		s.heard = l.now
-		if s.errors++; s.errors >= errorsInRow {
-			l.failed(s)
+		s.lastResponse = l.now
+		if s.consecutiveErrors++; s.consecutiveErrors >= maxConsecutiveErrors {
+			l.recordFailure(s)
 		}
 	case ConnectFailed, TimedOut:
-		if ev.Outcome == ConnectFailed || s.heard < r.sentAt {
-			l.failed(s)
+		if ev.Outcome == ConnectFailed || s.lastResponse < r.sentAt {
+			l.recordFailure(s)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 // Ejected counts the listed servers that are passed over now because they failed.
 func (l *Router) Ejected(now time.Duration) (n int) {
 	for _, s := range l.order {
-		if s.listed && s.fails > 0 && now < s.backAt {
+		if s.listed && s.failures > 0 && now < s.ejectedUntil {
 			n++
 		}
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -91,12 +91,12 @@
 // Where the readers' queue would refuse a request while a mixed server is idle, it takes the request whole (i07ef36).
 func TestMixedTakesWholeWhatReadersCannot(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("m1", "m", 1))
-	l.average = 0.0001
-	l.servers["r1"].unread = 50000
+	l.meanPerToken = 0.0001
+	l.servers["r1"].unreadTokens = 50000
 	if a := find(l.Handle(ms(1), arrival("q", 7, 9), nil), Send); a == nil || a.Server != "m1" {
 		t.Errorf("send %+v, want the mixed server", a)
 	}
-	l.servers["m1"].unread = 50000
+	l.servers["m1"].unreadTokens = 50000
 	if a := find(l.Handle(ms(2), arrival("p", 8, 9), nil), Refuse); a == nil {
 		t.Error("with queues everywhere the request should be refused")
 	}
@@ -105,11 +105,11 @@
 // Nothing is refused before a rate is learned, even while every writer says full.
 func TestNoRefusalBeforeARateIsLearned(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-	l.servers["w1"].lanes[laneKey{"", l.classes["c"]}] = lane{fullTill: ms(5000)}
+	l.servers["w1"].backpressure[tenantClass{"", l.classes["c"]}] = backpressure{fullUntil: ms(5000)}
 	if a := find(l.Handle(ms(1), arrival("q", 7, 9), nil), Send); a == nil {
 		t.Error("refused without a learned rate")
 	}
-	l.average = 0.0001
+	l.meanPerToken = 0.0001
 	if a := find(l.Handle(ms(2), arrival("p", 8, 9), nil), Refuse); a == nil {
 		t.Error("with every writer full the request should be refused early")
 	}
@@ -118,7 +118,7 @@
 // A request's own long read never refuses it; the same length of waiting does.
 func TestOwnLongReadIsNotRefused(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-	l.average = 0.001
+	l.meanPerToken = 0.001
 	if a := find(l.Handle(ms(1), arrival("q", 7, 9), nil), Send); a == nil {
 		t.Error("refused for its own read of 2 s")
 	}
@@ -135,50 +135,50 @@
 		want string
 	}{
 		"the reader that holds the session": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r2, 1900, true)
+			l.recordCached(tableKey{false, 7}, r2, 1900, true)
 		}, "r2"},
 		"not where its wait is longer than reading anew": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r2, 1900, true)
-			r2.unread = 4000
+			l.recordCached(tableKey{false, 7}, r2, 1900, true)
+			r2.unreadTokens = 4000
 		}, "r1"},
 		"not a reader whose reads lately waited unseen": {func(l *Router, r1, r2 *server) {
 			l.learnRead(&request{Request: Request{PromptTokens: 2000}}, r1, time.Second, 0)
-			r2.perToken, r2.rateAt = r1.perToken, now
+			r2.perToken, r2.perTokenAt = r1.perToken, now
 		}, "r2"},
 		"not one that errs again and again": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r1, 1900, true)
+			l.recordCached(tableKey{false, 7}, r1, 1900, true)
 			for range 3 {
-				l.judge(&request{}, r1, reading, &Event{Outcome: ServerError})
+				l.recordOutcome(&request{}, r1, reading, &Event{Outcome: ServerError})
 			}
 		}, "r2"},
 		"not one that just said full": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r1, 1900, true)
-			l.judge(&request{class: l.classes["c"]}, r1, reading, &Event{Outcome: Full})
+			l.recordCached(tableKey{false, 7}, r1, 1900, true)
+			l.recordOutcome(&request{class: l.classes["c"]}, r1, reading, &Event{Outcome: Full})
 		}, "r2"},
 		"not one caught short of another text since": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r1, 1900, true)
-			l.record(tableKey{false, 7}, r2, 1900, true)
+			l.recordCached(tableKey{false, 7}, r1, 1900, true)
+			l.recordCached(tableKey{false, 7}, r2, 1900, true)
 			l.now += ms(1)
-			l.learnRead(&request{Request: Request{PromptTokens: 2000}, claim: 1500, sentAt: l.now}, r1, ms(200), 0)
-			r1.extra, r1.perToken, l.average = 0, 0.0001, 0.0001
+			l.learnRead(&request{Request: Request{PromptTokens: 2000}, confirmedTokens: 1500, sentAt: l.now}, r1, ms(200), 0)
+			r1.extraWait, r1.perToken, l.meanPerToken = 0, 0.0001, 0.0001
 		}, "r2"},
 		"not one long unheard of": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r1, 1900, true)
-			l.now += keyLife + ms(1)
-			l.record(tableKey{false, 7}, r2, 1900, true)
+			l.recordCached(tableKey{false, 7}, r1, 1900, true)
+			l.now += entryTTL + ms(1)
+			l.recordCached(tableKey{false, 7}, r2, 1900, true)
 		}, "r2"},
 		"not a drained one": {func(l *Router, r1, r2 *server) {
-			l.record(tableKey{false, 7}, r1, 1900, true)
+			l.recordCached(tableKey{false, 7}, r1, 1900, true)
 			r1.listed = false
 		}, "r2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newRouter(t, settings(), entry("r1", "r", 1), entry("r2", "r", 1), entry("w1", "w", 1))
-			l.now, l.average = now, 0.0001
+			l.now, l.meanPerToken = now, 0.0001
 			c.set(l, l.servers["r1"], l.servers["r2"])
 			r := &request{Request: arrival("q", 7, 9).Request, class: l.classes["c"]}
-			if got := l.chooseReader(r); got.at == nil || got.at.ID != c.want {
-				t.Errorf("got %+v, want %s", got.at, c.want)
+			if got := l.chooseReader(r); got.server == nil || got.server.ID != c.want {
+				t.Errorf("got %+v, want %s", got.server, c.want)
 			}
 		})
 	}
@@ -187,25 +187,25 @@
 // Where all readers queue, a reader that would have to read a known beginning anew costs more than its read.
 func TestFurtherHomeCostsMoreInACrowd(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("r2", "r", 1), entry("r3", "r", 1), entry("w1", "w", 1))
-	l.now, l.average = ms(10000), 0.0001
+	l.now, l.meanPerToken = ms(10000), 0.0001
 	r := &request{Request: arrival("q", 7, 9).Request}
 	var homes []*server
 	for _, h := range l.homes(r, l.candidates(r, true), nil) {
-		homes = append(homes, h.at)
+		homes = append(homes, h.server)
 	}
 	for _, s := range l.order {
-		s.unread = 3000
+		s.unreadTokens = 3000
 	}
 	for _, s := range homes {
-		s.unread = 5500
+		s.unreadTokens = 5500
 	}
-	if got := l.chooseReader(r).at; !slices.Contains(homes, got) {
+	if got := l.chooseReader(r).server; !slices.Contains(homes, got) {
 		t.Errorf("got %s, want one of the homes", got.ID)
 	}
 	for _, s := range l.order {
-		s.unread = max(s.unread-3000, 0)
+		s.unreadTokens = max(s.unreadTokens-3000, 0)
 	}
-	if got := l.chooseReader(r).at; slices.Contains(homes, got) {
+	if got := l.chooseReader(r).server; slices.Contains(homes, got) {
 		t.Errorf("got the home %s though another is idle", got.ID)
 	}
 }
@@ -217,8 +217,8 @@
 		a := newRouter(t, settings(), entry("r1", "r", 1), entry("r2", "r", 1), entry("r3", "r", 1))
 		b := newRouter(t, settings(), entry("r3", "r", 1), entry("r1", "r", 1), entry("r2", "r", 1))
 		r := &request{Request: arrival("q", 7*key, key).Request}
-		a.average, b.average = 0.0001, 0.0001
-		x, y := a.chooseReader(r).at.ID, b.chooseReader(r).at.ID
+		a.meanPerToken, b.meanPerToken = 0.0001, 0.0001
+		x, y := a.chooseReader(r).server.ID, b.chooseReader(r).server.ID
 		if x != y {
 			t.Fatalf("key %d starts at %s and %s", key, x, y)
 		}
@@ -233,11 +233,11 @@
 	set := settings()
 	set.Tenants = []Tenant{{"big", 2}, {"small", 100}}
 	l := newRouter(t, set, entry("r1", "r", 1), entry("w1", "w", 1))
-	l.average = 0.0001
+	l.meanPerToken = 0.0001
 	refused := map[string]int{}
 	for i := range 12 {
 		for _, tenant := range []string{"big", "small"} {
-			l.servers["r1"].unread = 3500
+			l.servers["r1"].unreadTokens = 3500
 			ev := arrival(tenant+string(rune('a'+i)), uint64(100+i), 9)
 			ev.Request.Tenant = tenant
 			if find(l.Handle(ms(1+i), ev, nil), Refuse) != nil {
@@ -253,8 +253,8 @@
 // Failures seen at every writer must not shut the fleet out for good: later requests are let in to try them again.
 func TestAllWritersFailedAreTriedAgain(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-	l.average = 0.0001
-	l.failed(l.servers["w1"])
+	l.meanPerToken = 0.0001
+	l.recordFailure(l.servers["w1"])
 	for i, at := range []int{1, 30000} {
 		if a := find(l.Handle(ms(at), arrival(string(rune('a'+i)), 7, 9), nil), Send); a == nil {
 			t.Errorf("at %d ms: refused, so the writer is never tried again", at)
@@ -265,8 +265,8 @@
 // A client's further try has only what is left of its aim (ib6e6d7): the same queue refuses it that let the first in.
 func TestFurtherTriesHaveLessOfTheAim(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-	l.average = 0.0001
-	l.servers["r1"].unread = 4000
+	l.meanPerToken = 0.0001
+	l.servers["r1"].unreadTokens = 4000
 	if a := find(l.Handle(ms(1), arrival("q", 7, 9), nil), Send); a == nil {
 		t.Fatal("the first try should be sent")
 	}
@@ -285,10 +285,10 @@
 	r1 := l.servers["r1"]
 	for want, n := range []int{0, 0, 0, 1} {
 		if want > 0 {
-			l.judge(&request{}, r1, reading, &Event{Outcome: ConnectionLost})
+			l.recordOutcome(&request{}, r1, reading, &Event{Outcome: ConnectionLost})
 		}
-		if (r1.fails > 0) != (n > 0) {
-			t.Errorf("after %d losses: %d failures", want, r1.fails)
+		if (r1.failures > 0) != (n > 0) {
+			t.Errorf("after %d losses: %d failures", want, r1.failures)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 	for _, usual := range []float64{0.05, 0.6, 0} { // 0: a router that has just started, and no read has ended yet
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 		if usual > 0 {
-			l.average, l.usualRead = 0.0001, usual
+			l.meanPerToken, l.meanReadTime = 0.0001, usual
 		}
 		l.Handle(ms(1), arrival("q", 7, 9), nil)
 		cancel := find(l.Handle(ms(900), &Event{Kind: TimerFired, Tag: tagTick}, nil), Cancel)
@@ -315,7 +315,7 @@
 	set := settings()
 	set.Tenants = []Tenant{{"a", 50}, {"b", 50}}
 	l := newRouter(t, set, entry("r1", "r", 1), entry("r2", "r", 1), entry("w1", "w", 1))
-	l.average = 0.0001
+	l.meanPerToken = 0.0001
 	ask := func(id, tenant string, at int) string {
 		ev := arrival(id, 7, 9)
 		ev.Request.Tenant = tenant
@@ -350,7 +350,7 @@
 		}
 		l.Handle(0, &Event{Kind: ListComplete, Servers: []ServerEntry{entry("r1", "r", 1), entry("r2", "r", 1), entry("w1", "w", 1)}}, nil)
 		l.now = ms(1000)
-		l.failed(l.servers["r1"])
+		l.recordFailure(l.servers["r1"])
 		l.candidates(&request{}, true)
 		l.now = ms(12000)
 		if slices.Contains(l.candidates(&request{}, true).servers, l.servers["r1"]) {
@@ -366,8 +366,8 @@
 func TestMarkedRepeatHasLessOfTheAim(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-		l.average = 0.0001
-		l.servers["r1"].unread = 4000
+		l.meanPerToken = 0.0001
+		l.servers["r1"].unreadTokens = 4000
 		ev := arrival("q", 7, 9)
 		ev.Request.Retried = again
 		if refused := find(l.Handle(ms(1), ev, nil), Refuse) != nil; refused != again {
@@ -384,7 +384,7 @@
 		ev.Request.OutputHint = hint
 		l.Handle(ms(1), ev, nil)
 		l.Handle(ms(50), &Event{Kind: Ended, RequestID: "q", Server: "r1", Outcome: ReadDone, Took: ms(49)}, nil)
-		if got := l.servers["w1"].held; got != want {
+		if got := l.servers["w1"].heldTokens; got != want {
 			t.Errorf("hint %v: the writer holds %v tokens, want %v", hint, got, want)
 		}
 	}
@@ -412,10 +412,10 @@
 // A server that stands still for half a second among short reads is neither cancelled nor shut out.
 func TestStallIsNotSilence(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-	l.average, l.usualRead = 0.00005, 0.16
+	l.meanPerToken, l.meanReadTime = 0.00005, 0.16
 	l.Handle(ms(1), arrival("q", 7, 9), nil)
-	if a := find(l.Handle(ms(600), &Event{Kind: TimerFired, Tag: tagTick}, nil), Cancel); a != nil || l.servers["r1"].fails > 0 {
-		t.Errorf("after 0.6 s: cancel %v, %d failures", a, l.servers["r1"].fails)
+	if a := find(l.Handle(ms(600), &Event{Kind: TimerFired, Tag: tagTick}, nil), Cancel); a != nil || l.servers["r1"].failures > 0 {
+		t.Errorf("after 0.6 s: cancel %v, %d failures", a, l.servers["r1"].failures)
 	}
 }
 
@@ -436,7 +436,7 @@
 		t.Fatalf("after a lost connection: %+v, want a writer", a)
 	}
 	l.Handle(ms(90), &Event{Kind: Ended, RequestID: "q", Server: a.Server, Attempt: 4, Outcome: Full, NoState: true, Took: ms(1)}, nil)
-	if l.servers["r1"].fails != 0 {
+	if l.servers["r1"].failures != 0 {
 		t.Error("the reader counts as failed, though an earlier attempt may have taken the state")
 	}
 }
@@ -486,11 +486,11 @@
 		l.Handle(at+ms(60), &Event{Kind: Ended, RequestID: id, Server: w, Attempt: 1, Outcome: Delivered, RequestEnded: true}, nil)
 		l.Handle(at+ms(80), &Event{Kind: TimerFired, Tag: tagTick}, nil)
 	}
-	known := int(2 * keyLife / time.Second) // two servers a second, with as much again for the sweep
+	known := int(2 * entryTTL / time.Second) // two servers a second, with as much again for the sweep
 	if len(l.servers) > 2*known || len(l.order) != len(l.servers) {
 		t.Errorf("%d servers are known, %d in order", len(l.servers), len(l.order))
 	}
-	for name, n := range map[string]int{"table": len(l.table), "popular": len(l.popular), "tries": len(l.firstSeen),
+	for name, n := range map[string]int{"table": len(l.prefixTable), "popular": len(l.keyArrivals), "tries": len(l.firstSeen),
 		"requests": len(l.requests), "bySeq": len(l.bySeq), "open": len(l.open)} {
 		if n > 2*known {
 			t.Errorf("%s: %d entries", name, n)
@@ -506,10 +506,10 @@
 		set := settings()
 		set.CrossZonePrice = price
 		l := newRouter(t, set, entry("r1", "r", 1), far("r2"), entry("w1", "w", 1))
-		l.average, l.extraAt = 50e-6, 0
+		l.meanPerToken, l.extraWaitAt = 50e-6, 0
 		for i := range 200 {
 			r := &request{Request: arrival("q", uint64(i+1), uint64(i+1)).Request}
-			if l.chooseReader(r).at.ID == "r1" {
+			if l.chooseReader(r).server.ID == "r1" {
 				own++
 			}
 		}
@@ -524,7 +524,7 @@
 func TestRestOfAStreamIsNotRefusedEarly(t *testing.T) {
 	for _, resumed := range []bool{false, true} {
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-		l.average = 1e-3 // seconds a token: a queue of two requests is too long already
+		l.meanPerToken = 1e-3 // seconds a token: a queue of two requests is too long already
 		l.Handle(ms(1), arrival("first", 1, 1), nil)
 		l.Handle(ms(2), arrival("second", 2, 2), nil)
 		ev := arrival("third", 3, 3)
@@ -545,11 +545,11 @@
 			l.Handle(ms(10), arrival("later", 2, 0), nil)
 			l.Handle(ms(50), &Event{Kind: Ended, RequestID: "later", Server: "r1", Outcome: ReadDone, Took: ms(40)}, nil)
 		} else { // it has answered what came before
-			l.servers["r1"].heard = ms(50)
+			l.servers["r1"].lastResponse = ms(50)
 		}
 		a := find(l.Handle(ms(900), &Event{Kind: TimerFired, Tag: tagTick}, nil), Cancel)
-		if (a != nil && a.RequestID == "stuck") != passed || l.servers["r1"].fails > 0 {
-			t.Errorf("passed %v: %+v, %d failures", passed, a, l.servers["r1"].fails)
+		if (a != nil && a.RequestID == "stuck") != passed || l.servers["r1"].failures > 0 {
+			t.Errorf("passed %v: %+v, %d failures", passed, a, l.servers["r1"].failures)
 		}
 	}
 }
@@ -558,7 +558,7 @@
 // class, and a faulty setting changes nothing.
 func TestRetune(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
-	l.average = 0.0001
+	l.meanPerToken = 0.0001
 	l.Handle(ms(1), arrival("old", 1, 0), nil)
 	class := l.requests["old"].class
 	bad, set := settings(), settings()
@@ -576,10 +576,10 @@
 	}
 	ev := arrival("new", 2, 0)
 	ev.Request.Class = "new"
-	if l.Handle(ms(2), ev, nil); l.requests["new"].class.Repeat != Unsafe || l.average == 0 || l.requests["old"].class != class {
-		t.Errorf("%+v, rate %v", l.requests["new"].class, l.average)
+	if l.Handle(ms(2), ev, nil); l.requests["new"].class.Repeat != Unsafe || l.meanPerToken == 0 || l.requests["old"].class != class {
+		t.Errorf("%+v, rate %v", l.requests["new"].class, l.meanPerToken)
 	}
-	if l.servers["r1"].role != Reader || len(l.servers["r1"].waiting) != 2 {
-		t.Errorf("role %v, %d reads out", l.servers["r1"].role, len(l.servers["r1"].waiting))
+	if l.servers["r1"].role != Reader || len(l.servers["r1"].pending) != 2 {
+		t.Errorf("role %v, %d reads out", l.servers["r1"].role, len(l.servers["r1"].pending))
 	}
 }
--- a/logic/numeric.go
+++ b/logic/numeric.go
@@ -8,22 +8,22 @@
 // Decaying sums and hashes.
 
 // decayed is a sum that fades with time.
-type decayed struct {
-	v  float64
-	at time.Duration
+type decayingSum struct {
+	value float64
+	at    time.Duration
 }
 
-func (d *decayed) add(now time.Duration, x float64, life time.Duration) float64 {
-	if d.v != 0 {
-		d.v *= math.Exp(-float64(now-d.at) / float64(life))
+func (d *decayingSum) add(now time.Duration, x float64, life time.Duration) float64 {
+	if d.value != 0 {
+		d.value *= math.Exp(-float64(now-d.at) / float64(life))
 	}
 	d.at = now
-	d.v += x
-	return d.v
+	d.value += x
+	return d.value
 }
 
 // fade is what is left of something after a time, by its life.
-func fade(age, life time.Duration) float64 { return math.Exp(-float64(age) / float64(life)) }
+func decay(age, life time.Duration) float64 { return math.Exp(-float64(age) / float64(life)) }
 
 // mix spreads a key over all 64 bits.
 func mix(h uint64) uint64 {
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -6,10 +6,10 @@
 // the next best one. A probe waits in the server's queue, so a server that answers late is busy; the request goes to the reader that is not.
 
 const (
-	probeGraceShare = 0.01 // of the aim: so much longer the first choice may take than the second, as it may have kept more of the prompt
-	probeLimitShare = 0.1  // of the aim: a reader that has not answered by then has a queue
-	probeCostMost   = 0.02 // share of a request's worth that its probes may cost
-	probesEach      = 2
+	probeGraceShare  = 0.01 // of the aim: so much longer the first choice may take than the second, as it may have kept more of the prompt
+	probeLimitShare  = 0.1  // of the aim: a reader that has not answered by then has a queue
+	maxProbeCost     = 0.02 // share of a request's worth that its probes may cost
+	probesPerRequest = 2
 )
 
 // probeTag marks the timers of requests that wait for probes; the rest of the tag is the request's number.
@@ -23,48 +23,48 @@
 }
 
 // probes tells whether readers are probed before a read.
-func (l *Router) probes() bool {
-	return l.set.CanProbe && l.seesLittle() && probesEach*l.set.ProbePrice <= probeCostMost
+func (l *Router) probesEnabled() bool {
+	return l.set.CanProbe && l.hasPartialView() && probesPerRequest*l.set.ProbePrice <= maxProbeCost
 }
 
 // probe asks the reader of the first choice and the next best one, and tells whether it has. Servers in slow start are asked nothing: what
 // they are sent counts against their budget.
-func (l *Router) probe(r *request, first readChoice) bool {
-	if !l.probes() || r.Resumed || first.at == nil || l.cold(first.at) {
+func (l *Router) startProbes(r *request, first readChoice) bool {
+	if !l.probesEnabled() || r.Resumed || first.server == nil || l.cold(first.server) {
 		return false
 	}
-	r.avoid = append(r.avoid, first.at)
+	r.avoid = append(r.avoid, first.server)
 	second := l.chooseReader(r)
 	r.avoid = r.avoid[:len(r.avoid)-1]
-	if second.at == nil || second.at == first.at || l.cold(second.at) {
+	if second.server == nil || second.server == first.server || l.cold(second.server) {
 		return false
 	}
 	r.phase = probing
-	r.probed = [probesEach]probe{{choice: first}, {choice: second}}
-	for _, p := range r.probed {
-		l.out = append(l.out, Action{Kind: Probe, Server: p.choice.at.ID})
+	r.probes = [probesPerRequest]probe{{choice: first}, {choice: second}}
+	for _, p := range r.probes {
+		l.out = append(l.out, Action{Kind: Probe, Server: p.choice.server.ID})
 	}
-	l.wakeProbing(r, probeLimitShare)
+	l.setProbeTimer(r, probeLimitShare)
 	return true
 }
 
 // wakeProbing has a request that waits for probes looked at again after a share of its aim.
-func (l *Router) wakeProbing(r *request, share float64) {
+func (l *Router) setProbeTimer(r *request, share float64) {
 	after := time.Duration(share * l.aimOf(r) * float64(time.Second))
 	l.out = append(l.out, Action{Kind: Wake, After: after, Tag: probeTag | r.seq})
 }
 
 // probeAnswered takes the answer to a probe. It names no request: all that wait for the server take it.
-func (l *Router) probeAnswered(ev *Event) {
+func (l *Router) handleProbed(ev *Event) {
 	for _, r := range l.open {
 		if r.phase != probing || r.ended {
 			continue
 		}
-		for i := range r.probed {
-			if p := &r.probed[i]; p.choice.at.ID == ev.Server && !p.answered && !p.failed {
+		for i := range r.probes {
+			if p := &r.probes[i]; p.choice.server.ID == ev.Server && !p.answered && !p.failed {
 				p.answered = ev.Outcome == Delivered
 				p.failed = !p.answered
-				l.weighProbes(r)
+				l.checkProbes(r)
 				break
 			}
 		}
@@ -72,15 +72,15 @@
 }
 
 // weighProbes goes on with a request as far as the answers to its probes tell where to.
-func (l *Router) weighProbes(r *request) {
-	first, second := &r.probed[0], &r.probed[1]
+func (l *Router) checkProbes(r *request) {
+	first, second := &r.probes[0], &r.probes[1]
 	switch {
 	case first.answered:
-		l.startProbed(r, first.choice)
+		l.startAfterProbes(r, first.choice)
 	case second.answered && first.failed:
-		l.startProbed(r, second.choice)
+		l.startAfterProbes(r, second.choice)
 	case second.answered:
-		l.wakeProbing(r, probeGraceShare)
+		l.setProbeTimer(r, probeGraceShare)
 	}
 }
 
@@ -89,18 +89,18 @@
 	if r.phase != probing || r.ended {
 		return
 	}
-	choice := r.probed[0].choice
-	if r.probed[1].answered {
-		choice = r.probed[1].choice
+	choice := r.probes[0].choice
+	if r.probes[1].answered {
+		choice = r.probes[1].choice
 	}
-	l.startProbed(r, choice)
+	l.startAfterProbes(r, choice)
 }
 
 // startProbed begins the read at the reader that the probes speak for, if it may still be sent to.
-func (l *Router) startProbed(r *request, c readChoice) {
+func (l *Router) startAfterProbes(r *request, c readChoice) {
 	r.phase = parked
-	if !c.at.listed || l.now < c.at.backAt {
+	if !c.server.listed || l.now < c.server.ejectedUntil {
 		c = l.chooseReader(r)
 	}
-	l.start(r, c)
+	l.startRead(r, c)
 }
--- a/logic/release.go
+++ b/logic/release.go
@@ -14,30 +14,30 @@
 
 func (l *Router) unpark(r *request) {
 	if l.now >= r.parkUntil {
-		l.giveUp(r, fullPause)
+		l.giveUp(r, minFullBackoff)
 		return
 	}
-	l.again(r)
+	l.sendNext(r)
 }
 
 // giveUp ends a request unserved: refused where that is no lie, else failed.
-func (l *Router) giveUp(r *request, pause time.Duration) {
-	out := r.at != nil // and proves nothing yet, not even at a reader
+func (l *Router) giveUp(r *request, retryAfter time.Duration) {
+	sent := r.server != nil // and proves nothing yet, not even at a reader
 	l.cancel(r)
 	kind := Refuse
-	if r.class.Repeat != Safe && (out || r.ranAt != nil || r.Resumed) &&
+	if r.class.Repeat != Safe && (sent || r.mayHaveRunAt != nil || r.Resumed) &&
 		!(r.class.Repeat == Keyed && r.class.Scope == AllServers) {
 		kind = Fail
 	}
-	l.finish(r, kind, pause)
+	l.finish(r, kind, retryAfter)
 }
 
-func (l *Router) finish(r *request, kind ActionKind, pause time.Duration) {
-	l.out = append(l.out, Action{Kind: kind, RequestID: r.id, After: min(pause, l.set.MaxRetryAfter)})
+func (l *Router) finish(r *request, kind ActionKind, retryAfter time.Duration) {
+	l.out = append(l.out, Action{Kind: kind, RequestID: r.id, After: min(retryAfter, l.set.MaxRetryAfter)})
 	l.end(r)
 }
 
-func (l *Router) departed(id string) {
+func (l *Router) handleDeparted(id string) {
 	r := l.requests[id]
 	if r == nil || r.ended {
 		return
@@ -49,12 +49,12 @@
 // end closes a request. What an attempt still holds is let go when its outcome comes.
 func (l *Router) end(r *request) {
 	r.ended = true
-	if r.at == nil {
-		l.drop(r, r.attempts > 0)
+	if r.server == nil {
+		l.remove(r, r.attempts > 0)
 	}
 }
 
-func (l *Router) drop(r *request, release bool) {
+func (l *Router) remove(r *request, release bool) {
 	if release {
 		l.out = append(l.out, Action{Kind: Release, RequestID: r.id})
 	}
--- a/logic/request.go
+++ b/logic/request.go
@@ -8,7 +8,7 @@
 // Requests and the lifecycle of their attempts.
 
 const (
-	outputGuess = 0.3 // answers are about this share of their ceiling
+	defaultOutputShare = 0.3 // answers are about this share of their ceiling
 )
 
 type phase uint8
@@ -23,48 +23,48 @@
 
 type request struct {
 	Request
-	id        string
-	seq       uint64
-	class     *classState
-	phase     phase
-	ended     bool          // answered or departed; kept only for the outcome that is still owed
-	first     time.Duration // when its client first tried
-	deadline  time.Duration
-	parkUntil time.Duration
-	attempts  int
-	at        *server // where the attempt is out
-	sentAt    time.Duration
-	expected  float64 // seconds that the attempt should take, as foreseen
-	cancelled bool
-	state     *server // the reader where the read state waits
-	claim     int64   // tokens the table said were kept
-	ahead     float64 // unread tokens found at the reader when sent
-	unread    int64   // tokens counted into the reader's unread
-	held      float64 // tokens counted into the writer's memory
-	ranAt     *server // an attempt that may have run, or may be out yet
-	ranSince  time.Duration
-	avoid     []*server
-	probed    [probesEach]probe // while probing: the choices, the best first
+	id              string
+	seq             uint64
+	class           *classState
+	phase           phase
+	ended           bool          // answered or departed; kept only for the outcome that is still owed
+	firstTried      time.Duration // when its client first tried
+	deadline        time.Duration
+	parkUntil       time.Duration
+	attempts        int
+	server          *server // where the attempt is out
+	sentAt          time.Duration
+	expected        float64 // seconds that the attempt should take, as foreseen
+	cancelled       bool
+	stateReader     *server // the reader where the read state waits
+	confirmedTokens int64   // tokens the table said were kept
+	queuedAhead     float64 // unread tokens found at the reader when sent
+	unreadTokens    int64   // tokens counted into the reader's unread
+	heldTokens      float64 // tokens counted into the writer's memory
+	mayHaveRunAt    *server // an attempt that may have run, or may be out yet
+	mayHaveRunSince time.Duration
+	avoid           []*server
+	probes          [probesPerRequest]probe // while probing: the choices, the best first
 }
 
 // start sends a request to its reader. Where no reader can be had, one that reads in place takes it whole.
-func (l *Router) start(r *request, c readChoice) {
-	if c.at == nil {
+func (l *Router) startRead(r *request, c readChoice) {
+	if c.server == nil {
 		if s := l.chooseWriter(r); s != nil && (s.role == Mixed || l.set.ReadInPlace) {
-			l.sendWhole(r, s)
+			l.sendInPlace(r, s)
 			return
 		}
 		l.park(r)
 		return
 	}
-	r.claim, r.ahead = c.match.claim, c.ahead
-	r.unread = max(r.PromptTokens-c.match.tokens, 1)
-	c.at.unread += r.unread
-	if _, prefix := keysOf(r); c.rehome || c.match.presumed {
-		l.record(prefix, c.at, r.PrefixTokens, false)
+	r.confirmedTokens, r.queuedAhead = c.match.confirmed, c.queuedTokens
+	r.unreadTokens = max(r.PromptTokens-c.match.tokens, 1)
+	c.server.unreadTokens += r.unreadTokens
+	if _, prefix := keysOf(r); c.newHome || c.match.byHash {
+		l.recordCached(prefix, c.server, r.PrefixTokens, false)
 	}
-	c.at.sentTok += float64(r.unread)
-	l.send(r, c.at, reading, c.wait+c.read)
+	c.server.tokensSinceReport += float64(r.unreadTokens)
+	l.send(r, c.server, reading, c.wait+c.readTime)
 }
 
 // send makes an attempt. While a further one is possible it gets half of the time that is left.
@@ -75,106 +75,106 @@
 		half.Seconds() > l.overdueAfter(expected, false) {
 		until = l.now + half
 	}
-	r.at, r.sentAt, r.phase, r.expected, r.cancelled = s, l.now, p, expected, false
+	r.server, r.sentAt, r.phase, r.expected, r.cancelled = s, l.now, p, expected, false
 	r.attempts++
-	s.waiting = append(s.waiting, r)
+	s.pending = append(s.pending, r)
 	s.coldCredit--
 	if p == writing {
-		answer := outputGuess * float64(r.MaxOutput)
+		answer := defaultOutputShare * float64(r.MaxOutput)
 		if hint := r.OutputHint.Seconds() / r.class.TokenAim.Seconds(); hint > 0 {
 			answer = min(hint, float64(r.MaxOutput))
 		}
-		r.held = float64(r.PromptTokens) + answer
-		s.held, l.held = s.held+r.held, l.held+r.held
-		s.writes++
-		s.sentTok += r.held
+		r.heldTokens = float64(r.PromptTokens) + answer
+		s.heldTokens, l.heldTokens = s.heldTokens+r.heldTokens, l.heldTokens+r.heldTokens
+		s.openWrites++
+		s.tokensSinceReport += r.heldTokens
 	}
 	l.out = append(l.out, Action{Kind: Send, RequestID: r.id, Server: s.ID, Until: until})
 }
 
-func (l *Router) sendWhole(r *request, s *server) {
-	r.unread = r.PromptTokens
-	s.unread += r.unread
-	l.send(r, s, writing, float64(s.unread)*inPlaceSlower*l.average+l.startWait(s))
+func (l *Router) sendInPlace(r *request, s *server) {
+	r.unreadTokens = r.PromptTokens
+	s.unreadTokens += r.unreadTokens
+	l.send(r, s, writing, float64(s.unreadTokens)*inPlaceSlowdown*l.meanPerToken+l.firstTokenWait(s))
 }
 
 // unbook takes the attempt that is out off its server's counts.
-func (l *Router) unbook(r *request) {
-	s := r.at
-	s.waiting = without(s.waiting, r)
-	s.unread -= r.unread
-	s.held, l.held = s.held-r.held, l.held-r.held
-	if r.held > 0 {
-		s.writes--
+func (l *Router) removeAttempt(r *request) {
+	s := r.server
+	s.pending = without(s.pending, r)
+	s.unreadTokens -= r.unreadTokens
+	s.heldTokens, l.heldTokens = s.heldTokens-r.heldTokens, l.heldTokens-r.heldTokens
+	if r.heldTokens > 0 {
+		s.openWrites--
 	}
-	r.at, r.unread, r.held = nil, 0, 0
+	r.server, r.unreadTokens, r.heldTokens = nil, 0, 0
 }
 
 func without(all []*request, r *request) []*request {
 	return slices.DeleteFunc(all, func(x *request) bool { return x == r })
 }
 
-func (l *Router) started(ev *Event) {
+func (l *Router) handleStreamStarted(ev *Event) {
 	r := l.requests[ev.RequestID]
-	if r == nil || r.at == nil || r.phase == streaming {
+	if r == nil || r.server == nil || r.phase == streaming {
 		return
 	}
-	s, took := r.at, ev.Took.Seconds()
-	s.waiting = without(s.waiting, r)
-	l.accepted(r, s)
-	l.usualStart += usualShare * (took - l.usualStart)
-	if s.startAt > 0 {
-		took = s.start + 0.3*(took-s.start)
+	s, took := r.server, ev.Took.Seconds()
+	s.pending = without(s.pending, r)
+	l.recordSuccess(r, s)
+	l.meanFirstToken += meanGain * (took - l.meanFirstToken)
+	if s.firstTokenAt > 0 {
+		took = s.firstToken + 0.3*(took-s.firstToken)
 	}
-	s.start, s.startAt = took, l.now
-	s.unread -= r.unread
-	r.phase, r.state, r.sentAt, r.unread = streaming, nil, l.now, 0
+	s.firstToken, s.firstTokenAt = took, l.now
+	s.unreadTokens -= r.unreadTokens
+	r.phase, r.stateReader, r.sentAt, r.unreadTokens = streaming, nil, l.now, 0
 }
 
-func (l *Router) attemptEnded(ev *Event) {
+func (l *Router) handleEnded(ev *Event) {
 	r := l.requests[ev.RequestID]
-	if r == nil || r.at == nil {
+	if r == nil || r.server == nil {
 		return
 	}
-	s, was := r.at, r.phase
-	l.unbook(r)
+	s, phase := r.server, r.phase
+	l.removeAttempt(r)
 	if ev.Report != nil {
-		s.report, s.reportAt, s.sentTok = *ev.Report, l.now, 0
+		s.report, s.reportAt, s.tokensSinceReport = *ev.Report, l.now, 0
 	}
-	l.judge(r, s, was, ev)
-	gaveUp := ev.Outcome == TimedOut || ev.Outcome == Cancelled
-	if r.ranAt == nil && (was == writing && (gaveUp || ev.Outcome == ServerError || ev.Outcome == ConnectionLost) ||
-		gaveUp && !l.set.CancelStopsWork && r.class.Repeat != Safe) { // its read may go on
-		r.ranAt, r.ranSince = s, r.sentAt
+	l.recordOutcome(r, s, phase, ev)
+	abandoned := ev.Outcome == TimedOut || ev.Outcome == Cancelled
+	if r.mayHaveRunAt == nil && (phase == writing && (abandoned || ev.Outcome == ServerError || ev.Outcome == ConnectionLost) ||
+		abandoned && !l.set.CancelStopsWork && r.class.Repeat != Safe) { // its read may go on
+		r.mayHaveRunAt, r.mayHaveRunSince = s, r.sentAt
 	}
 	r.phase = parked
 	if r.ended || ev.RequestEnded {
-		l.drop(r, !(was == streaming))
+		l.remove(r, !(phase == streaming))
 		return
 	}
 	switch {
 	case ev.Outcome == ReadDone:
-		r.state, r.avoid = s, r.avoid[:0]
-		l.again(r)
-	case r.ranAt != nil && r.class.Repeat == Unsafe:
+		r.stateReader, r.avoid = s, r.avoid[:0]
+		l.sendNext(r)
+	case r.mayHaveRunAt != nil && r.class.Repeat == Unsafe:
 		l.giveUp(r, 0)
 	default:
 		r.avoid = append(r.avoid, s)
-		if ev.NoState || was == reading {
-			r.state = nil
+		if ev.NoState || phase == reading {
+			r.stateReader = nil
 		}
-		l.again(r)
+		l.sendNext(r)
 	}
 }
 
 // again goes on with a request that has no attempt out, or keeps it while no server can be had.
-func (l *Router) again(r *request) {
+func (l *Router) sendNext(r *request) {
 	if r.attempts >= l.set.MaxAttempts || l.now >= r.deadline {
 		l.giveUp(r, 0)
-	} else if r.state == nil {
-		l.start(r, l.chooseReader(r))
+	} else if r.stateReader == nil {
+		l.startRead(r, l.chooseReader(r))
 	} else if s := l.chooseWriter(r); s != nil {
-		l.send(r, s, writing, l.startWait(s))
+		l.send(r, s, writing, l.firstTokenWait(s))
 	} else {
 		l.park(r)
 	}
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -3,26 +3,26 @@
 // Retries: their budget, time-outs by choice, and the rule on repeats.
 
 const (
-	retryShare    = 0.2  // further attempts by choice, as a share of arrivals ...
-	retryBurst    = 10.0 // ... and what may be saved up
-	overdueFactor = 4.0  // an attempt is overdue after this multiple of the expected
-	deviations    = 4.0  // of the time that reads took lately, added to the usual time: as for the retransmission timer of RFC 6298
-	overdueAim    = 0.25 // and never before this share of the shortest aim
+	retryShare      = 0.2  // further attempts by choice, as a share of arrivals ...
+	retryBurst      = 10.0 // ... and what may be saved up
+	overdueFactor   = 4.0  // an attempt is overdue after this multiple of the expected
+	deviationFactor = 4.0  // of the time that reads took lately, added to the usual time: as for the retransmission timer of RFC 6298
+	overdueAimShare = 0.25 // and never before this share of the shortest aim
 )
 
 // allowed tells whether a send to s keeps the request's effect single.
-func (l *Router) allowed(r *request, s *server) bool {
-	if r.ranAt == nil || r.class.Repeat == Safe {
+func (l *Router) repeatAllowed(r *request, s *server) bool {
+	if r.mayHaveRunAt == nil || r.class.Repeat == Safe {
 		return true
 	}
-	if r.class.Repeat == Unsafe || l.now-r.ranSince >= r.class.Window {
+	if r.class.Repeat == Unsafe || l.now-r.mayHaveRunSince >= r.class.Window {
 		return false
 	}
 	switch r.class.Scope {
 	case SameZone:
-		return s.Zone == r.ranAt.Zone
+		return s.Zone == r.mayHaveRunAt.Zone
 	case SameCell:
-		return s.Cell == r.ranAt.Cell
+		return s.Cell == r.mayHaveRunAt.Cell
 	}
 	return true
 }
@@ -32,12 +32,12 @@
 // Where a server is heard of seldom, the usual time of all reads lately tells more than its own silence. A router that sees little knows
 // nothing of queues, where a read behind a long prompt takes many times as long as most. Where a read usually takes so much of the aim that
 // one begun anew elsewhere would come late too, their deviation counts. What was passed by later attempts stands behind nothing.
-func (l *Router) overdueAfter(expected float64, passed bool) float64 {
-	usual := l.usualRead
-	if l.seesLittle() && !passed && l.usualRead > l.overdue {
-		usual += deviations * l.readDeviation
+func (l *Router) overdueAfter(expected float64, overtaken bool) float64 {
+	typical := l.meanReadTime
+	if l.hasPartialView() && !overtaken && l.meanReadTime > l.minOverdue {
+		typical += deviationFactor * l.readDeviation
 	}
-	return max(l.overdue, overdueFactor*max(expected, usual))
+	return max(l.minOverdue, overdueFactor*max(expected, typical))
 }
 
 // checkOverdue gives up on an attempt that takes far longer than foreseen at a server that has said nothing
@@ -45,13 +45,13 @@
 // only the attempt's connection is silent. Retries are bounded, so a slowness of all does not become a storm.
 func (l *Router) checkOverdue(r *request) {
 	age := (l.now - r.sentAt).Seconds()
-	s := r.at
-	passed := s.passed > r.sentAt
-	if r.cancelled || age < l.overdueAfter(r.expected, passed) || s.heard >= r.sentAt && !passed {
+	s := r.server
+	overtaken := s.lastAnsweredSend > r.sentAt
+	if r.cancelled || age < l.overdueAfter(r.expected, overtaken) || s.lastResponse >= r.sentAt && !overtaken {
 		return
 	}
-	if !passed && l.now >= s.backAt {
-		l.failed(s)
+	if !overtaken && l.now >= s.ejectedUntil {
+		l.recordFailure(s)
 	}
 	if !l.set.CanCancel || l.retryBudget < 1 || r.attempts >= l.set.MaxAttempts ||
 		r.class.Repeat != Safe && (r.phase == writing || r.class.Repeat == Unsafe && !l.set.CancelStopsWork) {
@@ -62,7 +62,7 @@
 }
 
 func (l *Router) cancel(r *request) {
-	if r.at != nil && r.phase != streaming && l.set.CanCancel && !r.cancelled {
+	if r.server != nil && r.phase != streaming && l.set.CanCancel && !r.cancelled {
 		r.cancelled = true
 		l.out = append(l.out, Action{Kind: Cancel, RequestID: r.id, Attempt: r.attempts - 1})
 	}
--- a/logic/router.go
+++ b/logic/router.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	keyLife   = 30 * time.Second      // a table entry unheard of for this long is forgotten
-	tickEvery = 40 * time.Millisecond // how often waiting attempts are looked at
+	entryTTL     = 30 * time.Second      // a table entry unheard of for this long is forgotten
+	tickInterval = 40 * time.Millisecond // how often waiting attempts are looked at
 )
 
 const (
@@ -26,41 +26,41 @@
 
 // Router decides for one router process. It is not safe for concurrent use.
 type Router struct {
-	set           Settings
-	seed          uint64
-	classes       map[string]*classState
-	tenants       map[string]*tenantState
-	servers       map[string]*server
-	order         []*server // in order of first listing
-	readers       side
-	writers       side // and servers that do both
-	unindexed     bool // lists were told that readers and writers do not show
-	indexedAt     time.Duration
-	table         map[tableKey][]holding
-	requests      map[string]*request
-	bySeq         map[uint64]*request
-	open          []*request // in order of arrival
-	seq           uint64
-	now           time.Duration
-	out           []Action
-	ticking       bool
-	watching      bool
-	swept         time.Duration
-	average       float64
-	retryBudget   float64
-	popular       map[uint64]decayed // arrivals by shared beginning, or by session
-	arrivals      decayed
-	came          decayed                  // the same with the memory of rates
-	firstSeen     map[tryKey]time.Duration // when a request was first seen
-	borne         map[string]float64       // requests a second that a warm server of a kind, of weight 1, bore for this router when one was last there
-	overdue       float64                  // seconds
-	held          float64                  // tokens of all our writes, and the memory of all listed writers
-	memory        float64
-	usualRead     float64 // seconds that reads lately took
-	readDeviation float64 // of that, on average
-	usualStart    float64 // seconds from a send to a writer to the first token lately
-	extra         float64 // seconds that they waited beyond what was known here, last at extraAt
-	extraAt       time.Duration
+	set            Settings
+	seed           uint64
+	classes        map[string]*classState
+	tenants        map[string]*tenantState
+	servers        map[string]*server
+	order          []*server // in order of first listing
+	readers        pool
+	writers        pool // and servers that do both
+	indexStale     bool // lists were told that readers and writers do not show
+	indexedAt      time.Duration
+	prefixTable    map[tableKey][]cacheEntry
+	requests       map[string]*request
+	bySeq          map[uint64]*request
+	open           []*request // in order of arrival
+	seq            uint64
+	now            time.Duration
+	out            []Action
+	ticking        bool
+	watching       bool
+	lastSweep      time.Duration
+	meanPerToken   float64
+	retryBudget    float64
+	keyArrivals    map[uint64]decayingSum // arrivals by shared beginning, or by session
+	arrivals       decayingSum
+	recentArrivals decayingSum                // the same with the memory of rates
+	firstSeen      map[retryKey]time.Duration // when a request was first seen
+	warmRates      map[string]float64         // requests a second that a warm server of a kind, of weight 1, bore for this router when one was last there
+	minOverdue     float64                    // seconds
+	heldTokens     float64                    // tokens of all our writes, and the memory of all listed writers
+	writerMemory   float64
+	meanReadTime   float64 // seconds that reads lately took
+	readDeviation  float64 // of that, on average
+	meanFirstToken float64 // seconds from a send to a writer to the first token lately
+	meanExtraWait  float64 // seconds that they waited beyond what was known here, last at extraAt
+	extraWaitAt    time.Duration
 }
 
 // New makes a Router, or says which setting is wrong.
@@ -69,17 +69,17 @@
 		return nil, err
 	}
 	l := emptyRouter(seed)
-	l.tune(set)
-	l.usualRead = l.overdue / overdueAim / overdueFactor // until reads tell, none is overdue before the shortest aim
+	l.applySettings(set)
+	l.meanReadTime = l.minOverdue / overdueAimShare / overdueFactor // until reads tell, none is overdue before the shortest aim
 	return l, nil
 }
 
 func emptyRouter(seed uint64) *Router {
 	return &Router{
 		seed: seed, seq: tagRequests, retryBudget: 1,
-		servers: map[string]*server{},
-		table:   map[tableKey][]holding{}, requests: map[string]*request{}, bySeq: map[uint64]*request{},
-		firstSeen: map[tryKey]time.Duration{}, popular: map[uint64]decayed{}, borne: map[string]float64{},
+		servers:     map[string]*server{},
+		prefixTable: map[tableKey][]cacheEntry{}, requests: map[string]*request{}, bySeq: map[uint64]*request{},
+		firstSeen: map[retryKey]time.Duration{}, keyArrivals: map[uint64]decayingSum{}, warmRates: map[string]float64{},
 	}
 }
 
@@ -92,31 +92,31 @@
 	}
 	switch ev.Kind {
 	case ListChanged, ListComplete:
-		l.learnList(ev)
+		l.applyList(ev)
 	case ListFailed:
 		if l.set.ListOnRequest {
-			l.out = append(l.out, Action{Kind: Wake, After: backoffFirst, Tag: tagWatch})
+			l.out = append(l.out, Action{Kind: Wake, After: minBackoff, Tag: tagWatch})
 		}
 	case Arrived:
-		l.arrive(ev)
+		l.handleArrived(ev)
 	case StreamStarted:
-		l.started(ev)
+		l.handleStreamStarted(ev)
 	case Ended:
-		l.attemptEnded(ev)
+		l.handleEnded(ev)
 	case Departed:
-		l.departed(ev.RequestID)
+		l.handleDeparted(ev.RequestID)
 	case Probed:
-		l.probeAnswered(ev)
+		l.handleProbed(ev)
 	case StateReleased:
 		if r := l.requests[ev.RequestID]; r != nil {
-			r.state = nil
+			r.stateReader = nil
 		}
 	case TimerFired:
 		l.timer(ev.Tag)
 	}
 	if !l.ticking && len(l.requests) > 0 {
 		l.ticking = true
-		l.out = append(l.out, Action{Kind: Wake, After: tickEvery, Tag: tagTick})
+		l.out = append(l.out, Action{Kind: Wake, After: tickInterval, Tag: tagTick})
 	}
 	out, l.out = l.out, nil
 	return out
@@ -140,8 +140,8 @@
 
 // tick looks for attempts that are overdue and for parked requests whose time has come.
 func (l *Router) tick() {
-	gone := func(r *request) bool { return l.requests[r.id] != r || r.phase == streaming }
-	l.open = slices.DeleteFunc(l.open, gone)
+	closed := func(r *request) bool { return l.requests[r.id] != r || r.phase == streaming }
+	l.open = slices.DeleteFunc(l.open, closed)
 	for i := 0; i < len(l.open); i++ {
 		switch r := l.open[i]; {
 		case r.ended:
@@ -152,20 +152,20 @@
 			l.checkOverdue(r)
 		}
 	}
-	if l.now-l.swept > keyLife/4 {
-		l.swept = l.now
-		maps.DeleteFunc(l.popular, func(_ uint64, d decayed) bool { return l.now-d.at > keyLife })
-		maps.DeleteFunc(l.firstSeen, func(_ tryKey, at time.Duration) bool { return l.now-at > keyLife })
+	if l.now-l.lastSweep > entryTTL/4 {
+		l.lastSweep = l.now
+		maps.DeleteFunc(l.keyArrivals, func(_ uint64, d decayingSum) bool { return l.now-d.at > entryTTL })
+		maps.DeleteFunc(l.firstSeen, func(_ retryKey, at time.Duration) bool { return l.now-at > entryTTL })
 		l.order = slices.DeleteFunc(l.order, func(s *server) bool {
-			old := !s.listed && len(s.waiting) == 0 && s.writes == 0 && l.now-s.offAt > keyLife
-			if old { // replaced by others, with other ids
+			expired := !s.listed && len(s.pending) == 0 && s.openWrites == 0 && l.now-s.unlistedAt > entryTTL
+			if expired { // replaced by others, with other ids
 				delete(l.servers, s.ID)
 			}
-			return old
+			return expired
 		})
-		for k, hs := range l.table { // only drops, so the order does not matter
-			if l.table[k] = slices.DeleteFunc(hs, func(h holding) bool { return !l.live(h) }); len(l.table[k]) == 0 {
-				delete(l.table, k)
+		for k, hs := range l.prefixTable { // only drops, so the order does not matter
+			if l.prefixTable[k] = slices.DeleteFunc(hs, func(h cacheEntry) bool { return !l.live(h) }); len(l.prefixTable[k]) == 0 {
+				delete(l.prefixTable, k)
 			}
 		}
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -369,8 +369,8 @@
 		t.Errorf("%d requests are kept after all have ended", len(w.l.requests))
 	}
 	for _, s := range w.l.order {
-		if s.unread != 0 || len(s.waiting) != 0 {
-			t.Errorf("%s is left with %d unread tokens, %d waiting", s.ID, s.unread, len(s.waiting))
+		if s.unreadTokens != 0 || len(s.pending) != 0 {
+			t.Errorf("%s is left with %d unread tokens, %d waiting", s.ID, s.unreadTokens, len(s.pending))
 		}
 	}
 	return w.trace
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -10,7 +10,7 @@
 // Settings and their checks.
 
 const (
-	shareBurst = 2.0 // seconds of its share that a tenant may send at once
+	quotaBurst = 2.0 // seconds of its share that a tenant may send at once
 )
 
 // Role tells what a kind of server does.
@@ -118,26 +118,26 @@
 
 // check names the first setting that no Router can work with.
 func (s Settings) check() error {
-	bad := func(name string, v any) error { return fmt.Errorf("logic: setting %s: %v is not allowed", name, v) }
+	invalid := func(name string, v any) error { return fmt.Errorf("logic: setting %s: %v is not allowed", name, v) }
 	switch {
 	case s.Siblings < 1:
-		return bad("Siblings", s.Siblings)
+		return invalid("Siblings", s.Siblings)
 	case s.MaxAttempts < 1:
-		return bad("MaxAttempts", s.MaxAttempts)
+		return invalid("MaxAttempts", s.MaxAttempts)
 	case len(s.Classes) == 0:
 		return errors.New("logic: setting Classes: there is none")
 	case len(s.Kinds) == 0:
 		return errors.New("logic: setting Kinds: there is none")
 	case s.ReleaseWithin < 0:
-		return bad("ReleaseWithin", s.ReleaseWithin)
+		return invalid("ReleaseWithin", s.ReleaseWithin)
 	case s.ColdFrom < 0 || s.ColdFrom > 1:
-		return bad("ColdFrom", s.ColdFrom)
+		return invalid("ColdFrom", s.ColdFrom)
 	case s.RampTime < 0 || s.FallTime < 0 || s.FallMultiple < 0:
-		return bad("RampTime, FallTime, FallMultiple", "a negative figure")
+		return invalid("RampTime, FallTime, FallMultiple", "a negative figure")
 	}
 	for _, c := range s.Classes {
 		if c.Aim <= 0 || c.Deadline <= 0 {
-			return bad("Classes["+c.Name+"].Aim, Deadline", "a figure of 0 or less")
+			return invalid("Classes["+c.Name+"].Aim, Deadline", "a figure of 0 or less")
 		}
 	}
 	return nil
@@ -149,29 +149,29 @@
 	if err := set.check(); err != nil {
 		return err
 	}
-	l.tune(set)
+	l.applySettings(set)
 	for _, s := range l.order {
-		l.place(s)
+		l.setRole(s)
 	}
-	l.index()
-	l.weighPlaces()
+	l.rebuildIndex()
+	l.updateHomeWeights()
 	return nil
 }
 
-func (l *Router) tune(set Settings) {
+func (l *Router) applySettings(set Settings) {
 	l.set = set
-	shortest, classes, tenants := time.Duration(math.MaxInt64), map[string]*classState{}, map[string]*tenantState{}
+	shortestAim, classes, tenants := time.Duration(math.MaxInt64), map[string]*classState{}, map[string]*tenantState{}
 	for _, c := range set.Classes {
-		shortest = min(shortest, c.Aim)
+		shortestAim = min(shortestAim, c.Aim)
 		if classes[c.Name] = l.classes[c.Name]; classes[c.Name] == nil || classes[c.Name].Class != c {
 			classes[c.Name] = &classState{Class: c}
 		}
 	}
-	l.overdue = overdueAim * shortest.Seconds()
+	l.minOverdue = overdueAimShare * shortestAim.Seconds()
 	for _, t := range set.Tenants {
 		rate := t.QuotaRPS / float64(set.Siblings)
 		if tenants[t.Name] = l.tenants[t.Name]; tenants[t.Name] == nil {
-			tenants[t.Name] = &tenantState{credit: rate * shareBurst}
+			tenants[t.Name] = &tenantState{credit: rate * quotaBurst}
 		}
 		tenants[t.Name].rate = rate
 	}
@@ -179,10 +179,10 @@
 }
 
 // place finds a server's role and memory by its kind.
-func (l *Router) place(s *server) {
+func (l *Router) setRole(s *server) {
 	for _, k := range l.set.Kinds {
 		if k.Name == s.Kind {
-			s.role, s.memory = k.Role, float64(k.MemoryTokens)
+			s.role, s.memoryTokens = k.Role, float64(k.MemoryTokens)
 		}
 	}
 }
--- a/logic/tenants.go
+++ b/logic/tenants.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	if t.at > 0 {
-		t.credit = min(t.credit+(l.now-t.at).Seconds()*t.rate, t.rate*shareBurst+1)
+		t.credit = min(t.credit+(l.now-t.at).Seconds()*t.rate, t.rate*quotaBurst+1)
 	}
 	t.at = l.now
 	if t.credit < 1 {
