--- a/logic/admission.go
+++ b/logic/admission.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Admission and refusal of requests as they arrive.
+// Admission and refusal of arriving requests.
 
 const (
-	aimShare        = 0.7 // waiting may use this share of the aim: estimates err
-	overQuotaWait   = 0.2 // over-share requests may wait this part of what others may
-	overQuotaLoad   = 0.6 // and none is taken while the least writer is this full
-	maxInPlaceLoad  = 0.5 // a server this full takes no request whole
-	inPlaceSlowdown = 2.0 // and reads at about this multiple of a reader's rate
+	aimShare        = 0.7 // share of the first-token target that waiting may use, as estimates err
+	overQuotaWait   = 0.2 // share of the allowed wait for requests beyond their tenant's quota
+	overQuotaLoad   = 0.6 // such requests are refused while the least loaded writer is this full
+	maxInPlaceLoad  = 0.5 // a server this full takes no request for both read and write
+	inPlaceSlowdown = 2.0 // read time of such a server, as a multiple of a reader's
 )
 
-// tryKey tells a client's tries of one request from other requests.
+// retryKey identifies a client request across its retries.
 type retryKey struct {
 	session uint64
 	tokens  int64
@@ -28,10 +28,11 @@
 	r := &request{Request: ev.Request, id: ev.RequestID, seq: l.seq, class: class}
 	r.deadline = l.now + r.Remaining
 	l.requests[r.id], l.bySeq[r.seq] = r, r
-	key := retryKey{r.Session, r.PromptTokens} // a client's further try has used up some of the aim
+	// A client's retry has already used up part of the first-token target.
+	key := retryKey{r.Session, r.PromptTokens}
 	if at, ok := l.firstSeen[key]; !ok || l.now-at > class.Deadline {
 		l.firstSeen[key] = l.now
-		if r.Retried { // its first try was elsewhere
+		if r.Retried { // its first attempt went to another router
 			l.firstSeen[key] -= class.Aim / 2
 		}
 	}
@@ -58,10 +59,13 @@
 	}
 }
 
-// refuses tells whether waiting, at the reader or at the writers, would push the request past its aim.
+// shouldRefuse reports whether waiting at the reader or at the writers would make the request miss
+// its first-token target, and after how long the client may retry.
 func (l *Router) shouldRefuse(r *request, c readChoice, overQuota bool) (time.Duration, bool) {
 	if l.meanPerToken == 0 || c.server == nil || r.Resumed {
-		return 0, false // nothing is refused before a rate is learned, nor the rest of what was served so far
+		// Nothing is refused before a rate is learned. The rest of a broken stream is never
+		// refused, as what was already served would be lost.
+		return 0, false
 	}
 	aim := aimShare * l.aimOf(r)
 	wait, least := math.Inf(1), math.Inf(1)
@@ -69,7 +73,7 @@
 		wait, least = min(wait, l.firstTokenWait(s)), min(least, l.load(s))
 	}
 	wait += c.wait
-	allowed := max(aim-c.readTime, aim/2) // its own long read never refuses it
+	allowed := max(aim-c.readTime, aim/2) // a request's own long read never refuses it
 	if overQuota {
 		allowed *= overQuotaWait
 	}
@@ -80,8 +84,10 @@
 	return time.Duration(retryAfter * float64(time.Second)), true
 }
 
-// inPlace finds a server to read and answer a request whole where the readers' queue would refuse it: a
-// mixed one, else a writer that reads in place, with room and no longer a queue of them than the aim allows.
+// inPlaceServer returns a server that reads and answers a request whole, for use when the readers'
+// queue would refuse it: a mixed server, or else a writer that reads in place. The server must have
+// room, and its expected wait must be within the first-token target. It returns nil if there is
+// none.
 func (l *Router) inPlaceServer(r *request) *server {
 	var best *server
 	aim := aimShare * l.aimOf(r)
@@ -99,9 +105,10 @@
 	return best
 }
 
-// aimOf is the seconds in which the first token is wanted, or in which the client leaves, if that is sooner.
+// aimOf is the seconds within which the first token is wanted, or within which the client gives up
+// if that is sooner.
 func (l *Router) aimOf(r *request) float64 {
 	aim := r.class.Aim.Seconds() + r.class.AimPer1K.Seconds()*float64(r.PromptTokens)/1000
 	left := min(aim-(l.now-r.firstTried).Seconds(), r.Remaining.Seconds())
-	return max(left, aim*overQuotaWait) // late answers are worth as little as those over a share
+	return max(left, aim*overQuotaWait) // late answers are worth as little as those beyond a quota
 }
--- a/logic/affinity.go
+++ b/logic/affinity.go
@@ -9,37 +9,40 @@
 // Affinity: which readers a session or a shared prefix hashes to.
 
 const (
-	homesPerReaderLoad = 4.0 // homes of a key for each reader's worth of its traffic
-	sharePrior         = 10  // arrivals assumed beside those seen
-	demandPrior        = 2   // and where too many would push a cold server over
-	homesCompared      = 16  // homes that are weighed in a large fleet
-	zoneAffinity       = 4.0 // and so much more readily one in the own zone is a home
+	homesPerReaderLoad = 4.0 // further homes of a key for each reader that its traffic would fill
+	sharePrior         = 10  // arrivals assumed in addition to those seen, for estimates of a share
+	demandPrior        = 2   // the same where too low an estimate would overload a cold server
+	homesCompared      = 16  // homes that are compared for a request in a large fleet
+	zoneAffinity       = 4.0 // factor on the weight of homes in the router's own zone
 )
 
-// ranked is a server with its rank for a key in rendezvous hashing: the lowest wins.
+// ranked is a server with its rank for a key in rendezvous hashing; the lowest rank wins.
 type ranked struct {
 	server *server
 	rank   float64
 }
 
-// demand is the traffic that begins as a request does, as its share of arrivals here tells, in even shares of so many readers.
+// demand is the estimated traffic of a request's prefix or session, in units of one reader's even
+// share of all traffic. It is taken from the prefix's share of the arrivals at this router.
 func (l *Router) demand(r *request, readers int, doubt float64) float64 {
 	s := l.keyArrivals[cmp.Or(r.Prefix, r.Session)]
 	seen := max(s.add(l.now, 0, entryTTL)-0.5, 0)
 	return seen / (l.arrivals.add(l.now, 0, entryTTL) + doubt) * float64(readers)
 }
 
-// homeCount is how many homes the key of a request has among so many readers: one, and some more for each reader's worth of its traffic.
+// homeCount is the number of homes of a request's key among so many readers: one, and further ones
+// for each reader's share of traffic that the key draws.
 func (l *Router) homeCount(r *request, readers int) int {
 	extra := l.demand(r, readers, sharePrior)
-	if !l.hasPartialView() { // else a share seen is chance, and each change of it moves sessions
+	if !l.hasPartialView() { // with a partial view the observed share is mostly chance, and each change of it would move sessions
 		extra *= homesPerReaderLoad
 	}
 	return min(1+int(extra), readers)
 }
 
-// homes are the readers that a key's hash picks, the same at every router with the same list. They are ordered by the session's hash, so
-// that its later prompts find its earlier ones.
+// homes returns the readers that a key's hash selects, which are the same at every router with the
+// same list. They are ordered by the session's hash, so that later prompts of a session reach the
+// reader of its earlier ones.
 func (l *Router) homes(r *request, readers candidateSet, eligible func(*server) bool) []ranked {
 	count := l.homeCount(r, readers.count)
 	if readers.listed == nil {
@@ -48,7 +51,8 @@
 	return l.lowestRanked(readers.listed, l.keyRanking(r), sessionRanking(r), count, homesCompared, eligible)
 }
 
-// ranking is an order of servers by a key in weighted rendezvous hashing: the lowest -log(draw)/weight wins.
+// ranking orders servers for a key by weighted rendezvous hashing: the lowest -log(uniform)/weight
+// wins.
 type ranking struct {
 	key    uint64
 	weight func(s *server) float64
@@ -56,24 +60,29 @@
 
 func (k ranking) uniform(s *server) float64 { return unit(k.key ^ s.hash) }
 
-// keyRank ranks by what a request begins with. Where the front keeps a session's clients, readers of the own zone come more readily.
+// keyRanking ranks by a request's prefix, or by its session where there is none. With a price on
+// other zones, readers in the router's own zone, where a session's clients come in, get more
+// weight.
 func (l *Router) keyRanking(r *request) ranking {
 	return ranking{cmp.Or(r.Prefix, r.Session), func(s *server) float64 { return s.keyWeight }}
 }
 
-// sessionRank ranks by a request's session.
+// sessionRanking ranks by a request's session.
 func sessionRanking(r *request) ranking {
 	return ranking{r.Session, func(s *server) float64 { return s.homeWeight }}
 }
 
-// lowest gives the servers of the lowest rank by one ranking, up to a count, in their order by another, of which no more than most. With may
-// only those count for which it holds.
+// lowestRanked returns the count servers with the lowest rank by the first ranking, but no more
+// than limit of them, ordered by the second ranking. If eligible is set, only servers for which it
+// holds are returned.
 func (l *Router) lowestRanked(from []*server, first, second ranking, count, limit int, eligible func(*server) bool) []ranked {
 	best := selection{limit: min(count, limit)}
 	if best.limit <= 0 {
 		return nil
 	}
-	if count > limit { // far more than are weighed: those under the rank that so many have, in the other order
+	// There are far more homes than are compared: select the servers below the rank that so many
+	// are expected to have, and keep the lowest of them by the second ranking.
+	if count > limit {
 		bound := rankBound(float64(len(from)), float64(count))
 		for _, s := range from {
 			if draw, weight := first.uniform(s), first.weight(s); 1-draw < weight*bound && -math.Log(draw) < weight*bound {
@@ -82,7 +91,7 @@
 		}
 		return best.sorted()
 	}
-	for _, s := range from { // as -log(x) is 1-x at least, most are passed over without a logarithm
+	for _, s := range from { // as -log(x) is at least 1-x, most servers are skipped without computing a logarithm
 		if draw, weight := first.uniform(s), first.weight(s); 1-draw < weight*best.cutoff() {
 			best.add(s, draw, weight, eligible)
 		}
@@ -95,18 +104,18 @@
 	return all
 }
 
-// rankOf is the rank under which count of so many servers of weight 1 are expected.
+// rankBound is the rank below which count of so many servers of weight 1 are expected.
 func rankBound(servers, count float64) float64 { return -math.Log(max(1-count/servers, 1e-9)) }
 
 func compareRank(a, b ranked) int { return cmp.Compare(a.rank, b.rank) }
 
-// selection keeps the servers of the lowest rank.
+// selection keeps the servers with the lowest ranks.
 type selection struct {
 	limit   int
-	entries []ranked // ordered, once there are so many
+	entries []ranked // sorted once limit is reached
 }
 
-// bound is the rank under which a server is taken in.
+// cutoff is the rank below which a server is added.
 func (n *selection) cutoff() float64 {
 	if len(n.entries) < n.limit {
 		return math.Inf(1)
@@ -114,7 +123,7 @@
 	return n.entries[n.limit-1].rank
 }
 
-// add takes a server in if its rank is among the lowest.
+// add adds a server if its rank is among the lowest.
 func (n *selection) add(s *server, draw, weight float64, eligible func(*server) bool) {
 	full := len(n.entries) == n.limit
 	rank := -math.Log(draw) / weight
@@ -141,8 +150,9 @@
 	return n.entries
 }
 
-// previousHome gives a session's home among the readers as they were before the changes of late, if it may still be sent
-// to, and how many have gone since for each that has come.
+// previousHome returns a session's home among the readers as they were before the latest list
+// changes, if requests may still be sent to it, and the number of readers that have gone since for
+// each new one.
 func (l *Router) previousHome(r *request, candidates candidateSet) (home *server, lossRatio float64) {
 	var before []*server
 	remaining := 0
@@ -163,7 +173,7 @@
 	return home, float64(len(before)-remaining) / max(float64(candidates.count-remaining), 1)
 }
 
-// among tells whether a reader is among the choices for a request, weighed so far or not.
+// isCandidate reports whether a reader is a candidate for a request, whether or not it was sampled.
 func (l *Router) isCandidate(r *request, candidates candidateSet, s *server) bool {
 	if candidates.listed == nil {
 		return slices.Contains(candidates.servers, s)
--- a/logic/choices.go
+++ b/logic/choices.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// Choices: which servers are weighed for a request. In a fleet of the usual size all are. In a large one the work for a request must not
-// grow with the fleet, so a draw of the servers is weighed beside those that are likely to suit: with d choices drawn the best of them is
-// nearly as good as the best of all (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
+// Candidates: which servers are compared for a request. In a fleet of usual size all are. In a
+// large one the work for a request must not grow with the fleet, so a sample of the servers is
+// compared together with those that are likely to suit: the best of d sampled choices is nearly as
+// good as the best of all (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
 
 const (
-	fullScanLimit        = 256  // servers of a side, up to which all are weighed
-	sampleSize           = 48   // servers that are drawn of more
-	localSampleSize      = 16   // and so many each of the cell and of the zone of a read state
-	maxRecent            = 32   // writers that answered last, which are weighed too: connections to them are open
-	newConnectionPenalty = 0.1  // share of its memory that a writer counts as fuller by if it takes a new connection
-	sampleStride         = 7919 // a prime above the size of any fleet: steps of it come to each server once, and to all zones in turn
+	fullScanLimit        = 256 // largest pool in which all servers are compared
+	sampleSize           = 48  // servers sampled from a larger pool
+	localSampleSize      = 16  // servers sampled from the cell and from the zone of a state, each
+	maxRecent            = 32  // writers that answered last, which are compared too because connections to them are open
+	newConnectionPenalty = 0.1 // added to a writer's load, as a share of its memory, if it needs a new connection
+	// A prime larger than any fleet: steps of this size reach each server once, and alternate
+	// between zones.
+	sampleStride = 7919
 )
 
-// side is what takes one of the two stages of a request: the readers, or all others.
+// pool is the servers of one of the two stages of a request: the readers, or all others.
 type pool struct {
-	servers []*server // that are listed, in order of first listing
+	servers []*server // listed servers, in order of first listing
 	cells   map[int64][]*server
 	zones   map[string][]*server
 	load    poolLoad
-	recent  []*server // that answered last, each once, the latest last
+	recent  []*server // servers that answered last, each once, the latest last
 }
 
-// sideOf gives the side of a server.
+// poolOf returns the pool of a server.
 func (l *Router) poolOf(s *server) *pool { return l.poolFor(s.role == Reader) }
 
 func (l *Router) poolFor(readers bool) *pool {
@@ -37,7 +40,8 @@
 	return &l.writers
 }
 
-// refresh puts the lists that were told since into the index, and weighs places anew.
+// refreshIndex applies lists that have arrived since the last rebuild to the index, and recomputes
+// the home weights.
 func (l *Router) refreshIndex() {
 	if l.indexStale && (l.indexedAt == 0 || l.now-l.indexedAt >= sumIntervalPerServer*time.Duration(len(l.order))) {
 		l.rebuildIndex()
@@ -45,7 +49,7 @@
 	}
 }
 
-// index sorts the listed servers by what they are looked up by.
+// rebuildIndex sorts the listed servers into the pools, by cell and by zone.
 func (l *Router) rebuildIndex() {
 	l.indexStale, l.indexedAt = false, max(l.now, 1)
 	for _, readers := range []bool{true, false} {
@@ -62,12 +66,12 @@
 	}
 }
 
-// cleared gives an empty side that uses the memory again.
+// cleared returns an empty pool that reuses the memory of p.
 func (p *pool) cleared() pool {
 	return pool{recent: p.recent, servers: p.servers[:0], cells: map[int64][]*server{}, zones: map[string][]*server{}}
 }
 
-// noteRecent notes that a server has answered.
+// addRecent records that a server has answered.
 func (p *pool) addRecent(s *server) {
 	if s.recentlyAnswered {
 		return
@@ -80,7 +84,8 @@
 	p.recent = append(p.recent, s)
 }
 
-// connectPrice is what a writer counts as fuller by in a large fleet, most of which no connection leads to, if it has not answered lately.
+// connectionPenalty is added to the load of a writer that has not answered recently. It applies in
+// large fleets, where this router has no open connection to most writers.
 func (l *Router) connectionPenalty(s *server) float64 {
 	if s.recentlyAnswered || len(l.writers.servers) <= fullScanLimit {
 		return 0
@@ -88,24 +93,25 @@
 	return newConnectionPenalty
 }
 
-// choices are the servers among which one is chosen for a request.
+// candidateSet is the servers among which one is chosen for a request.
 type candidateSet struct {
-	servers []*server // that are weighed
-	count   int       // of all that may be sent to, as far as the draw tells
-	listed  []*server // where not all are weighed: those that are listed, else nil
+	servers []*server // servers that are compared
+	count   int       // estimated number of servers that requests may be sent to
+	listed  []*server // all listed servers if only a sample is compared, else nil
 }
 
-// readiness tells whether a server may be sent a request.
+// readiness says whether a server may be sent a request.
 type readiness uint8
 
 const (
 	notReady readiness = iota
-	ejected            // it has failed, and its pause is not over
+	ejected            // ejected after failures, and the ejection time is not over
 	ready
 )
 
-// readiness tells whether a request may be sent to a server now: it is listed, not full, within the cold budget and in no failure's pause.
-// After a pause one real request at a time tries a server, as probes may be forbidden.
+// readiness reports whether a request may be sent to a server now: the server is listed, has not
+// answered "full" recently, is within the budget for cold servers and is not ejected. After the
+// ejection time one real request at a time tries the server, as probes may be forbidden.
 func (l *Router) readiness(r *request, s *server) readiness {
 	switch {
 	case !s.listed || !l.repeatAllowed(r, s):
@@ -118,8 +124,9 @@
 	return notReady
 }
 
-// candidates are the readers, or the writers, that may be sent a request now. Where all are in a pause it does not count, so that no
-// misjudgement shuts the fleet out.
+// candidates returns the readers, or the writers, that may be sent a request now. If all of them
+// are ejected, ejection is ignored, so that a misjudgement cannot take the whole fleet out of
+// service.
 func (l *Router) candidates(r *request, readers bool) candidateSet {
 	l.refreshIndex()
 	pool := l.poolFor(readers)
@@ -137,16 +144,16 @@
 	}
 	c := candidateSet{servers: l.untried(r, sampled.best()), listed: pool.servers}
 	c.count = len(c.servers)
-	if readers { // whose number tells how many homes a text has
+	if readers { // the number of ready readers sets how many homes a prefix has
 		c.count = l.loadOf(pool).ready
 	}
 	return c
 }
 
-// draft is what was drawn of some servers.
+// sample is the usable servers found in part of a pool.
 type sample struct{ ready, ejected []*server }
 
-// best gives the servers that may be sent a request, or where there is none those in a pause.
+// best returns the servers that may be sent a request, or the ejected ones if there are none.
 func (d sample) best() []*server {
 	if len(d.ready) == 0 {
 		return d.ejected
@@ -154,13 +161,14 @@
 	return d.ready
 }
 
-// join adds what was drawn elsewhere and is not there yet.
+// merge adds the servers of another sample that are not included yet.
 func (d *sample) merge(other sample) {
 	d.ready = union(d.ready, other.ready)
 	d.ejected = union(d.ejected, other.ejected)
 }
 
-// draw draws so many servers that may be sent a request, or all that may where there are fewer.
+// sampleFrom samples up to limit servers that may be sent a request, or all of them if there are
+// fewer.
 func (l *Router) sampleFrom(r *request, from []*server, limit int) (d sample) {
 	start, n := 0, len(from)
 	if limit < n {
@@ -181,7 +189,7 @@
 	return d
 }
 
-// joined adds servers that are not among others yet.
+// union adds the servers of others that servers does not contain yet.
 func union(all, others []*server) []*server {
 	for _, s := range others {
 		if !slices.Contains(all, s) {
@@ -191,7 +199,7 @@
 	return all
 }
 
-// untried leaves out the servers that the request has tried, unless there is no other.
+// untried removes the servers that the request has tried, unless no other is left.
 func (l *Router) untried(r *request, all []*server) []*server {
 	if len(r.avoid) == 0 {
 		return all
--- a/logic/events.go
+++ b/logic/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Events and actions: what the host tells a Router and what a Router has it do.
+// Events and actions: what the host reports to a Router and what a Router asks the host to do.
 
-// EventKind names what has happened.
+// EventKind is the type of an event.
 type EventKind uint8
 
-// The events.
+// Event kinds, with the fields that each one sets.
 const (
-	ListChanged   EventKind = iota // Servers holds changed entries
+	ListChanged   EventKind = iota // Servers holds the changed entries
 	ListComplete                   // Servers holds the complete list
-	ListFailed                     // a Watch or Fetch failed, or the subscription broke
-	Arrived                        // a request: RequestID and Request
-	StreamStarted                  // RequestID, Server, Attempt, Took: the answer has begun
-	Ended                          // RequestID, Server, Attempt, Took, Outcome, Over, Tokens, NoState, Report
-	Departed                       // RequestID: the client is gone
+	ListFailed                     // fetching the list failed, or the subscription to it broke
+	Arrived                        // RequestID and Request: a new request
+	StreamStarted                  // RequestID, Server, Attempt, Took: the first token of the answer has arrived
+	Ended                          // RequestID, Server, Attempt, Took, Outcome, RequestEnded, Tokens, NoState, Report
+	Departed                       // RequestID: the client has disconnected
 	TimerFired                     // Tag
-	Probed                         // Server, Took, Outcome, Report: a probe's answer
-	PlaceAnswered                  // RequestID, Server, Attempt: answer to a place held ahead (never asked for)
-	StateReleased                  // RequestID: the host has let go of the state that waited for it; it must be read anew
+	Probed                         // Server, Took, Outcome, Report: the answer to a probe
+	PlaceAnswered                  // RequestID, Server, Attempt: the answer to a reservation, which a Router never makes
+	StateReleased                  // RequestID: the host has released the state that waited for the request; the prompt must be read again
 )
 
 func (k EventKind) String() string {
@@ -30,7 +30,7 @@
 // Availability is the state of a listed server.
 type Availability uint8
 
-// The availabilities.
+// Availability values.
 const (
 	Ready Availability = iota
 	Draining
@@ -39,7 +39,7 @@
 
 func (a Availability) String() string { return name(a, "ready", "draining", "gone") }
 
-// ServerEntry is one line of the list of servers.
+// ServerEntry is one entry of the list of servers.
 type ServerEntry struct {
 	ID           string
 	Zone         string
@@ -47,44 +47,44 @@
 	Cell         int64
 	Availability Availability
 	Weight       float64
-	Started      time.Duration // clock of the last start; 0 = long ago
+	Started      time.Duration // time of the last start; 0 if long ago
 }
 
-// Request is what an arriving request tells of itself.
+// Request holds the properties of an arriving request.
 type Request struct {
 	Class        string
-	Tenant       string // "" where there are none
-	Session      uint64 // 0 = none
-	Prefix       uint64 // the beginning it shares with other sessions; 0 = none
+	Tenant       string // "" if the request belongs to none
+	Session      uint64 // 0 if the request belongs to none
+	Prefix       uint64 // hash of the prefix that the prompt shares with other sessions; 0 if none
 	PrefixTokens int64
 	PromptTokens int64
 	MaxOutput    int64
-	Retried      bool          // the client says that it tried before
-	Resumed      bool          // its stream broke, and it asks for the rest
-	OutputHint   time.Duration // guess of the answer's length at the token aim; 0 = none
-	Remaining    time.Duration // until the client gives up
+	Retried      bool          // the client reports an earlier attempt
+	Resumed      bool          // the client's stream broke, and it asks for the rest
+	OutputHint   time.Duration // estimated length of the answer, as time at the target time per token; 0 if unknown
+	Remaining    time.Duration // time until the client gives up
 }
 
-// Report is a server's load report; NaN marks a value that is not given.
+// Report is a server's load report; NaN marks a missing value.
 type Report struct {
-	MemoryHeld    float64 // share of memory held
-	TokensWaiting float64 // prompt tokens that wait to be read or fetched
+	MemoryHeld    float64 // share of its memory in use
+	TokensWaiting float64 // prompt tokens waiting to be read or fetched
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
-	Delivered   Outcome = iota // served
-	ServerError                // the server says it failed; it may have run
-	Full                       // turned away; with NoState, there was nothing to fetch
-	TimedOut                   // it may have run or be running
+	Delivered   Outcome = iota // the answer is complete
+	ServerError                // the server reported an error; the request may have run
+	Full                       // the server rejected the request; with NoState, it found no state to fetch
+	TimedOut                   // the request may have run or still be running
 	ConnectFailed
-	ConnectionLost // it may have run
-	Cancelled      // it may have run
+	ConnectionLost // the request may have run
+	Cancelled      // the request may have run
 	NotSent
-	ReadDone // the prompt is read, its state waits at the reader
+	ReadDone // the prompt is read, and its state is held by the reader
 )
 
 func (o Outcome) String() string {
@@ -92,7 +92,7 @@
 		"cancelled", "not-sent", "read-done")
 }
 
-// Event is one thing that happened; its Kind tells which fields count.
+// Event is one event for a Router; Kind says which fields are set.
 type Event struct {
 	Kind         EventKind
 	RequestID    string
@@ -101,41 +101,41 @@
 	Attempt      int
 	Took         time.Duration
 	Outcome      Outcome
-	RequestEnded bool  // the request has ended
-	Tokens       int64 // with ReadDone and Delivered: prompt tokens found kept
-	NoState      bool  // nothing is left to fetch
+	RequestEnded bool  // the client has been answered or has left: no further attempt is needed
+	Tokens       int64 // for ReadDone and Delivered: prompt tokens that were cached at the server
+	NoState      bool  // no state is left to fetch
 	Report       *Report
-	Servers      []ServerEntry // not kept after the call
+	Servers      []ServerEntry // not retained after the call
 	Tag          uint64
 }
 
-// ActionKind names what the host is to do.
+// ActionKind is the type of an action.
 type ActionKind uint8
 
-// The actions.
+// Action kinds, with the fields that each one uses.
 const (
-	Send    ActionKind = iota // RequestID to Server, abandoned at Until
-	Refuse                    // final: trying again is harmless, not before After
-	Fail                      // final: promises nothing
-	Release                   // let go of all that is held for RequestID
+	Send    ActionKind = iota // RequestID to Server; the host abandons the attempt at Until
+	Refuse                    // RequestID: final answer; a retry is harmless, but not before After
+	Fail                      // RequestID: final answer; the request may have run
+	Release                   // RequestID: release everything that servers hold for it
 	Cancel                    // RequestID, Attempt
-	Wake                      // a TimerFired with Tag after After
+	Wake                      // send a TimerFired with Tag after After
 	Watch                     // subscribe to the list of servers
-	Probe                     // Server: ask whether it is well; the answer is Probed
+	Probe                     // Server: ask whether it is healthy; the answer is a Probed event
 )
 
 func (k ActionKind) String() string {
 	return name(k, "send", "refuse", "fail", "release", "cancel", "wake", "watch", "probe")
 }
 
-// Action is one thing for the host to do.
+// Action is one instruction to the host.
 type Action struct {
 	Kind      ActionKind
 	RequestID string
 	Server    string
 	Attempt   int
-	Until     time.Duration // clock
-	After     time.Duration // interval
+	Until     time.Duration // point in time
+	After     time.Duration // duration
 	Tag       uint64
 }
 
--- a/logic/health.go
+++ b/logic/health.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Health of servers: failures, backoff, full queues and error rates.
+// Server health: failures, backoff, full queues and error rates.
 
 const (
-	minBackoff           = 1 * time.Second        // a failed server is left alone this long, then twice it ...
+	minBackoff           = 1 * time.Second        // ejection time after the first failure, doubled with each further one ...
 	maxBackoff           = 8 * time.Second        // ... up to this
-	maxConsecutiveErrors = 3                      // errors in a row that count as a failed server
-	errorPrior           = 10.0                   // attempts without an error assumed beside those seen
-	errorPenalty         = 4.0                    // a writer that always errs counts as so much fuller
-	fullBackoffFactor    = 20                     // and this many times as long as it took to say so
-	minFullBackoff       = 150 * time.Millisecond // a server that said full is passed over this long
+	maxConsecutiveErrors = 3                      // consecutive errors that count as a failure of the server
+	errorPrior           = 10.0                   // attempts without an error assumed in addition to those seen
+	errorPenalty         = 4.0                    // added to a writer's load, in shares of its memory, for an error rate of 1
+	fullBackoffFactor    = 20                     // and for this multiple of the time that the "full" answer took, if that is longer
+	minFullBackoff       = 150 * time.Millisecond // a server that answered "full" is skipped for at least this long
 )
 
-// laneKey tells the like of a request: its tenant and class.
+// tenantClass is the key for backpressure: a tenant and a class of requests.
 type tenantClass struct {
 	tenant string
 	class  *classState
 }
 
-// lane is how a server took the like of a request.
+// backpressure is how long a server is skipped after it answered "full" to a tenant and class.
 type backpressure struct {
 	fullUntil, pause time.Duration
 }
@@ -39,8 +39,9 @@
 	s.ejectedUntil = l.now + min(minBackoff<<min(s.failures-1, 10), maxBackoff)
 }
 
-// refused notes a 'full', which may be meant for one tenant or class only: the like of the request passes the
-// server over, the longer the more time the answer took and the more often it came.
+// recordFull records a "full" answer, which may apply to one tenant or class only. Requests of the
+// same tenant and class skip the server for longer the more time the answer took and the more often
+// it came.
 func (l *Router) recordFull(r *request, s *server, took time.Duration) {
 	b := s.backpressureFor(r)
 	b.pause = min(max(2*b.pause, minFullBackoff, fullBackoffFactor*took), maxBackoff)
@@ -48,7 +49,8 @@
 	s.backpressure[tenantClassOf(r)] = b
 }
 
-// accepted notes that a read ended or a stream began: the server is well and takes the like of the request.
+// recordSuccess records that a read ended or a stream began: the server is healthy and accepts
+// requests of this tenant and class.
 func (l *Router) recordSuccess(r *request, s *server) {
 	s.lastResponse, s.failures, s.consecutiveErrors, s.lastAnsweredSend = l.now, 0, 0, max(s.lastAnsweredSend, r.sentAt)
 	s.served.add(l.now, 1, rateDecay)
@@ -56,13 +58,13 @@
 	l.poolOf(s).addRecent(s)
 }
 
-// erring is the share of attempts that lately ended with an error at a server. Some err now and then for long, and
-// what may run once only is lost there.
+// errorRate is the share of recent attempts at a server that ended with an error. Some servers fail
+// now and then over a long time, and requests that may run only once are lost there.
 func (l *Router) errorRate(s *server) float64 {
 	return s.recentErrors.add(l.now, 0, entryTTL) / (s.recentAttempts.add(l.now, 0, entryTTL) + errorPrior)
 }
 
-// judge draws from an outcome what it tells of the server.
+// recordOutcome updates the health of a server and the learned rates after an attempt.
 func (l *Router) recordOutcome(r *request, s *server, phase phase, ev *Event) {
 	switch ev.Outcome {
 	case ServerError, ConnectionLost:
@@ -82,9 +84,9 @@
 		if !ev.NoState {
 			l.recordFull(r, s, ev.Took)
 		} else if r.mayHaveRunAt == nil && r.stateReader != nil && r.stateReader.lastResponse < r.sentAt {
-			l.recordFailure(r.stateReader) // no attempt can have taken it: its reader is dead or cut off
+			l.recordFailure(r.stateReader) // no earlier attempt can have fetched the state, so its reader is dead or unreachable
 		}
-	case ServerError, ConnectionLost: // one lost connection is no dead server: more would be lost
+	case ServerError, ConnectionLost: // a single lost connection does not mean a dead server: a dead one would lose several
 		s.lastResponse = l.now
 		if s.consecutiveErrors++; s.consecutiveErrors >= maxConsecutiveErrors {
 			l.recordFailure(s)
@@ -96,7 +98,7 @@
 	}
 }
 
-// Ejected counts the listed servers that are passed over now because they failed.
+// Ejected returns the number of listed servers that get no requests now because they failed.
 func (l *Router) Ejected(now time.Duration) (n int) {
 	for _, s := range l.order {
 		if s.listed && s.failures > 0 && now < s.ejectedUntil {
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// Membership: the list of servers and what their zones and cells weigh.
+// Membership: the list of servers, and the relative weights of their zones and cells.
 
 const (
-	maxHomeDiscount = 3.0 // a reader is a home no more seldom than by this
+	maxHomeDiscount = 3.0 // a reader's weight as a home is lowered by at most this factor
 )
 
 type server struct {
 	ServerEntry
-	role              Role
-	memoryTokens      float64
-	listed            bool
-	unlistedAt        time.Duration // when it was last named as not to be used
-	pending           []*request    // attempts out that have not begun to answer
+	role         Role
+	memoryTokens float64
+	listed       bool
+	unlistedAt   time.Duration // when it was last listed as not usable, or left out of a complete list
+	pending      []*request    // outstanding attempts that have not begun to answer
+	// lastResponse is when the server last responded; negative if it never did.
 	lastResponse      time.Duration
-	lastAnsweredSend  time.Duration // the latest send that it has answered
+	lastAnsweredSend  time.Duration // send time of the latest attempt that it has answered
 	failures          int
 	consecutiveErrors int
 	recentAttempts    decayingSum   // attempts that ended with an answer or an error
-	recentErrors      decayingSum   // and those with an error
-	failingSince      time.Duration // when fails began
+	recentErrors      decayingSum   // attempts that ended with an error
+	failingSince      time.Duration // when failures began
 	ejectedUntil      time.Duration
 	backpressure      map[tenantClass]backpressure
 	hash              uint64  // of its ID
-	coldCredit        float64 // sends that the cold rule leaves this router, earned up to coldCreditAt
+	coldCredit        float64 // sends to a cold server that this router may make now, earned up to coldCreditAt
 	coldCreditAt      time.Duration
-	served            decayingSum // reads ended and streams begun
-	perToken          float64     // seconds a token, learned from reads, last at rateAt
-	extraWait         float64     // seconds that reads waited beyond that
+	served            decayingSum // reads that ended and streams that began
+	perToken          float64     // read seconds per token, learned from reads, last at perTokenAt
+	extraWait         float64     // seconds that reads waited beyond the queue known to this router
 	perTokenAt        time.Duration
 	unreadTokens      int64
-	cacheValidSince   time.Duration // table entries older than this are of an earlier process
-	heldTokens        float64       // tokens of our own writes there
+	cacheValidSince   time.Duration // prefix table entries older than this are from an earlier process
+	heldTokens        float64       // tokens of this router's writes at the server
 	openWrites        int
-	readerRatio       float64 // readers for each writer in its cell or zone, beside the whole fleet's
+	readerRatio       float64 // readers per writer in its cell or zone, relative to the whole fleet
+	// zoneReaderRatio is the same for its zone only.
 	zoneReaderRatio   float64
-	recentlyAnswered  bool    // among those of its side that answered last
-	homeWeight        float64 // how readily a reader is a home
-	keyWeight         float64 // the same for what a request begins with, by zone
-	firstToken        float64 // seconds to the first token, and when it was seen
+	recentlyAnswered  bool    // among the servers of its pool that answered last
+	homeWeight        float64 // weight with which a reader is chosen as a home
+	keyWeight         float64 // the same for the prefix hash, with preference for the router's own zone
+	firstToken        float64 // seconds to the first token, measured at firstTokenAt
 	firstTokenAt      time.Duration
 	report            Report
 	reportAt          time.Duration
@@ -65,7 +67,7 @@
 			}
 			l.servers[e.ID] = s
 			l.order = append(l.order, s)
-		} else if e.Started != s.Started { // a new process: it knows nothing of the old one's texts and faults
+		} else if e.Started != s.Started { // a new process has neither the cached prefixes nor the failures of the old one
 			s.cacheValidSince, s.failures, s.consecutiveErrors, s.ejectedUntil = l.now, 0, 0, 0
 			clear(s.backpressure)
 			s.perTokenAt, s.firstTokenAt = 0, 0
@@ -78,7 +80,7 @@
 		if s.Weight <= 0 {
 			s.Weight = 1
 		}
-		if l.setRole(s); s.role != role { // what the index says of it is wrong
+		if l.setRole(s); s.role != role { // the server is in the wrong pool of the index
 			l.indexedAt = 0
 		}
 	}
@@ -86,10 +88,10 @@
 	l.refreshIndex()
 }
 
-// placeSum is what all readers and all writers of a place weigh: the fleet, a zone or a cell.
+// weightSums is the total weight of the readers and of the writers of a fleet, zone or cell.
 type weightSums [2]float64
 
-// at gives a place's sum, a new one where there is none yet.
+// sumsFor returns the sums of a zone or cell, and creates them if needed.
 func sumsFor[K comparable](sums map[K]*weightSums, place K) *weightSums {
 	if sums[place] == nil {
 		sums[place] = &weightSums{}
@@ -97,8 +99,9 @@
 	return sums[place]
 }
 
-// weighPlaces compares a server's zone and cell with the fleet: the share of reading over that of writers.
-// Where a zone has few writers its readers are homes more seldom, as its states would have to leave it.
+// updateHomeWeights compares the ratio of readers to writers in each server's zone and cell with
+// that of the fleet. Readers in a zone with few writers get less weight as homes, as their states
+// would have to leave the zone.
 func (l *Router) updateHomeWeights() {
 	l.writerMemory = 0
 	for _, s := range l.order {
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -5,23 +5,26 @@
 	"slices"
 )
 
-// Placement of reads: Algorithm 1 of the design.
+// Placement of reads, following Algorithm 1 of the design.
 
 const (
-	balancingThreshold = 2.0 // Algorithm 1: a match this much shorter is none
-	extraHomePenalty   = 4.0 // read times added for a further home while all queue
-	crossZonePenalty   = 5.0 // shares of the aim that a reader elsewhere must be sooner by, for its price
+	balancingThreshold = 2.0 // from Algorithm 1: a match shorter than the longest by this factor counts as none
+	extraHomePenalty   = 4.0 // weight of the missing match's read time where all readers have queues
+	// A reader in another zone must be sooner by this many times the first-token target, multiplied
+	// by the price of another zone.
+	crossZonePenalty = 5.0
 )
 
 type readChoice struct {
 	server         *server
 	wait, readTime float64
-	queuedTokens   float64 // tokens
+	queuedTokens   float64
 	match          match
 	newHome        bool
 }
 
-// chooseReader gives the reader with the lowest wait plus unmatched read time.
+// chooseReader returns the reader with the lowest sum of wait time and read time for the unmatched
+// part of the prompt.
 func (l *Router) chooseReader(r *request) (best readChoice) {
 	candidates := l.candidates(r, true)
 	matches := l.matches(r)
@@ -31,7 +34,7 @@
 		home := homes[0].server
 		previous, lossRatio := l.previousHome(r, candidates)
 		move := l.movesToNewServer(r, home, candidates.count, len(homes))
-		if previous != nil && (!move || unit(mix(r.Session+2)) < lossRatio) { // few leave a reader that is still there
+		if previous != nil && (!move || unit(mix(r.Session+2)) < lossRatio) { // move only as many sessions off a listed reader as readers have gone for each new one
 			home, move = previous, false
 		}
 		inSlowStart := func(s *server) bool { return l.inSlowStart(s) && !(s == home && move) }
@@ -51,7 +54,7 @@
 	if candidates.listed != nil {
 		readers = l.addKnownReaders(r, readers, homes, matches)
 	}
-	for i, home := range homes { // others that know the list send the same key here
+	for i, home := range homes { // other routers with the same list send the same key to these readers
 		s := home.server
 		limit := r.PrefixTokens
 		if i == 0 && r.Session != 0 {
@@ -62,48 +65,50 @@
 			matches[s] = m
 		}
 	}
-	longest, least, leastWait := int64(0), 0.0, math.Inf(1)
+	longest, least, congestion := int64(0), 0.0, math.Inf(1)
 	for _, s := range readers {
 		longest = max(longest, matches[s].tokens)
 		perToken := l.perTokenTime(s)
-		leastWait = min(leastWait, l.backlog(s, perToken)*perToken+l.externalWait(s))
+		congestion = min(congestion, l.backlog(s, perToken)*perToken+l.externalWait(s))
 	}
-	leastWait = min(leastWait/l.minOverdue, 1)
+	congestion = min(congestion/l.minOverdue, 1)
 	for _, s := range readers {
 		perToken := l.perTokenTime(s)
 		c := readChoice{server: s, match: matches[s], queuedTokens: l.backlog(s, perToken)}
 		c.wait = c.queuedTokens*perToken + l.externalWait(s)
-		// Below the threshold the document would move the missing prefix; it is read anew instead, at the
-		// same charge, and the reader becomes a further home.
+		// Below the threshold Algorithm 1 would transfer the missing prefix. Here it is read again
+		// instead, at the same cost, and the reader becomes a further home.
 		c.newHome = longest > 0 && float64(longest) >= balancingThreshold*float64(c.match.tokens)
 		c.readTime = float64(max(r.PromptTokens-c.match.tokens, 1)) * perToken
-		charge := c.readTime
+		cost := c.readTime
 		if s.Zone != l.set.Zone {
-			charge += l.set.CrossZonePrice * crossZonePenalty * l.minOverdue / overdueAimShare
+			cost += l.set.CrossZonePrice * crossZonePenalty * l.minOverdue / overdueAimShare
 		}
 		if c.newHome {
-			charge += leastWait * extraHomePenalty * float64(longest-c.match.tokens) * perToken
+			cost += congestion * extraHomePenalty * float64(longest-c.match.tokens) * perToken
 		}
-		if score := c.wait + charge; best.server == nil || score < least {
+		if score := c.wait + cost; best.server == nil || score < least {
 			best, least = c, score
 		}
 	}
 	return best
 }
 
-// anyOf tells whether something holds for any of some ranked servers.
+// anyOf reports whether the condition holds for any of the ranked servers.
 func anyOf(servers []ranked, holds func(*server) bool) bool {
 	return slices.ContainsFunc(servers, func(r ranked) bool { return holds(r.server) })
 }
 
-// mayRead tells of readers that are not weighed yet whether a request may be sent to them, but for those that are left out.
+// readEligible returns a filter for readers outside the candidate set: whether the request may be
+// sent to them, except for the excluded ones.
 func (l *Router) readEligible(r *request, excluded func(*server) bool) func(*server) bool {
 	return func(s *server) bool {
 		return (excluded == nil || !excluded(s)) && l.readiness(r, s) == ready && !slices.Contains(r.avoid, s)
 	}
 }
 
-// withKnown adds to the readers that were drawn in a large fleet the request's homes, and those that hold a part of its prompt.
+// addKnownReaders adds to the readers sampled in a large fleet the request's homes, and the readers
+// that hold a part of its prompt.
 func (l *Router) addKnownReaders(r *request, readers []*server, homes []ranked, matches map[*server]match) []*server {
 	for _, home := range homes {
 		if !slices.Contains(readers, home.server) {
--- a/logic/prefixtable.go
+++ b/logic/prefixtable.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The prefix table: which reader holds how much of a session or of a shared prefix.
+// The prefix table records which reader holds how much of a session or of a shared prefix.
 
 type tableKey struct {
 	prefix bool
@@ -19,29 +19,30 @@
 	confirmed bool
 }
 
-// match is what the table says of a prompt at a reader: the length it believes in and the one it claims, if sure.
+// match is the part of a prompt that the table expects to be cached at a reader: the expected
+// length, and the length that the reader has confirmed by completing a read.
 type match struct {
 	tokens, confirmed int64
-	byHash            bool // by the key's hash alone
+	byHash            bool // assumed from the key's hash alone
 }
 
-// keysOf gives the table keys of a request's session and of its shared beginning.
+// keysOf returns the table keys of a request's session and of its shared prefix.
 func keysOf(r *request) (session, prefix tableKey) {
 	return tableKey{false, r.Session}, tableKey{true, r.Prefix}
 }
 
-// tableKeys gives both.
+// tableKeys returns both keys as an array.
 func (r *request) tableKeys() [2]tableKey {
 	session, prefix := keysOf(r)
 	return [2]tableKey{session, prefix}
 }
 
-// live tells whether an entry is neither old nor of an earlier process.
+// live reports whether an entry is recent enough and from the reader's current process.
 func (l *Router) live(h cacheEntry) bool {
 	return l.now-h.lastSeen <= entryTTL && h.lastSeen >= h.server.cacheValidSince
 }
 
-// record notes what a reader holds; sure is false for what it was only just sent to read.
+// recordCached records what a reader holds; confirmed is false for a read that was only just sent.
 func (l *Router) recordCached(k tableKey, s *server, tokens int64, sure bool) {
 	if k.key == 0 || tokens <= 0 {
 		return
@@ -50,7 +51,7 @@
 	l.prefixTable[k] = append(hs, cacheEntry{s, tokens, l.now, sure})
 }
 
-// matches gives the table's length for each reader that holds any of the prompt.
+// matches returns the length of the prompt's match for each reader that holds any of it.
 func (l *Router) matches(r *request) map[*server]match {
 	session, prefix := keysOf(r)
 	m := map[*server]match{}
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -2,33 +2,38 @@
 
 import "time"
 
-// Probing: a router that sees little of the fleet can't know the queues at its readers. Before a read it probes the reader of its choice and
-// the next best one. A probe waits in the server's queue, so a server that answers late is busy; the request goes to the reader that is not.
+// Probing: a router with a partial view of the fleet can't know the queues at its readers. Before a
+// read it probes the reader of its choice and the next best one. A probe waits in the server's
+// queue, so a server that answers late is busy, and the request goes to the other one.
 
 const (
-	probeGraceShare  = 0.01 // of the aim: so much longer the first choice may take than the second, as it may have kept more of the prompt
-	probeLimitShare  = 0.1  // of the aim: a reader that has not answered by then has a queue
-	maxProbeCost     = 0.02 // share of a request's worth that its probes may cost
+	// Share of the first-token target that the first choice may answer later than the second, as
+	// more of the prompt may be cached there.
+	probeGraceShare  = 0.01
+	probeLimitShare  = 0.1  // share of the first-token target after which a reader without an answer is taken to have a queue
+	maxProbeCost     = 0.02 // largest share of a request's worth that its probes may cost
 	probesPerRequest = 2
 )
 
-// probeTag marks the timers of requests that wait for probes; the rest of the tag is the request's number.
+// probeTag marks the timers of requests that wait for probes; the rest of the tag is the request's
+// number.
 const probeTag uint64 = 1 << 62
 
-// probe is a question that is out to a reader, and the choice that it is asked for.
+// probe is an outstanding probe of a reader, with the choice that it is for.
 type probe struct {
 	choice   readChoice
 	answered bool
 	failed   bool
 }
 
-// probes tells whether readers are probed before a read.
+// probesEnabled reports whether readers are probed before a read.
 func (l *Router) probesEnabled() bool {
 	return l.set.CanProbe && l.hasPartialView() && probesPerRequest*l.set.ProbePrice <= maxProbeCost
 }
 
-// probe asks the reader of the first choice and the next best one, and tells whether it has. Servers in slow start are asked nothing: what
-// they are sent counts against their budget.
+// startProbes probes the reader of the first choice and the next best one, and reports whether it
+// did. Servers in slow start are not probed, as everything that they are sent counts against their
+// budget.
 func (l *Router) startProbes(r *request, first readChoice) bool {
 	if !l.probesEnabled() || r.Resumed || first.server == nil || l.cold(first.server) {
 		return false
@@ -48,13 +53,15 @@
 	return true
 }
 
-// wakeProbing has a request that waits for probes looked at again after a share of its aim.
+// setProbeTimer sets the timer of a request that waits for probes to a share of its first-token
+// target.
 func (l *Router) setProbeTimer(r *request, share float64) {
 	after := time.Duration(share * l.aimOf(r) * float64(time.Second))
 	l.out = append(l.out, Action{Kind: Wake, After: after, Tag: probeTag | r.seq})
 }
 
-// probeAnswered takes the answer to a probe. It names no request: all that wait for the server take it.
+// handleProbed handles the answer to a probe. It names no request, so it counts for all requests
+// that wait for this server.
 func (l *Router) handleProbed(ev *Event) {
 	for _, r := range l.open {
 		if r.phase != probing || r.ended {
@@ -71,7 +78,8 @@
 	}
 }
 
-// weighProbes goes on with a request as far as the answers to its probes tell where to.
+// checkProbes starts a request's read if the answers to its probes so far decide where, or shortens
+// its timer if only the second choice has answered.
 func (l *Router) checkProbes(r *request) {
 	first, second := &r.probes[0], &r.probes[1]
 	switch {
@@ -96,7 +104,8 @@
 	l.startAfterProbes(r, choice)
 }
 
-// startProbed begins the read at the reader that the probes speak for, if it may still be sent to.
+// startAfterProbes starts the read at the reader that the probes favour, or at a new choice if that
+// reader can no longer be sent to.
 func (l *Router) startAfterProbes(r *request, c readChoice) {
 	r.phase = parked
 	if !c.server.listed || l.now < c.server.ejectedUntil {
--- a/logic/release.go
+++ b/logic/release.go
@@ -4,7 +4,7 @@
 
 // How requests end: parking, giving up, and releasing what replicas hold.
 
-// park keeps a request that no server can take now, and its state no longer than the rule allows.
+// park keeps a request that no server can take now, but no longer than its state may be held.
 func (l *Router) park(r *request) {
 	r.phase = parked
 	if r.parkUntil <= l.now {
@@ -20,9 +20,10 @@
 	l.sendNext(r)
 }
 
-// giveUp ends a request unserved: refused where that is no lie, else failed.
+// giveUp ends a request unserved. It refuses the request where a retry is harmless, and fails it
+// otherwise.
 func (l *Router) giveUp(r *request, retryAfter time.Duration) {
-	sent := r.server != nil // and proves nothing yet, not even at a reader
+	sent := r.server != nil // even an outstanding read does not prove that the request has not run
 	l.cancel(r)
 	kind := Refuse
 	if r.class.Repeat != Safe && (sent || r.mayHaveRunAt != nil || r.Resumed) &&
@@ -46,7 +47,7 @@
 	l.end(r)
 }
 
-// end closes a request. What an attempt still holds is let go when its outcome comes.
+// end closes a request. State held by an outstanding attempt is released when the outcome arrives.
 func (l *Router) end(r *request) {
 	r.ended = true
 	if r.server == nil {
--- a/logic/request.go
+++ b/logic/request.go
@@ -8,17 +8,17 @@
 // Requests and the lifecycle of their attempts.
 
 const (
-	defaultOutputShare = 0.3 // answers are about this share of their ceiling
+	defaultOutputShare = 0.3 // assumed length of an answer, as a share of its maximum
 )
 
 type phase uint8
 
 const (
-	parked    phase = iota // no attempt is out; waits for a server
-	probing                // no attempt is out; readers are being probed
-	reading                // an attempt at a reader is out
-	writing                // an attempt at a writer is out, nothing has come yet
-	streaming              // the answer runs
+	parked    phase = iota // no attempt is outstanding; waits for a server
+	probing                // no attempt is outstanding; readers are being probed
+	reading                // an attempt at a reader is outstanding
+	writing                // an attempt at a writer is outstanding, without a first token yet
+	streaming              // the answer is being streamed
 )
 
 type request struct {
@@ -27,27 +27,28 @@
 	seq             uint64
 	class           *classState
 	phase           phase
-	ended           bool          // answered or departed; kept only for the outcome that is still owed
-	firstTried      time.Duration // when its client first tried
+	ended           bool          // answered or departed; kept until the outcome of its last attempt arrives
+	firstTried      time.Duration // when its client first sent it
 	deadline        time.Duration
 	parkUntil       time.Duration
 	attempts        int
-	server          *server // where the attempt is out
+	server          *server // server of the outstanding attempt
 	sentAt          time.Duration
-	expected        float64 // seconds that the attempt should take, as foreseen
+	expected        float64 // expected duration of the attempt in seconds
 	cancelled       bool
-	stateReader     *server // the reader where the read state waits
-	confirmedTokens int64   // tokens the table said were kept
-	queuedAhead     float64 // unread tokens found at the reader when sent
-	unreadTokens    int64   // tokens counted into the reader's unread
-	heldTokens      float64 // tokens counted into the writer's memory
-	mayHaveRunAt    *server // an attempt that may have run, or may be out yet
+	stateReader     *server // the reader that holds the state
+	confirmedTokens int64   // tokens that the prefix table had as cached at the reader
+	queuedAhead     float64 // unread tokens at the reader at the time of the send
+	unreadTokens    int64   // tokens counted in the server's unreadTokens
+	heldTokens      float64 // tokens counted in the writer's heldTokens
+	mayHaveRunAt    *server // server of the first attempt that may have run or may still be running
 	mayHaveRunSince time.Duration
 	avoid           []*server
-	probes          [probesPerRequest]probe // while probing: the choices, the best first
+	probes          [probesPerRequest]probe // in the probing phase: the choices, best first
 }
 
-// start sends a request to its reader. Where no reader can be had, one that reads in place takes it whole.
+// startRead sends a request to its reader. If there is no usable reader, a server that can read in
+// place takes the request whole.
 func (l *Router) startRead(r *request, c readChoice) {
 	if c.server == nil {
 		if s := l.chooseWriter(r); s != nil && (s.role == Mixed || l.set.ReadInPlace) {
@@ -67,7 +68,7 @@
 	l.send(r, c.server, reading, c.wait+c.readTime)
 }
 
-// send makes an attempt. While a further one is possible it gets half of the time that is left.
+// send starts an attempt. While another attempt is possible, this one gets half of the time left.
 func (l *Router) send(r *request, s *server, p phase, expected float64) {
 	until := r.deadline
 	half := (r.deadline - l.now) / 2
@@ -98,7 +99,7 @@
 	l.send(r, s, writing, float64(s.unreadTokens)*inPlaceSlowdown*l.meanPerToken+l.firstTokenWait(s))
 }
 
-// unbook takes the attempt that is out off its server's counts.
+// removeAttempt removes the outstanding attempt from its server's counts.
 func (l *Router) removeAttempt(r *request) {
 	s := r.server
 	s.pending = without(s.pending, r)
@@ -167,7 +168,8 @@
 	}
 }
 
-// again goes on with a request that has no attempt out, or keeps it while no server can be had.
+// sendNext starts the next attempt of a request that has none outstanding, or parks the request
+// while no server can take it.
 func (l *Router) sendNext(r *request) {
 	if r.attempts >= l.set.MaxAttempts || l.now >= r.deadline {
 		l.giveUp(r, 0)
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -1,16 +1,19 @@
 package logic
 
-// Retries: their budget, time-outs by choice, and the rule on repeats.
+// Retries: their budget, timeouts, and the rule on repeats.
 
 const (
-	retryShare      = 0.2  // further attempts by choice, as a share of arrivals ...
-	retryBurst      = 10.0 // ... and what may be saved up
-	overdueFactor   = 4.0  // an attempt is overdue after this multiple of the expected
-	deviationFactor = 4.0  // of the time that reads took lately, added to the usual time: as for the retransmission timer of RFC 6298
-	overdueAimShare = 0.25 // and never before this share of the shortest aim
+	retryShare    = 0.2  // allowed retries of overdue attempts, as a share of arrivals ...
+	retryBurst    = 10.0 // ... and how many may accumulate
+	overdueFactor = 4.0  // an attempt is overdue after this multiple of its expected duration
+	// Multiple of the deviation of recent read times that is added to their mean, as for the
+	// retransmission timer of RFC 6298.
+	deviationFactor = 4.0
+	overdueAimShare = 0.25 // no attempt is overdue before this share of the shortest first-token target
 )
 
-// allowed tells whether a send to s keeps the request's effect single.
+// repeatAllowed reports whether a send to s keeps to the repeat rule of the request's class, so
+// that the request takes effect only once.
 func (l *Router) repeatAllowed(r *request, s *server) bool {
 	if r.mayHaveRunAt == nil || r.class.Repeat == Safe {
 		return true
@@ -27,11 +30,14 @@
 	return true
 }
 
-// patience is how long an attempt may take before it is overdue. An attempt cut shorter would time out while
-// its server is well, and a fleet of impatient clients would become a storm of attempts.
-// Where a server is heard of seldom, the usual time of all reads lately tells more than its own silence. A router that sees little knows
-// nothing of queues, where a read behind a long prompt takes many times as long as most. Where a read usually takes so much of the aim that
-// one begun anew elsewhere would come late too, their deviation counts. What was passed by later attempts stands behind nothing.
+// overdueAfter is the seconds after which an attempt is overdue. With a shorter limit, attempts at
+// healthy servers would time out, and retries from a whole fleet would become a retry storm.
+//
+// A server that this router rarely uses has little history, so the mean time of all recent reads is
+// taken into account. A router with a partial view does not know the queues, where a read behind a
+// long prompt takes many times as long as most. If reads usually take so much of the first-token
+// target that a retry elsewhere would be late too, their deviation is added. An overtaken attempt,
+// whose server has answered later ones, is not queued, so the deviation is left out.
 func (l *Router) overdueAfter(expected float64, overtaken bool) float64 {
 	typical := l.meanReadTime
 	if l.hasPartialView() && !overtaken && l.meanReadTime > l.minOverdue {
@@ -40,9 +46,10 @@
 	return max(l.minOverdue, overdueFactor*max(expected, typical))
 }
 
-// checkOverdue gives up on an attempt that takes far longer than foreseen at a server that has said nothing
-// since: silence, whatever its cause. Where the server has answered what was sent to it later, which waits behind it,
-// only the attempt's connection is silent. Retries are bounded, so a slowness of all does not become a storm.
+// checkOverdue cancels an attempt that takes far longer than expected at a server that has not
+// responded since the send, whatever the cause. If the server has answered attempts that were sent
+// later, only the connection of this attempt is stalled, and the server does not count as failed.
+// Retries are bounded, so that a slowdown of the whole fleet does not become a retry storm.
 func (l *Router) checkOverdue(r *request) {
 	age := (l.now - r.sentAt).Seconds()
 	s := r.server
--- a/logic/router.go
+++ b/logic/router.go
@@ -1,10 +1,11 @@
-// Package logic decides where a request router sends each prompt: which reader reads it, which
-// writer answers it, when to try again and when to refuse. It does no I/O, keeps no goroutines and
-// reads no clock: the host feeds events with the time and carries out the actions it gets back.
+// Package logic decides where a request router sends each prompt: which reader prefills it, which
+// writer decodes the answer, when to retry and when to refuse. It does no I/O, runs no goroutines
+// and reads no clock: the host feeds it events with the current time and carries out the actions
+// that it returns.
 //
-// A Router is driven through Handle. Each file holds one concern; tuned values stand beside the code
-// that uses them. Each is a ratio or a span that holds for any fleet: everything else is derived from
-// the settings or learned.
+// A Router is driven through Handle. Each file covers one concern, and tuned constants stand beside
+// the code that uses them. Each constant is a ratio or a duration that suits any fleet; everything
+// else is derived from the settings or learned.
 package logic
 
 import (
@@ -14,63 +15,71 @@
 )
 
 const (
-	entryTTL     = 30 * time.Second      // a table entry unheard of for this long is forgotten
-	tickInterval = 40 * time.Millisecond // how often waiting attempts are looked at
+	entryTTL     = 30 * time.Second      // prefix table entries, popularity counts and first attempts expire after this
+	tickInterval = 40 * time.Millisecond // how often outstanding attempts and parked requests are checked
 )
 
 const (
 	tagTick uint64 = iota
 	tagWatch
-	tagRequests // and up: a request's deadline
+	tagRequests // and above: the deadline timer of the request with this number
 )
 
 // Router decides for one router process. It is not safe for concurrent use.
 type Router struct {
-	set            Settings
-	seed           uint64
-	classes        map[string]*classState
-	tenants        map[string]*tenantState
-	servers        map[string]*server
-	order          []*server // in order of first listing
-	readers        pool
-	writers        pool // and servers that do both
-	indexStale     bool // lists were told that readers and writers do not show
-	indexedAt      time.Duration
-	prefixTable    map[tableKey][]cacheEntry
-	requests       map[string]*request
-	bySeq          map[uint64]*request
-	open           []*request // in order of arrival
-	seq            uint64
-	now            time.Duration
-	out            []Action
-	ticking        bool
-	watching       bool
-	lastSweep      time.Duration
+	set         Settings
+	seed        uint64
+	classes     map[string]*classState
+	tenants     map[string]*tenantState
+	servers     map[string]*server
+	order       []*server // in order of first listing
+	readers     pool
+	writers     pool // writers, and servers that do both
+	indexStale  bool // a list has arrived that the reader and writer pools do not reflect yet
+	indexedAt   time.Duration
+	prefixTable map[tableKey][]cacheEntry
+	requests    map[string]*request
+	bySeq       map[uint64]*request
+	open        []*request // in order of arrival
+	seq         uint64
+	now         time.Duration
+	out         []Action
+	ticking     bool
+	watching    bool
+	lastSweep   time.Duration
+	// meanPerToken is the learned read time per prompt token in seconds, over all readers.
 	meanPerToken   float64
 	retryBudget    float64
-	keyArrivals    map[uint64]decayingSum // arrivals by shared beginning, or by session
+	keyArrivals    map[uint64]decayingSum // arrivals by prefix, or by session where a request has no prefix
 	arrivals       decayingSum
-	recentArrivals decayingSum                // the same with the memory of rates
+	recentArrivals decayingSum                // arrivals, with the decay time of read rates
 	firstSeen      map[retryKey]time.Duration // when a request was first seen
-	warmRates      map[string]float64         // requests a second that a warm server of a kind, of weight 1, bore for this router when one was last there
-	minOverdue     float64                    // seconds
-	heldTokens     float64                    // tokens of all our writes, and the memory of all listed writers
+	// warmRates is the requests per second that a warm server of a kind, with weight 1, served for
+	// this router when one was last listed.
+	warmRates  map[string]float64
+	minOverdue float64 // seconds
+	heldTokens float64 // tokens held by all writes of this router
+	// writerMemory is the memory of all listed servers that write, in tokens.
 	writerMemory   float64
-	meanReadTime   float64 // seconds that reads lately took
-	readDeviation  float64 // of that, on average
-	meanFirstToken float64 // seconds from a send to a writer to the first token lately
-	meanExtraWait  float64 // seconds that they waited beyond what was known here, last at extraAt
-	extraWaitAt    time.Duration
+	meanReadTime   float64 // seconds that recent reads took
+	readDeviation  float64 // mean absolute deviation of recent read times
+	meanFirstToken float64 // seconds from a send to a writer to the first token, recently
+	// meanExtraWait is the seconds that recent reads waited beyond the queue known to this router,
+	// as of extraWaitAt.
+	meanExtraWait float64
+	extraWaitAt   time.Duration
 }
 
-// New makes a Router, or says which setting is wrong.
+// New returns a Router, or an error that names the invalid setting.
 func New(set Settings, seed uint64) (*Router, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
 	l := emptyRouter(seed)
 	l.applySettings(set)
-	l.meanReadTime = l.minOverdue / overdueAimShare / overdueFactor // until reads tell, none is overdue before the shortest aim
+	// Until the first reads have ended, no attempt is overdue before the shortest first-token
+	// target.
+	l.meanReadTime = l.minOverdue / overdueAimShare / overdueFactor
 	return l, nil
 }
 
@@ -83,7 +92,7 @@
 	}
 }
 
-// Handle takes one event at clock now and appends the actions that answer it.
+// Handle processes one event at time now and appends the resulting actions to out.
 func (l *Router) Handle(now time.Duration, ev *Event, out []Action) []Action {
 	l.now, l.out = now, out
 	if l.set.ListOnRequest && !l.watching {
@@ -138,14 +147,15 @@
 	}
 }
 
-// tick looks for attempts that are overdue and for parked requests whose time has come.
+// tick checks for overdue attempts and for parked requests that can proceed, and expires old
+// entries.
 func (l *Router) tick() {
 	closed := func(r *request) bool { return l.requests[r.id] != r || r.phase == streaming }
 	l.open = slices.DeleteFunc(l.open, closed)
 	for i := 0; i < len(l.open); i++ {
 		switch r := l.open[i]; {
 		case r.ended:
-		case r.phase == probing: // its timer looks after it
+		case r.phase == probing: // handled by its own timer
 		case r.phase == parked:
 			l.unpark(r)
 		default:
@@ -158,12 +168,12 @@
 		maps.DeleteFunc(l.firstSeen, func(_ retryKey, at time.Duration) bool { return l.now-at > entryTTL })
 		l.order = slices.DeleteFunc(l.order, func(s *server) bool {
 			expired := !s.listed && len(s.pending) == 0 && s.openWrites == 0 && l.now-s.unlistedAt > entryTTL
-			if expired { // replaced by others, with other ids
+			if expired { // replaced by servers with other ids
 				delete(l.servers, s.ID)
 			}
 			return expired
 		})
-		for k, hs := range l.prefixTable { // only drops, so the order does not matter
+		for k, hs := range l.prefixTable { // only deletes entries, so the iteration order does not matter
 			if l.prefixTable[k] = slices.DeleteFunc(hs, func(h cacheEntry) bool { return !l.live(h) }); len(l.prefixTable[k]) == 0 {
 				delete(l.prefixTable, k)
 			}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Settings and their checks.
+// Settings and their validation.
 
 const (
-	quotaBurst = 2.0 // seconds of its share that a tenant may send at once
+	quotaBurst = 2.0 // seconds of its quota that a tenant may send in one burst
 )
 
-// Role tells what a kind of server does.
+// Role is the role of a kind of server.
 type Role uint8
 
-// The roles of server kinds.
+// Roles of server kinds.
 const (
-	Reader Role = iota // reads prompts and holds their state
+	Reader Role = iota // prefills prompts and holds their state
 	Writer             // fetches a state and streams the answer
 	Mixed              // does both
 )
 
 func (r Role) String() string { return name(r, "reader", "writer", "mixed") }
 
-// Repeat tells whether a class may run more than once.
+// Repeat says whether a request of a class may run more than once.
 type Repeat uint8
 
-// The repeat classes.
+// Repeat values.
 const (
 	Safe   Repeat = iota // may run any number of times
-	Keyed                // repeats are dropped within a group for a while
-	Unsafe               // may run once only
+	Keyed                // a group of servers deduplicates repeats for a while
+	Unsafe               // may run only once
 )
 
 func (r Repeat) String() string { return name(r, "safe", "keyed", "unsafe") }
 
-// Scope is the group of servers that drops the repeats of a keyed request.
+// Scope is the group of servers that deduplicates repeats of a keyed request.
 type Scope uint8
 
-// The scopes.
+// Scope values.
 const (
 	AllServers Scope = iota
 	SameZone
@@ -53,15 +53,15 @@
 type Kind struct {
 	Name         string
 	Role         Role
-	MemoryTokens int64 // 0 where unknown
+	MemoryTokens int64 // 0 if unknown
 }
 
 // Class describes one class of requests.
 type Class struct {
 	Name      string
-	Aim       time.Duration // first token within this earns the full worth
-	AimPer1K  time.Duration // added for each 1,000 prompt tokens
-	TokenAim  time.Duration // wanted mean time between tokens
+	Aim       time.Duration // target time to first token; an answer within it earns the full worth
+	AimPer1K  time.Duration // added to Aim for each 1,000 prompt tokens
+	TokenAim  time.Duration // target mean time between tokens
 	Deadline  time.Duration
 	LateWorth float64
 	Worth     float64
@@ -70,53 +70,57 @@
 	Window    time.Duration // for Keyed
 }
 
-// Tenant describes one customer of the fleet.
+// Tenant describes one tenant of the fleet.
 type Tenant struct {
 	Name     string
-	QuotaRPS float64 // requests a second within its share, all routers together
+	QuotaRPS float64 // its quota in requests per second, over all routers
 }
 
-// Settings is what an instance is told at its start.
+// Settings is the configuration of one router.
 type Settings struct {
-	Siblings         int // instances of this tier, this one included
-	Zone             string
-	Kinds            []Kind
-	Classes          []Class
-	Tenants          []Tenant
-	OverQuotaWorth   float64       // worth of what exceeds a tenant's share, as a fraction
-	ReadInPlace      bool          // a writer without a state reads the prompt itself
-	CanCancel        bool          // Cancel is allowed
-	CanProbe         bool          // Probe is allowed
-	ProbePrice       float64       // price of a probe for each request, as a share of its worth
-	CancelStopsWork  bool          // what was given up is over; else its read may go on, as the end of a connection may not come to the server
-	ListOnRequest    bool          // the list of servers comes only after Watch or Fetch
-	MaxAttempts      int           // sends for a request, at most
+	Siblings       int // routers of this tier, including this one
+	Zone           string
+	Kinds          []Kind
+	Classes        []Class
+	Tenants        []Tenant
+	OverQuotaWorth float64 // worth of requests beyond a tenant's quota, as a fraction
+	ReadInPlace    bool    // a writer without a state reads the prompt itself
+	CanCancel      bool    // the host can carry out Cancel
+	CanProbe       bool    // the host can carry out Probe
+	ProbePrice     float64 // price of a probe, as a share of a request's worth
+	// CancelStopsWork means that an abandoned attempt is over. Otherwise its read may go on, as the
+	// close of the connection may not reach the server.
+	CancelStopsWork  bool
+	ListOnRequest    bool          // the list of servers arrives only after Watch
+	MaxAttempts      int           // maximum number of sends for a request
 	CrossZonePrice   float64       // price of an attempt in another zone, as a share of a request's worth
-	MaxRetryAfter    time.Duration // longest pause a client honours; 0 where none is conveyed
+	MaxRetryAfter    time.Duration // longest pause that clients honour; 0 if it can't be conveyed
 	ReleaseWithin    time.Duration // a held state is sent on or released within this
-	ColdFrom         float64       // capacity of a just started server, at least
-	RampTime         time.Duration // and it is warm no later than this
-	FallMultiple     float64       // sent more than this multiple of its capacity
-	FallTime         time.Duration // for this long, it falls over
-	ListPollInterval time.Duration // ask for the list no less often, where it must be asked
-
-	// WarmRates is the requests a second that a warm server of a kind and of weight 1 is known to have borne for this router, for while
-	// none of its kind is warm; none where nothing is known.
+	ColdFrom         float64       // least capacity of a server that has just started, as a share of its full capacity
+	RampTime         time.Duration // a server is warm after this at the latest
+	FallMultiple     float64       // a server is overloaded when it is sent more than this multiple of its capacity ...
+	FallTime         time.Duration // ... for this long
+	ListPollInterval time.Duration // longest interval between polls of the list, where it must be polled
+
+	// WarmRates is, by kind, the requests per second that a warm server with weight 1 is known to
+	// have served for this router. It is used while no server of the kind is warm, and is empty if
+	// nothing is known.
 	WarmRates map[string]float64
 
-	// What follows binds the host that carries out the actions; no decision reads it.
-	DrainGrace     time.Duration // a draining or gone server gets nothing new later than this
-	AnswerSlack    time.Duration // a final answer counts until so long after the deadline
-	ConnIdle       time.Duration // a server closes a connection that has stood idle for this long
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
-	MaxOpen        int           // requests open at once; 0 = no limit told
-	Resume         bool          // clients ask for the rest of a stream that broke
+	// The fields below are for the host that carries out the actions; no decision uses them.
+	DrainGrace     time.Duration // a draining or gone server is sent nothing new after this
+	AnswerSlack    time.Duration // a final answer still counts until this long after the deadline
+	ConnIdle       time.Duration // a server closes connections that have been idle for this long
+	ConnectTimeout time.Duration // a connection that is not established within this has failed
+	MaxOpen        int           // maximum number of open requests; 0 if there is no limit
+	Resume         bool          // clients ask for the rest of a broken stream
 }
 
-// CanResumeElsewhere tells whether a client whose stream ends early finds the rest of it at another router.
+// CanResumeElsewhere reports whether a client whose stream breaks can get the rest of it from
+// another router.
 func (s Settings) CanResumeElsewhere() bool { return s.Resume && s.Siblings > 1 }
 
-// check names the first setting that no Router can work with.
+// check returns an error that names the first invalid setting.
 func (s Settings) check() error {
 	invalid := func(name string, v any) error { return fmt.Errorf("logic: setting %s: %v is not allowed", name, v) }
 	switch {
@@ -143,8 +147,8 @@
 	return nil
 }
 
-// UpdateSettings puts other settings in force, or says which is wrong. What was learned stays, and so do the classes of
-// the requests that are open.
+// UpdateSettings applies new settings, or returns an error that names the invalid one. Learned
+// estimates are kept, and open requests keep their class.
 func (l *Router) UpdateSettings(set Settings) error {
 	if err := set.check(); err != nil {
 		return err
@@ -178,7 +182,7 @@
 	l.classes, l.tenants = classes, tenants
 }
 
-// place finds a server's role and memory by its kind.
+// setRole sets a server's role and memory from its kind.
 func (l *Router) setRole(s *server) {
 	for _, k := range l.set.Kinds {
 		if k.Name == s.Kind {
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -5,43 +5,49 @@
 	"time"
 )
 
-// Slow start: the budget of servers that may be cold.
+// Slow start: the request budget of servers that may be cold.
 
 const (
-	coldSafety       = 0.5 // part of the allowed work that a cold server is sent
-	coldOnlySafety   = 0.8 // and where no warm one of its kind could serve instead
-	coldSessionShare = 0.8 // and part of the sessions at home at a reader in slow start that move there
+	coldSafety       = 0.5 // share of the allowed load that a cold server is sent
+	coldOnlySafety   = 0.8 // the same where the cold servers are the only ones of their kind
+	coldSessionShare = 0.8 // share of the sessions with their home at a reader in slow start that move there
 )
 
 func (l *Router) inSlowStart(s *server) bool {
 	return s.Started > 0 && l.now < s.Started+l.set.RampTime
 }
 
-// cold tells whether a server may be cold: a young one, and one that failed, as it may come back unseen and
-// be pushed over by the first attempts of hundreds of routers.
+// cold reports whether a server may be cold: one in slow start, or one that has failed, as it may
+// have restarted unnoticed and be overloaded by the first attempts of hundreds of routers.
 func (l *Router) cold(s *server) bool { return l.inSlowStart(s) || s.failures > 0 }
 
-// warmth is the part of its capacity that a cold server surely has: it may rise late, so the square is taken.
+// warmth is the share of its capacity that a cold server has at least. It may warm up late, so the
+// ramp is squared.
 func (l *Router) warmth(s *server) float64 {
 	x := min(float64(l.now-max(s.Started, s.failingSince))/float64(l.set.RampTime), 1)
 	return max(l.set.ColdFrom+(1-l.set.ColdFrom)*x*x, 0.05)
 }
 
-// seesLittle tells whether this router, one of many, sees too little of the fleet to know its part of it.
+// hasPartialView reports whether this is one of so many routers that it sees too little of the
+// traffic to estimate its share of the fleet.
 func (l *Router) hasPartialView() bool { return l.set.Siblings > sharePrior }
 
-// movesToNewcomer tells whether a session moves to its home where that is a reader in slow start, one of so many homes of its text. It gets the
-// part of them that its warmth bears, the same at all routers whatever they have seen, less of texts that crowd beyond what their other
-// homes take, and none more than two sends ahead of its credit, which is counted up to now, as it is a candidate.
+// movesToNewServer reports whether a session moves to its home, one of several for its prefix, if
+// that is a reader in slow start. The reader gets the share of sessions that its warmth allows, and
+// less of a prefix whose demand exceeds the capacity of its other homes. The share is the same at
+// all routers, whatever each has seen. A session moves no more than two sends ahead of the reader's
+// credit, which is up to date because the reader is a candidate.
 func (l *Router) movesToNewServer(r *request, s *server, readers, homes int) bool {
 	demand := l.demand(r, readers, demandPrior) / float64(homes)
 	share := coldSessionShare * l.set.FallMultiple * l.warmth(s) / max(demand, 1)
 	return l.inSlowStart(s) && s.coldCredit >= -1 && unit(mix(r.Session+1)^s.hash) < share
 }
 
-// coldAllows keeps what all routers together send a cold server under the rule. What a warm server of its kind serves
-// for each arrival here stands for our part of a capacity and earns credit for sends. Credit begins at a seeded part of one, so where
-// a part is far below one send a window, a few routers may send in each window.
+// withinColdBudget keeps the total load that all routers send to a cold server within the limit.
+// The load that a warm server of its kind serves for each arrival here stands for this router's
+// share of a server's capacity, and earns credit for sends. The initial credit is a random fraction
+// of one send that depends on the seed, so that where the share is far below one send per window, a
+// few of the routers may send in each window.
 func (l *Router) withinColdBudget(s *server) bool {
 	if !l.cold(s) {
 		return true
@@ -49,7 +55,7 @@
 	window, arrivals := l.set.FallTime.Seconds(), l.recentArrivals.add(l.now, 0, rateDecay)
 	share, safety := l.arrivalShare(s, arrivals)
 	budget := safety * l.set.FallMultiple * l.warmth(s) * s.Weight * share * arrivals * window / rateDecay.Seconds()
-	budget = max(budget, 1/float64(l.set.Siblings)) // one send a window by all, where nothing tells more
+	budget = max(budget, 1/float64(l.set.Siblings)) // one send per window by all routers together, where nothing else is known
 	if s.coldCreditAt < max(s.Started, s.failingSince) {
 		s.coldCredit, s.coldCreditAt = unit(l.seed^s.hash), l.now
 	}
@@ -58,9 +64,11 @@
 	return s.coldCredit >= 1
 }
 
-// shareOf is the part of each arrival here that a warm server of the kind of s, and of weight 1, takes, and how much of the allowed work
-// may go by it. A router that has seen few arrivals presumes that they are shared evenly: over all routers that is right, while what each
-// has seen served itself starves newcomers where routers restart. While none of the kind is warm, it goes by what the last warm ones bore.
+// arrivalShare is the part of this router's arrivals that a warm server of the kind of s with
+// weight 1 serves, and the share of the allowed load that may be sent on the strength of it. A
+// router with few arrivals assumes that they are spread evenly. Summed over all routers that is
+// right, whereas each router's own observations would starve new servers after routers restart.
+// While no server of the kind is warm, the last known rate of the warm ones is used.
 func (l *Router) arrivalShare(s *server, arrivals float64) (share, safety float64) {
 	load := l.loadOf(l.poolOf(s))
 	served, weight := load.warm[s.Kind].served, load.warm[s.Kind].weight
@@ -72,33 +80,37 @@
 		}
 	}
 	prior := max(sharePrior-arrivals, 0)
-	if s.role == Mixed { // what a kind gets beside others shows in time only
+	if s.role == Mixed { // the load of mixed servers depends on the others, and shows only over time
 		prior = 0
 	}
 	return (served/weight + prior/max(load.weight, s.Weight)) / max(arrivals+prior, 1e-9), safety
 }
 
-// sideLoad is what the servers of a side weigh, and what the warm ones of each kind bear.
+// poolLoad is the total weight of a pool's servers, and the load that the warm ones of each kind
+// serve.
 type poolLoad struct {
-	at     time.Duration // when it was summed up
+	at     time.Duration // when the sums were computed
 	summed bool
 	weight float64
-	ready  int // servers in no failure's pause, of those in slow start the ones that had credit when they were last looked at
-	warm   map[string]warmLoad
+	// ready counts the servers without failures. Those in slow start count only if they had credit
+	// when last checked, or for readers if the router has a partial view.
+	ready int
+	warm  map[string]warmLoad
 }
 
-// warmLoad is what the warm servers of a kind served lately, and weigh.
+// warmLoad is what the warm servers of a kind served recently, and their weight.
 type warmLoad struct {
 	served, weight float64
 	count          int
 	mixed          bool
 }
 
-// sumEvery is how long what was made of all servers is good for, for each of them. So neither a decision nor a list costs more in a larger
-// fleet, and in one of a hundred servers nothing is older than some milliseconds.
+// sumIntervalPerServer, multiplied by the number of servers, is how long sums over all servers are
+// reused. The cost of a decision or a list therefore does not grow with the fleet, and in a fleet
+// of a hundred servers no sum is older than a few milliseconds.
 const sumIntervalPerServer = 40 * time.Microsecond
 
-// loadOf gives the sums over a side.
+// loadOf returns the sums over a pool.
 func (l *Router) loadOf(p *pool) *poolLoad {
 	if p.load.summed && l.now-p.load.at <= sumIntervalPerServer*time.Duration(len(p.servers)) {
 		return &p.load
@@ -122,11 +134,12 @@
 	return &p.load
 }
 
-// rememberBorne notes what the warm servers of each kind bear, before a list takes them away.
+// recordWarmRates saves the rates that the warm servers of each kind serve, before a new list
+// removes the servers.
 func (l *Router) recordWarmRates() {
 	for _, readers := range []bool{true, false} {
 		for kind, warm := range l.loadOf(l.poolFor(readers)).warm {
-			if warm.count < 2 || warm.mixed { // the load of a single one tells too little, and what a mixed one gets depends on the others
+			if warm.count < 2 || warm.mixed { // one server's load says too little, and that of mixed servers depends on the others
 				continue
 			}
 			l.warmRates[kind] = warm.served / warm.weight / rateDecay.Seconds()
--- a/logic/tenants.go
+++ b/logic/tenants.go
@@ -9,7 +9,8 @@
 	at           time.Duration
 }
 
-// overShare books an arrival on its tenant and tells whether it exceeds this router's part of the share.
+// overQuota counts an arrival against its tenant's quota and reports whether it exceeds this
+// router's share of the quota.
 func (l *Router) overQuota(r *request) bool {
 	t := l.tenants[r.Tenant]
 	if t == nil || t.rate <= 0 {
--- a/logic/writer.go
+++ b/logic/writer.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// Choice of the writer for a read state.
+// Choice of the writer that takes a state.
 
 const (
-	tieSpread  = 0.1  // loads that differ by less are ranked among
-	nearMargin = 0.25 // a near writer may be this share of memory above the least
+	tieSpread  = 0.1  // writers whose loads differ by less are chosen among at random
+	nearMargin = 0.25 // a nearby writer may be fuller than the least loaded one by this share of memory
 )
 
-// load is a writer's share of memory in use, as far as can be seen from here: what it reported, by age, over
-// what writers hold on average. Our own count stands for all routers' only as far as many writes are ours.
+// load is the estimated share of a writer's memory in use: the mean over all writers, corrected by
+// the writer's own report, weighted by its age. This router's own count of tokens there stands for
+// that of all routers only to the extent that the router has many writes there.
 func (l *Router) load(s *server) float64 {
 	memory := max(s.memoryTokens, 1) * s.Weight
 	siblings := float64(l.set.Siblings)
@@ -20,13 +21,13 @@
 	if age := l.now - s.reportAt; s.reportAt > 0 && age < queueDecay && s.report.MemoryHeld >= 0 {
 		load += (max(s.report.MemoryHeld+s.tokensSinceReport/memory, s.heldTokens/memory) - load) * decay(age, queueDecay)
 	}
-	if l.cold(s) && !l.inSlowStart(s) { // a young one is sent no more than its part anyway
+	if l.cold(s) && !l.inSlowStart(s) { // a server in slow start is within its budget anyway
 		load /= l.warmth(s)
 	}
 	return load
 }
 
-// startWait is the seconds from a send to the first token that a writer shows now.
+// firstTokenWait is the current estimate of the seconds from a send to the first token at a writer.
 func (l *Router) firstTokenWait(s *server) float64 {
 	wait := s.firstToken * decay(l.now-s.firstTokenAt, queueDecay)
 	for _, r := range s.pending {
@@ -35,8 +36,9 @@
 	return wait
 }
 
-// expectedStart is startWait, and in a large fleet, of which few have been heard of lately, the usual one where nothing is known: else those
-// that are known would always come last.
+// expectedFirstToken is firstTokenWait, but in a large fleet, where this router has recent values
+// for few writers, the mean is used for the others. Otherwise writers with a known wait would
+// always rank last.
 func (l *Router) expectedFirstToken(s *server) float64 {
 	wait := l.firstTokenWait(s)
 	if len(l.writers.servers) <= fullScanLimit {
@@ -49,9 +51,11 @@
 	return wait + l.meanFirstToken*(1-known)
 }
 
-// chooseWriter gives a writer near the least load, in the state's cell if it can, else its zone. Near-ties
-// are ranked by seed, or all routers that know as little would pick the same. Where a cell or zone has more
-// than its share of the reading, only its writers' part of the states stays: else they jam and others idle.
+// chooseWriter returns a writer near the least load, if possible in the cell of the state's reader,
+// or else in its zone. Near-ties are ranked at random by seed, as routers with equally little
+// knowledge would otherwise all pick the same writer. If a cell or zone has more than its share of
+// the readers, only the part of the states that its writers can take stays there: otherwise they
+// would be overloaded while others are idle.
 func (l *Router) chooseWriter(r *request) *server {
 	writers := l.candidates(r, false).servers
 	least, hash := math.Inf(1), l.seed^mix(r.seq)
@@ -70,7 +74,7 @@
 			continue
 		}
 		proximity := 0
-		if l.inSlowStart(s) && r.stateReader != nil && s.Zone == r.stateReader.Zone { // it has credit, and credit unused is lost
+		if l.inSlowStart(s) && r.stateReader != nil && s.Zone == r.stateReader.Zone { // it has credit, and unused credit is lost
 			proximity = 3
 		} else if stayInCell && s.Cell == r.stateReader.Cell {
 			proximity = 2
