--- a/logic/writer.go
+++ b/logic/writer.go
@@ -2,83 +2,87 @@
 
 import "math"
 
-// Choice of the writer for a read state.
+// Choice of the writer that takes a state.
 
 const (
-	tieSpread  = 0.1  // loads that differ by less are ranked among
-	nearMargin = 0.25 // a near writer may be this share of memory above the least
+	tieSpread  = 0.1  // writers whose loads differ by less are chosen among at random
+	nearMargin = 0.25 // a nearby writer may be fuller than the least loaded one by this share of memory
 )
 
-// load is a writer's share of memory in use, as far as can be seen from here: what it reported, by age, over
-// what writers hold on average. Our own count stands for all routers' only as far as many writes are ours.
+// load is the estimated share of a writer's memory in use: the mean over all writers, corrected by
+// the writer's own report, weighted by its age. This router's own count of tokens there stands for
+// that of all routers only to the extent that the router has many writes there.
 func (l *Router) load(s *server) float64 {
-	memory := max(s.memory, 1) * s.Weight
+	memory := max(s.memoryTokens, 1) * s.Weight
 	siblings := float64(l.set.Siblings)
-	mean := l.held * siblings / max(l.memory, 1)
-	own := float64(s.writes)
-	load := mean + (s.held*siblings/memory-mean)*own/(own+siblings)
-	if age := l.now - s.reportAt; s.reportAt > 0 && age < queueMemory && s.report.MemoryHeld >= 0 {
-		load += (max(s.report.MemoryHeld+s.sentTok/memory, s.held/memory) - load) * fade(age, queueMemory)
+	mean := l.heldTokens * siblings / max(l.writerMemory, 1)
+	own := float64(s.openWrites)
+	load := mean + (s.heldTokens*siblings/memory-mean)*own/(own+siblings)
+	if age := l.now - s.reportAt; s.reportAt > 0 && age < queueDecay && s.report.MemoryHeld >= 0 {
+		load += (max(s.report.MemoryHeld+s.tokensSinceReport/memory, s.heldTokens/memory) - load) * decay(age, queueDecay)
 	}
-	if l.cold(s) && !l.inSlowStart(s) { // a young one is sent no more than its part anyway
+	if l.cold(s) && !l.inSlowStart(s) { // a server in slow start is within its budget anyway
 		load /= l.warmth(s)
 	}
 	return load
 }
 
-// startWait is the seconds from a send to the first token that a writer shows now.
-func (l *Router) startWait(s *server) float64 {
-	wait := s.start * fade(l.now-s.startAt, queueMemory)
-	for _, r := range s.waiting {
+// firstTokenWait is the current estimate of the seconds from a send to the first token at a writer.
+func (l *Router) firstTokenWait(s *server) float64 {
+	wait := s.firstToken * decay(l.now-s.firstTokenAt, queueDecay)
+	for _, r := range s.pending {
 		wait = max(wait, (l.now - r.sentAt).Seconds())
 	}
 	return wait
 }
 
-// expectedStart is startWait, and in a large fleet, of which few have been heard of lately, the usual one where nothing is known: else those
-// that are known would always come last.
-func (l *Router) expectedStart(s *server) float64 {
-	wait := l.startWait(s)
-	if len(l.writers.servers) <= allWeighed {
+// expectedFirstToken is firstTokenWait, but in a large fleet, where this router has recent values
+// for few writers, the mean is used for the others. Otherwise writers with a known wait would
+// always rank last.
+func (l *Router) expectedFirstToken(s *server) float64 {
+	wait := l.firstTokenWait(s)
+	if len(l.writers.servers) <= fullScanLimit {
 		return wait
 	}
 	known := 0.0
-	if s.startAt > 0 {
-		known = fade(l.now-s.startAt, queueMemory)
+	if s.firstTokenAt > 0 {
+		known = decay(l.now-s.firstTokenAt, queueDecay)
 	}
-	return wait + l.usualStart*(1-known)
+	return wait + l.meanFirstToken*(1-known)
 }
 
-// chooseWriter gives a writer near the least load, in the state's cell if it can, else its zone. Near-ties
-// are ranked by seed, or all routers that know as little would pick the same. Where a cell or zone has more
-// than its share of the reading, only its writers' part of the states stays: else they jam and others idle.
+// chooseWriter returns a writer near the least load, if possible in the cell of the state's reader,
+// or else in its zone. Near-ties are ranked at random by seed, as routers with equally little
+// knowledge would otherwise all pick the same writer. If a cell or zone has more than its share of
+// the readers, only the part of the states that its writers can take stays there: otherwise they
+// would be overloaded while others are idle.
 func (l *Router) chooseWriter(r *request) *server {
 	writers := l.candidates(r, false).servers
-	least, draw := math.Inf(1), l.seed^mix(r.seq)
+	least, hash := math.Inf(1), l.seed^mix(r.seq)
 	loads := make([]float64, len(writers))
 	for i, s := range writers {
-		loads[i] = l.load(s) + errorPrice*l.errorRate(s) + tieSpread*unit(draw^s.hash) + l.connectPrice(s) + nearMargin*l.expectedStart(s)/l.overdue
+		loads[i] = l.load(s) + errorPenalty*l.errorRate(s) + tieSpread*unit(hash^s.hash) + l.connectionPenalty(s) + nearMargin*l.expectedFirstToken(s)/l.minOverdue
 		least = min(least, loads[i])
 	}
-	stay := r.state != nil && unit(draw)*r.state.crowd < 1
-	stayInZone := r.state != nil && unit(draw)*r.state.zoneCrowd < 1
+	stayInCell := r.stateReader != nil && unit(hash)*r.stateReader.readerRatio < 1
+	stayInZone := r.stateReader != nil && unit(hash)*r.stateReader.zoneReaderRatio < 1
 	var best *server
 	var bestLoad float64
-	var bestNear int
+	var bestProximity int
 	for i, s := range writers {
 		if loads[i] > least+nearMargin {
 			continue
 		}
-		near := 0
-		if l.inSlowStart(s) && r.state != nil && s.Zone == r.state.Zone { // it has credit, and credit unused is lost
-			near = 3
-		} else if stay && s.Cell == r.state.Cell {
-			near = 2
-		} else if stayInZone && s.Zone == r.state.Zone {
-			near = 1
+		proximity := 0
+		if l.inSlowStart(s) && r.stateReader != nil && s.Zone == r.stateReader.Zone { // it has credit, and unused credit is lost
+			proximity = 3
+		} else if stayInCell && s.Cell == r.stateReader.Cell {
+			proximity = 2
+		} else if stayInZone && s.Zone == r.stateReader.Zone {
+			proximity = 1
 		}
-		if best == nil || near > bestNear || near == bestNear && loads[i] < bestLoad {
-			best, bestLoad, bestNear = s, loads[i], near
+		if best == nil || proximity > bestProximity || proximity == bestProximity && loads[i] < bestLoad {
+			best, bestLoad, bestProximity = s, loads[i], proximity
 		}
 	}
 	return best
