--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -45,7 +45,7 @@
 				return fmt.Errorf("a batch ends that has not begun")
 			}
 			inBatch = false
-			if err := w.Yield(batch); err != nil {
+			if err := w.EndBatch(batch); err != nil {
 				return err
 			}
 			continue
@@ -75,8 +75,8 @@
 // fault tells the simulator of an error where an instance is known to name, and returns it.
 func fault(w *wire.Writer, instance int, batch string, err error) error {
 	if instance >= 0 {
-		if w.Fault(instance, err.Error()) == nil && batch != "" {
-			_ = w.Yield(batch) // the process ends with the error itself
+		if w.InternalError(instance, err.Error()) == nil && batch != "" {
+			_ = w.EndBatch(batch) // the process ends with the error itself
 		}
 	}
 	return err
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -58,11 +58,11 @@
 // New makes the front of a core; its requests travel by the pool.
 func New(core *dispatch.Dispatcher, pool *replica.Pool, classes []logic.Class, set Options) (*Front, error) {
 	f := &Front{core: core, pool: pool, set: set, ledger: newLedger(), json: jsoniter.ConfigCompatibleWithStandardLibrary}
-	return f, f.Retune(classes)
+	return f, f.UpdateClasses(classes)
 }
 
-// Retune puts other classes in force for the requests to come, or says which model lacks its own.
-func (f *Front) Retune(classes []logic.Class) error {
+// UpdateClasses puts other classes in force for the requests to come, or says which model lacks its own.
+func (f *Front) UpdateClasses(classes []logic.Class) error {
 	byModel := map[string]logic.Class{}
 	for model, name := range f.set.Models {
 		for _, c := range classes {
@@ -86,7 +86,7 @@
 }
 
 func (f *Front) serve(ctx *fasthttp.RequestCtx, body []byte) {
-	received := front.Received(ctx)
+	received := front.ReceivedAt(ctx)
 	switch p := string(ctx.Path()); {
 	case p == path && ctx.IsPost():
 		if err := f.complete(ctx, body, received); err != nil {
@@ -95,7 +95,7 @@
 	case p == models && ctx.IsGet():
 		f.list(ctx)
 	case p == "/-/ready":
-		front.Ready(ctx, f.core)
+		front.ServeReadiness(ctx, f.core)
 	case p == path || p == models:
 		f.fail(ctx, &fault{fasthttp.StatusMethodNotAllowed, "method_not_allowed", "", "the method is not allowed here"})
 	default:
@@ -132,7 +132,7 @@
 	var noted dispatch.Noted
 	switch {
 	case class.Repeat == logic.Unsafe && f.set.Ledger != nil:
-		noted, err = once.Enter(f.set.Ledger, h, customer(h, b), text, ask.Again, received.Add(ask.Remaining))
+		noted, err = once.Admit(f.set.Ledger, h, customer(h, b), text, ask.Again, received.Add(ask.Remaining))
 		if bookkeeping.MayHaveRun(err) {
 			f.mayHaveRun(ctx, err.Error())
 			return nil
@@ -153,13 +153,13 @@
 		}
 		done = func(mayHaveRun bool) { f.ledger.close(key, mayHaveRun) }
 	}
-	t := f.core.Take(dispatch.Request{ID: id, Ask: ask, Received: received, ClientGone: front.HungUp(ctx), Size: len(text), Noted: noted, Parcel: &replica.Parcel{
+	t := f.core.Take(dispatch.Request{ID: id, Ask: ask, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Noted: noted, Parcel: &replica.Parcel{
 		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: path, Host: string(h.Host()), Body: text,
 		Headers: headers(ask, h)}})
-	a, stop := front.Await(ctx, t)
+	a, stop := front.AwaitAnswer(ctx, t)
 	done(a.MayRun || a.Verdict == dispatch.Served)
 	f.answer(ctx, t, a, stop, b, class)
-	front.Mark(ctx, a)
+	front.SetSettingsHeader(ctx, a)
 	return nil
 }
 
@@ -168,11 +168,11 @@
 	unsafe := class.Repeat != logic.Safe
 	switch a.Verdict {
 	case dispatch.Served:
-		relay := &front.Body{Stream: a.Stream, Ticket: t, Stop: stop}
+		relay := &front.StreamBody{Stream: a.Stream, Ticket: t, StopWatch: stop}
 		if b.Stream {
 			ctx.SetContentType("text/event-stream")
 			ctx.Response.Header.Set("Cache-Control", "no-cache")
-			ctx.Response.SetBodyStream(&events{Body: relay}, -1)
+			ctx.Response.SetBodyStream(&events{StreamBody: relay}, -1)
 			return
 		}
 		defer relay.Close() //nolint:errcheck // it has no error
@@ -203,7 +203,7 @@
 // events passes a stream's events on unchanged. A stream that breaks off ends with an error event and without
 // the last chunk: libraries raise either, and none sends the request anew once events have come.
 type events struct {
-	*front.Body
+	*front.StreamBody
 	tail   [64]byte // the last bytes passed on
 	n      int
 	broken error
@@ -215,7 +215,7 @@
 	if e.broken != nil {
 		return 0, e.broken
 	}
-	n, err := e.Body.Read(p)
+	n, err := e.StreamBody.Read(p)
 	e.keep(p[:n])
 	switch {
 	case err == nil:
@@ -243,7 +243,7 @@
 
 // mark names an instruction: by the client's key if it gave one, else by its words.
 func (f *Front) mark(h *fasthttp.RequestHeader, b *body, text []byte) (key uint64, named bool) {
-	if k := h.Peek(once.HeaderKey); len(k) > 0 {
+	if k := h.Peek(once.KeyHeader); len(k) > 0 {
 		return hash("key", b.User, string(k)), true
 	}
 	return hash("words", string(h.Peek("Authorization")), string(text)), false
@@ -270,8 +270,8 @@
 	}
 	all := [][2]string{{"Content-Type", "application/json"}, {"X-Qos", q.Class},
 		{"X-Object", fmt.Sprintf("%016x", q.Session)}, {"X-Props", props}}
-	if key := h.Peek(once.HeaderKey); len(key) > 0 { // replicas may throw repeats away by it
-		all = append(all, [2]string{once.HeaderKey, string(key)})
+	if key := h.Peek(once.KeyHeader); len(key) > 0 { // replicas may throw repeats away by it
+		all = append(all, [2]string{once.KeyHeader, string(key)})
 	}
 	return all
 }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -89,7 +89,7 @@
 }
 
 func TestStreamedAnswerComesWholeAndUnchanged(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) { x.Answer("light ", "bill ", "paid") })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("light ", "bill ", "paid") })
 	s := sdk(addr).Chat.Completions.NewStreaming(context.Background(), params("act"))
 	text := ""
 	for s.Next() {
@@ -115,18 +115,18 @@
 func TestPlainServers(t *testing.T) {
 	rig, addr := start(t, nil, func(x *standin.Exchange) { x.Answer("one ", "stage") })
 	c, err := sdk(addr).Chat.Completions.New(context.Background(), params("act"))
-	if err != nil || c.Choices[0].Message.Content != "one stage" || rig.Runs() != 1 {
-		t.Errorf("got %v, %v after %d sends", c, err, rig.Runs())
+	if err != nil || c.Choices[0].Message.Content != "one stage" || rig.WriterRequests() != 1 {
+		t.Errorf("got %v, %v after %d sends", c, err, rig.WriterRequests())
 	}
 	broken, addr := start(t, nil, func(x *standin.Exchange) { x.Break() })
-	if _, err := sdk(addr).Chat.Completions.New(context.Background(), params("act")); err == nil || broken.Runs() != 1 {
-		t.Errorf("got %v after %d sends", err, broken.Runs())
+	if _, err := sdk(addr).Chat.Completions.New(context.Background(), params("act")); err == nil || broken.WriterRequests() != 1 {
+		t.Errorf("got %v after %d sends", err, broken.WriterRequests())
 	}
 }
 
 // Guards: replicas may end a whole stream without [DONE], which libraries of the API wait for.
 func TestDoneIsAddedWhereItLacks(t *testing.T) {
-	_, addr := start(t, fronttest.Read, func(x *standin.Exchange) {
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		x.Token("x")
 		_, _ = io.WriteString(x.Conn, "0\r\n\r\n")
@@ -137,7 +137,7 @@
 }
 
 func TestAnswerInOnePiece(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) { x.Answer("a", "b") })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("a", "b") })
 	c, err := sdk(addr).Chat.Completions.New(context.Background(), params("ask"))
 	if err != nil {
 		t.Fatal(err)
@@ -162,13 +162,13 @@
 		"no words": func(x *standin.Exchange) { x.Status(503, false, "") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			rig, addr := start(t, fronttest.Read, act, act)
+			rig, addr := start(t, fronttest.HealthyReader, act, act)
 			_, err := sdk(addr).Chat.Completions.New(context.Background(), params("act"))
 			var e *openai.Error
 			if !errors.As(err, &e) || e.StatusCode != statusMayHaveRun || e.Code != "may_have_run" {
 				t.Errorf("got %v", err)
 			}
-			if n := rig.Runs(); n != 1 {
+			if n := rig.WriterRequests(); n != 1 {
 				t.Errorf("it was sent to writers %d times", n)
 			}
 			if totals, _ := rig.Core.Counts.Snapshot(); totals.Taken != 1 {
@@ -180,13 +180,13 @@
 
 // Guards: the library gives up by its own time and sends the instruction anew, while the first may be running.
 func TestInstructionAbandonedByItsClientIsNotRunAgain(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) { x.Gone() })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone() })
 	_, err := sdk(addr, option.WithRequestTimeout(time.Second)).Chat.Completions.New(context.Background(), params("act"))
 	if err == nil {
 		t.Error("it was answered")
 	}
-	fronttest.Wait(t, "the first try to end", func() bool { return rig.Verdicts(dispatch.Left)+rig.Verdicts(dispatch.Failed) == 1 })
-	if n := rig.Runs(); n != 1 {
+	fronttest.WaitFor(t, "the first try to end", func() bool { return rig.CountVerdicts(dispatch.Left)+rig.CountVerdicts(dispatch.Failed) == 1 })
+	if n := rig.WriterRequests(); n != 1 {
 		t.Errorf("it was sent to writers %d times", n)
 	}
 }
@@ -201,7 +201,7 @@
 		x.Gone()
 		gone <- true
 	}, func(x *standin.Exchange) { x.Answer("twice!") })
-	rig, addr := start(t, fronttest.Read, act, act)
+	rig, addr := start(t, fronttest.HealthyReader, act, act)
 	rig.Pool.Stall = 30 * time.Second // what ends the attempt is the client
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -224,8 +224,8 @@
 	if resp, text := post(t, addr, body, "Idempotency-Key", "k1"); resp.StatusCode != statusMayHaveRun || resp.Header.Get("X-Should-Retry") != "false" {
 		t.Errorf("the repeat got %d %s", resp.StatusCode, text)
 	}
-	if n := rig.Runs(); n != 1 || rig.Verdicts(dispatch.Served) != 1 {
-		t.Errorf("%d sends to writers, %d served", n, rig.Verdicts(dispatch.Served))
+	if n := rig.WriterRequests(); n != 1 || rig.CountVerdicts(dispatch.Served) != 1 {
+		t.Errorf("%d sends to writers, %d served", n, rig.CountVerdicts(dispatch.Served))
 	}
 }
 
@@ -234,7 +234,7 @@
 func TestReplicaStallsAfterTheFirstEvent(t *testing.T) {
 	for _, model := range []string{"ask", "act"} {
 		stall := func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Gone() }
-		rig, addr := start(t, fronttest.Read, stall, stall)
+		rig, addr := start(t, fronttest.HealthyReader, stall, stall)
 		from := time.Now()
 		_, body := post(t, addr, one(model, true))
 		if !strings.Contains(body, "half") || !strings.Contains(body, "stream_broken") || !strings.HasSuffix(body, "(cut)") ||
@@ -244,12 +244,12 @@
 		if took := time.Since(from); took > 3*time.Second {
 			t.Errorf("%s: the client waited %v", model, took)
 		}
-		if n := rig.Runs(); n != 1 {
+		if n := rig.WriterRequests(); n != 1 {
 			t.Errorf("%s: %d sends to writers", model, n)
 		}
 		want := map[string]int{"ask": 502, "act": statusMayHaveRun}[model]
-		if resp, body := post(t, addr, one(model, false)); resp.StatusCode != want || rig.Runs() != 2 {
-			t.Errorf("%s in one piece: %d %s after %d sends in all", model, resp.StatusCode, body, rig.Runs())
+		if resp, body := post(t, addr, one(model, false)); resp.StatusCode != want || rig.WriterRequests() != 2 {
+			t.Errorf("%s in one piece: %d %s after %d sends in all", model, resp.StatusCode, body, rig.WriterRequests())
 		}
 	}
 }
@@ -286,7 +286,7 @@
 		}
 		scripts[n%len(scripts)](x)
 	}
-	rig, addr := start(t, fronttest.Read, act, act, act)
+	rig, addr := start(t, fronttest.HealthyReader, act, act, act)
 	var wg sync.WaitGroup
 	for n := range requests {
 		wg.Go(func() {
@@ -324,20 +324,20 @@
 // Guards: an enquiry may be repeated, and its client sees nothing of it.
 func TestEnquiryIsSentAgain(t *testing.T) {
 	act := first(func(x *standin.Exchange) { x.Break() }, func(x *standin.Exchange) { x.Answer("ok") })
-	rig, addr := start(t, fronttest.Read, act, act)
+	rig, addr := start(t, fronttest.HealthyReader, act, act)
 	c, err := sdk(addr, option.WithMaxRetries(0)).Chat.Completions.New(context.Background(), params("ask"))
 	if err != nil || c.Choices[0].Message.Content != "ok" {
 		t.Errorf("got %v, %v", c, err)
 	}
-	if rig.Runs() != 2 || rig.Verdicts(dispatch.Served) != 1 {
-		t.Errorf("%d sends, %d served", rig.Runs(), rig.Verdicts(dispatch.Served))
+	if rig.WriterRequests() != 2 || rig.CountVerdicts(dispatch.Served) != 1 {
+		t.Errorf("%d sends, %d served", rig.WriterRequests(), rig.CountVerdicts(dispatch.Served))
 	}
 }
 
 // Guards: a refusal proves that nothing ran: it tells when to come back, and an instruction may come again.
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
-	rig, addr := start(t, fronttest.Read, full)
+	rig, addr := start(t, fronttest.HealthyReader, full)
 	resp, body := post(t, addr, one("act", false))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Should-Retry") != "true" ||
 		!strings.Contains(body, `"code":"overloaded"`) || !strings.Contains(body, `"type":"server_error"`) {
@@ -346,14 +346,14 @@
 	if resp, _ := post(t, addr, one("act", false), "X-Stainless-Retry-Count", "1"); resp.StatusCode != 503 {
 		t.Errorf("its repeat got %d", resp.StatusCode)
 	}
-	fronttest.Wait(t, "the release of what was read", func() bool {
+	fronttest.WaitFor(t, "the release of what was read", func() bool {
 		return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) >= 1
 	})
 }
 
 // Guards: what a client gets wrong is told in the API's words and never reaches a replica.
 func TestBadInput(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) { x.Answer("x") })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("x") })
 	for body, want := range map[string]string{
 		`{`:            `400 invalid_json`,
 		`{"model":7}`:  `400 invalid_json`,
@@ -372,7 +372,7 @@
 			t.Errorf("%.60s: %d %s, want %s", body, resp.StatusCode, text, want)
 		}
 	}
-	if n := len(rig.Reader.Calls("")) + rig.Runs(); n != 0 {
+	if n := len(rig.Reader.Calls("")) + rig.WriterRequests(); n != 0 {
 		t.Errorf("%d calls reached replicas", n)
 	}
 }
@@ -400,7 +400,7 @@
 }
 
 func TestModelsMustNameClasses(t *testing.T) {
-	rig := fronttest.Start(t, fronttest.Read)
+	rig := fronttest.Start(t, fronttest.HealthyReader)
 	if _, err := New(rig.Core, rig.Pool, fronttest.Settings().Classes, Options{Models: map[string]string{"m": "none"}}); err == nil || !strings.Contains(err.Error(), "chat.models.m") {
 		t.Errorf("got %v", err)
 	}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -25,7 +25,7 @@
 	readAt time.Time // when bytes last came
 	ahead  []byte    // what came behind the request that is being answered, and was read while its client was watched
 
-	gate   *Gate
+	gate   *ConnLimiter
 	owner  *Listener     // that has it, guarded by the gate
 	place  *list.Element // among the waiting, guarded by the gate
 	since  time.Time     // it has been among them since, guarded by the gate
@@ -187,8 +187,8 @@
 	}
 }
 
-// Left tells whether the client has ended the connection, whatever it sent before that. Nothing else may read meanwhile.
-func (c *Conn) Left() bool {
+// ClientClosed tells whether the client has ended the connection, whatever it sent before that. Nothing else may read meanwhile.
+func (c *Conn) ClientClosed() bool {
 	for len(c.ahead) < aheadMost {
 		n, end := c.arrived(c.room())
 		c.ahead = c.ahead[:len(c.ahead)+n]
@@ -199,17 +199,17 @@
 	return c.hungUp()
 }
 
-// Received is when the last byte of the request that is being answered came, at the latest: it may have waited behind the one before. Its
+// ReceivedAt is when the last byte of the request that is being answered came, at the latest: it may have waited behind the one before. Its
 // client's time runs from then.
-func Received(ctx *fasthttp.RequestCtx) time.Time {
+func ReceivedAt(ctx *fasthttp.RequestCtx) time.Time {
 	if c, ok := ctx.Conn().(*Conn); ok && !c.readAt.IsZero() {
 		return c.readAt
 	}
 	return time.Now()
 }
 
-// HungUp gives what tells whether the client of a request has ended its connection. It may be asked from any goroutine.
-func HungUp(ctx *fasthttp.RequestCtx) func() bool {
+// ClientGone gives what tells whether the client of a request has ended its connection. It may be asked from any goroutine.
+func ClientGone(ctx *fasthttp.RequestCtx) func() bool {
 	if c, ok := ctx.Conn().(*Conn); ok {
 		return c.hungUp
 	}
@@ -241,9 +241,9 @@
 	return c.Conn.Write(p)
 }
 
-// Watch calls gone once if the client ends the connection before stop is called. Nothing else may read the
+// WatchClose calls gone once if the client ends the connection before stop is called. Nothing else may read the
 // connection in between. After stop has returned, gone is not called any more.
-func (c *Conn) Watch(gone func()) (stop func()) {
+func (c *Conn) WatchClose(gone func()) (stop func()) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	var mu sync.Mutex                       // held while it is found out whether it is too late
 	_ = c.Conn.SetReadDeadline(time.Time{}) // the server's, for the request that has been read
@@ -291,13 +291,13 @@
 	}
 }
 
-// Await waits for the answer to a ticket. A client that leaves meanwhile ends the request. While a stream is
+// AwaitAnswer waits for the answer to a ticket. A client that leaves meanwhile ends the request. While a stream is
 // relayed the watch goes on until stop is called.
-func Await(ctx *fasthttp.RequestCtx, t *dispatch.Ticket) (a dispatch.Answer, stop func()) {
+func AwaitAnswer(ctx *fasthttp.RequestCtx, t *dispatch.Ticket) (a dispatch.Answer, stop func()) {
 	stop = func() {}
 	left := make(chan struct{})
 	if c, ok := ctx.Conn().(*Conn); ok {
-		stop = c.Watch(func() { close(left) })
+		stop = c.WatchClose(func() { close(left) })
 	}
 	select {
 	case a = <-t.Answer():
@@ -321,16 +321,16 @@
 	return a, stop
 }
 
-// Body relays a stream as fasthttp reads it: each piece is flushed as it comes. If the stream is not whole, Read
+// StreamBody relays a stream as fasthttp reads it: each piece is flushed as it comes. If the stream is not whole, Read
 // returns an error and fasthttp closes the connection without the last chunk.
-type Body struct {
-	Stream dispatch.Stream
-	Ticket *dispatch.Ticket
-	Stop   func() // ends the watch
-	rest   []byte
+type StreamBody struct {
+	Stream    dispatch.Stream
+	Ticket    *dispatch.Ticket
+	StopWatch func() // ends the watch
+	rest      []byte
 }
 
-func (b *Body) Read(p []byte) (int, error) {
+func (b *StreamBody) Read(p []byte) (int, error) {
 	if len(b.rest) == 0 {
 		piece, err := b.Stream.Next()
 		if err != nil {
@@ -344,18 +344,18 @@
 }
 
 // Close is called by fasthttp when the answer is written, or can't be.
-func (b *Body) Close() error {
-	b.Stop()
+func (b *StreamBody) Close() error {
+	b.StopWatch()
 	b.Stream.Close()
 	b.Ticket.Finish()
 	return nil
 }
 
-// Quiet drops fasthttp's lines on connections that ended: the core's book has the outcomes.
-type Quiet struct{}
+// DiscardLogger drops fasthttp's lines on connections that ended: the core's book has the outcomes.
+type DiscardLogger struct{}
 
 // Printf drops a line.
-func (Quiet) Printf(string, ...any) {}
+func (DiscardLogger) Printf(string, ...any) {}
 
 // Handler answers a request, whose body is its own: attempts may outlive it.
 type Handler func(ctx *fasthttp.RequestCtx, body []byte)
@@ -432,7 +432,7 @@
 				ctx.SetConnectionClose()
 				return
 			}
-			if !c.busy() || c.Left() {
+			if !c.busy() || c.ClientClosed() {
 				ctx.SetConnectionClose() // nobody hears it
 				return
 			}
@@ -449,7 +449,7 @@
 		Concurrency: maxConns, StreamRequestBody: true, MaxRequestBodySize: bodyAhead, ReadTimeout: readTimeout,
 		ReduceMemoryUsage: true, // also: no answer waits for the request behind it
 		IdleTimeout:       idleTimeout, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
-		DisablePreParseMultipartForm: true, Logger: Quiet{}, CloseOnShutdown: true, ReadBufferSize: 8 << 10, WriteBufferSize: 4 << 10,
+		DisablePreParseMultipartForm: true, Logger: DiscardLogger{}, CloseOnShutdown: true, ReadBufferSize: 8 << 10, WriteBufferSize: 4 << 10,
 		ErrorHandler: unreadable,
 	}
 }
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -12,7 +12,7 @@
 func pair(t *testing.T) (client net.Conn, c *Conn) {
 	t.Helper()
 	sent, accepted := fill(t, 1, "")
-	return sent[0], NewGate(1, 1).enter(accepted[0])
+	return sent[0], NewConnLimiter(1, 1).enter(accepted[0])
 }
 
 // The time of a connection is over just as a request comes: on a resting one it has come, and is read; where a request has begun to come, it
--- a/internal/front/evict_test.go
+++ b/internal/front/evict_test.go
@@ -57,7 +57,7 @@
 // Guards: a request that had come, and whose connection was closed for another before anybody took it, got no answer.
 func TestRequestThatIsEvictedIsAnswered(t *testing.T) {
 	sent, accepted := fill(t, 2, wholeRequest)
-	g := NewGate(1, 1)
+	g := NewConnLimiter(1, 1)
 	c := g.enter(accepted[0])
 	head := make([]byte, len(wholeRequest))
 	if _, err := io.ReadFull(c, head); err != nil {
@@ -78,7 +78,7 @@
 func TestAllWhoFindNoPlaceAreAnswered(t *testing.T) {
 	const clients = 4 * refusedMost
 	sent, accepted := fill(t, clients+1, strings.Repeat(wholeRequest, 50))
-	g := NewGate(1, 1)
+	g := NewConnLimiter(1, 1)
 	if !g.enter(accepted[0]).busy() {
 		t.Fatal("the first has no place")
 	}
@@ -107,7 +107,7 @@
 	} {
 		for _, text := range []string{"", "P", strings.Repeat(wholeRequest, 2000)} {
 			sent, accepted := fill(t, 1, text)
-			c := NewGate(1, 1).enter(accepted[0])
+			c := NewConnLimiter(1, 1).enter(accepted[0])
 			if c.hungUp() {
 				t.Errorf("%s: gone before the end", name)
 			}
@@ -127,15 +127,15 @@
 // resting one and was closed without an answer, for another's place, by operators or at the server's end. The same where its bytes had come
 // and nobody had read them.
 func TestConnectionWithARequestIsNoRestingOne(t *testing.T) {
-	ends := map[string]func(g *Gate, l *Listener, other net.Conn){
-		"eviction":     func(g *Gate, _ *Listener, other net.Conn) { g.enter(other) },
-		"sent away":    func(g *Gate, _ *Listener, _ net.Conn) { g.Empty(0) },
-		"server's end": func(g *Gate, l *Listener, _ net.Conn) { g.end(l) },
+	ends := map[string]func(g *ConnLimiter, l *Listener, other net.Conn){
+		"eviction":     func(g *ConnLimiter, _ *Listener, other net.Conn) { g.enter(other) },
+		"sent away":    func(g *ConnLimiter, _ *Listener, _ net.Conn) { g.CloseIdle(0) },
+		"server's end": func(g *ConnLimiter, l *Listener, _ net.Conn) { g.end(l) },
 	}
 	for name, end := range ends {
 		for _, read := range []int{0, 1, len(wholeRequest)} {
 			sent, accepted := fill(t, 2, wholeRequest)
-			g := NewGate(1, 1)
+			g := NewConnLimiter(1, 1)
 			c, l := g.enter(accepted[0]), &Listener{gate: g}
 			g.own(c, l)
 			c.served = true
@@ -157,7 +157,7 @@
 // A resting connection ends with its server, at once where it has served a request; nothing more is read on it.
 func TestRestingConnectionsEndWithTheirServer(t *testing.T) {
 	sent, accepted := fill(t, 3, "")
-	g := NewGate(4, 1)
+	g := NewConnLimiter(4, 1)
 	served, fresh, another := g.enter(accepted[0]), g.enter(accepted[1]), g.enter(accepted[2])
 	l := &Listener{gate: g}
 	g.own(served, l)
@@ -191,7 +191,7 @@
 		defer close(finished)
 		for range rounds {
 			sent, accepted := fill(t, clients, "")
-			g := NewGate(1, 1)
+			g := NewConnLimiter(1, 1)
 			var readers sync.WaitGroup
 			for i, tcp := range accepted {
 				c := g.enter(tcp)
--- a/internal/front/gate.go
+++ b/internal/front/gate.go
@@ -10,10 +10,10 @@
 	"standpulley/internal/dispatch"
 )
 
-// Gate bounds the clients' connections of all fronts together. Where a further one comes, the one that has waited
+// ConnLimiter bounds the clients' connections of all fronts together. Where a further one comes, the one that has waited
 // the longest without an open request is closed: many clients keep their connection and never ask again, or say
 // nothing at all, and none of them may keep the others out.
-type Gate struct {
+type ConnLimiter struct {
 	mu      sync.Mutex
 	most    int
 	open    int
@@ -21,7 +21,7 @@
 	refused int       // connections that were answered unread and are not closed yet
 	away    bool      // none is kept after an answer
 
-	Closed func(cause dispatch.Cause, client string) // told of each connection that is ended before its client ends it; may be nil
+	OnClose func(cause dispatch.Cause, client string) // told of each connection that is ended before its client ends it; may be nil
 
 	mostBytes int
 	bytes     int       // of bodies that are being read
@@ -38,9 +38,9 @@
 )
 
 // closed tells of a connection that is ended. The gate is locked.
-func (g *Gate) closed(cause dispatch.Cause, c net.Conn) {
-	if g.Closed != nil {
-		g.Closed(cause, c.RemoteAddr().String())
+func (g *ConnLimiter) closed(cause dispatch.Cause, c net.Conn) {
+	if g.OnClose != nil {
+		g.OnClose(cause, c.RemoteAddr().String())
 	}
 }
 
@@ -53,11 +53,11 @@
 	refusal = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
-// NewGate makes a gate for at most `most` connections and so many bytes of bodies that are being read.
-func NewGate(most, bytes int) *Gate { return &Gate{most: most, mostBytes: bytes} }
+// NewConnLimiter makes a gate for at most `most` connections and so many bytes of bodies that are being read.
+func NewConnLimiter(most, bytes int) *ConnLimiter { return &ConnLimiter{most: most, mostBytes: bytes} }
 
-// Limit sets the bounds anew. Connections that are open stay so.
-func (g *Gate) Limit(most, bytes int) {
+// SetLimits sets the bounds anew. Connections that are open stay so.
+func (g *ConnLimiter) SetLimits(most, bytes int) {
 	g.mu.Lock()
 	g.most, g.mostBytes = most, bytes
 	g.mu.Unlock()
@@ -65,7 +65,7 @@
 
 // enter lets a connection in, in the place of another if it must. It gives nil where every other has a request
 // open; then the client has been told to come back.
-func (g *Gate) enter(tcp net.Conn) *Conn {
+func (g *ConnLimiter) enter(tcp net.Conn) *Conn {
 	c := &Conn{Conn: tcp, gate: g}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,7 +84,7 @@
 
 // evict closes a connection in favor of another. A request may have begun to come on it, or have come whole by now: then its client is
 // answered. The gate is locked.
-func (g *Gate) evict(c *Conn) {
+func (g *ConnLimiter) evict(c *Conn) {
 	if c.served && !c.began && !c.waits() {
 		g.closed(Evicted, c.Conn)
 		g.leave(c)
@@ -97,7 +97,7 @@
 }
 
 // dismiss answers a client whose request nobody will read, and closes its connection. The gate is locked, so nothing here waits.
-func (g *Gate) dismiss(tcp net.Conn) {
+func (g *ConnLimiter) dismiss(tcp net.Conn) {
 	_ = tcp.SetWriteDeadline(time.Now().Add(dismissTime))
 	_, _ = io.WriteString(tcp, refusal) // a client that can't read it has gone
 	if t, ok := tcp.(*net.TCPConn); ok {
@@ -132,7 +132,7 @@
 
 // idlest gives the connection that has waited the longest, one whose request has begun to come only if there is no other. The gate is
 // locked, and some wait.
-func (g *Gate) idlest() *Conn {
+func (g *ConnLimiter) idlest() *Conn {
 	for e := g.waiting.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*Conn); !c.began {
 			return c
@@ -142,14 +142,14 @@
 }
 
 // leave closes a connection and gives its place free. The gate is locked.
-func (g *Gate) leave(c *Conn) {
+func (g *ConnLimiter) leave(c *Conn) {
 	if g.forget(c) {
 		_ = c.Conn.Close() // whoever reads it finds out
 	}
 }
 
 // forget gives a connection's place free, and tells whether it had one. The gate is locked.
-func (g *Gate) forget(c *Conn) bool {
+func (g *ConnLimiter) forget(c *Conn) bool {
 	if c.gone {
 		return false
 	}
@@ -203,15 +203,15 @@
 	}
 }
 
-// SendAway closes connections as soon as their requests have ended, or keeps them again.
-func (g *Gate) SendAway(away bool) {
+// DisableKeepAlives closes connections as soon as their requests have ended, or keeps them again.
+func (g *ConnLimiter) DisableKeepAlives(away bool) {
 	g.mu.Lock()
 	g.away = away
 	g.mu.Unlock()
 }
 
-// Empty closes the connections that have said nothing for so long. A request that has begun to come may go on.
-func (g *Gate) Empty(silent time.Duration) {
+// CloseIdle closes the connections that have said nothing for so long. A request that has begun to come may go on.
+func (g *ConnLimiter) CloseIdle(silent time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for e := g.waiting.Front(); e != nil; {
@@ -223,7 +223,7 @@
 }
 
 // closeResting closes a connection on which no request has come. The gate is locked.
-func (g *Gate) closeResting(c *Conn, cause dispatch.Cause) {
+func (g *ConnLimiter) closeResting(c *Conn, cause dispatch.Cause) {
 	if !c.began && !c.waits() {
 		g.closed(cause, c.Conn)
 		g.leave(c)
@@ -234,7 +234,7 @@
 const firstComes = 200 * time.Millisecond
 
 // end closes the resting connections of a Listener that is at its end, and tells how many are open.
-func (g *Gate) end(l *Listener) (open int) {
+func (g *ConnLimiter) end(l *Listener) (open int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l.leaving = true
@@ -248,7 +248,7 @@
 }
 
 // own books that a Listener has a connection.
-func (g *Gate) own(c *Conn, l *Listener) {
+func (g *ConnLimiter) own(c *Conn, l *Listener) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c.owner != nil {
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -32,9 +32,9 @@
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Host"}
 
-// PassedOn gives the headers of a request that go on to replicas as they came: all, but for those that hold for the client's connection
+// ForwardedHeaders gives the headers of a request that go on to replicas as they came: all, but for those that hold for the client's connection
 // alone and for those that the dispatcher says itself. What some mean, as the key by which replicas throw repeats away, only replicas know.
-func PassedOn(h *fasthttp.RequestHeader, own ...string) (all [][2]string) {
+func ForwardedHeaders(h *fasthttp.RequestHeader, own ...string) (all [][2]string) {
 	skip := append(strings.Split(string(h.Peek("Connection")), ","), hopByHop...)
 	skip = append(skip, own...)
 	for name, value := range h.All() {
@@ -46,20 +46,20 @@
 	return all
 }
 
-// RetryAfter tells the client in decimal seconds when to come back.
-func RetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
+// SetRetryAfter tells the client in decimal seconds when to come back.
+func SetRetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
 	ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(max(after, 0).Seconds(), 'f', 3, 64))
 }
 
-// Mark names to the client the settings that decided its request, where dispatchers agree on them.
-func Mark(ctx *fasthttp.RequestCtx, a dispatch.Answer) {
+// SetSettingsHeader names to the client the settings that decided its request, where dispatchers agree on them.
+func SetSettingsHeader(ctx *fasthttp.RequestCtx, a dispatch.Answer) {
 	if a.Mark != "" {
 		ctx.Response.Header.Set("X-Settings", a.Mark)
 	}
 }
 
-// Ready answers whether the program takes requests: 200, or 503 with its phase.
-func Ready(ctx *fasthttp.RequestCtx, core *dispatch.Dispatcher) {
+// ServeReadiness answers whether the program takes requests: 200, or 503 with its phase.
+func ServeReadiness(ctx *fasthttp.RequestCtx, core *dispatch.Dispatcher) {
 	switch {
 	case core.Phases.Welcome():
 	case !core.Phases.Able():
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -20,12 +20,12 @@
 	Note(key ledger.Key, customer string, named bool) dispatch.Noted
 }
 
-// HeaderKey is the header by which a client names an instruction (draft-ietf-httpapi-idempotency-key-header).
-const HeaderKey = "Idempotency-Key"
+// KeyHeader is the header by which a client names an instruction (draft-ietf-httpapi-idempotency-key-header).
+const KeyHeader = "Idempotency-Key"
 
-// Enter gives what notes the attempts of an instruction, or why it must not be taken. The customer is who asks; again tells that
+// Admit gives what notes the attempts of an instruction, or why it must not be taken. The customer is who asks; again tells that
 // the client marks it as a repeat. It waits for what others know of a repeat, within a bound and until the deadline.
-func Enter(l Ledger, h *fasthttp.RequestHeader, customer string, words []byte, again bool, until time.Time) (dispatch.Noted, error) {
+func Admit(l Ledger, h *fasthttp.RequestHeader, customer string, words []byte, again bool, until time.Time) (dispatch.Noted, error) {
 	key, named := Key(h, customer, words)
 	named = named || again
 	if named {
@@ -39,7 +39,7 @@
 // Key names an instruction: by the client's key if it gave one, else by its words. All dispatchers give it the same.
 func Key(h *fasthttp.RequestHeader, customer string, words []byte) (key ledger.Key, named bool) {
 	kind, text := "words", words
-	if k := h.Peek(HeaderKey); len(k) > 0 {
+	if k := h.Peek(KeyHeader); len(k) > 0 {
 		kind, text, named = "key", k, true
 	}
 	d := sha256.New()
--- a/internal/front/platform/bad_test.go
+++ b/internal/front/platform/bad_test.go
@@ -24,7 +24,7 @@
 
 // Guards: clients that ask once and hold their connection, and clients that say nothing, kept all others out.
 func TestHeldConnectionsKeepNobodyOut(t *testing.T) {
-	_, addr := start(t, fronttest.Read, serve)
+	_, addr := start(t, fronttest.HealthyReader, serve)
 	var held []net.Conn
 	for i := range 100 { // the gate has fewer places
 		text := ""
@@ -47,9 +47,9 @@
 // Guards: a connection with a request open is not closed for another; the other is told that it failed.
 func TestOpenRequestsAreNotClosedForOthers(t *testing.T) {
 	goOn := make(chan bool)
-	_, addr := start(t, fronttest.Read, func(x *standin.Exchange) { x.Head(); x.Token("a"); <-goOn; x.End() })
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Head(); x.Token("a"); <-goOn; x.End() })
 	var open []net.Conn
-	for range fronttest.GateMost {
+	for range fronttest.MaxConns {
 		c := send(t, addr, raw("enquiry", "2000m"))
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := io.ReadFull(c, make([]byte, 12)); err != nil { // its stream has begun
@@ -70,7 +70,7 @@
 
 // Guards: an answer or a close is owed within 3 s of connecting, whatever a client does not say.
 func TestSilentClients(t *testing.T) {
-	_, addr := start(t, fronttest.Read, serve)
+	_, addr := start(t, fronttest.HealthyReader, serve)
 	good := raw("enquiry", "2000m")
 	from := time.Now()
 	conns := map[string]net.Conn{}
@@ -87,7 +87,7 @@
 // Guards: halves of large bodies, held back on every connection, filled the memory. The ones that came first are
 // closed for others, and a client whose body comes whole is served meanwhile.
 func TestHalfSentBodies(t *testing.T) {
-	_, addr := start(t, fronttest.Read, serve)
+	_, addr := start(t, fronttest.HealthyReader, serve)
 	large := strings.Replace(raw("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Content-Length: 262144\r\n\r\n{"+strings.Repeat(" ", 1<<17), 1)
 	chunked := strings.Replace(large, "Content-Length: 262144\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n30000\r\n", 1)
 	var halves []net.Conn
@@ -113,7 +113,7 @@
 
 // Guards: what two readers may frame differently could hide a second request, and reaches no replica.
 func TestAmbiguousFraming(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, serve)
+	rig, addr := start(t, fronttest.HealthyReader, serve)
 	for name, c := range map[string][2]string{
 		"both":              {"Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"},
 		"both, reversed":    {"Content-Length: 4", "Transfer-Encoding: chunked\r\nContent-Length: 4"},
@@ -146,7 +146,7 @@
 			t.Errorf("%s: %d, close %v", name, resp.StatusCode, resp.Close)
 		}
 	}
-	if n := len(rig.Reader.Calls("")) + rig.Runs(); n != 0 {
+	if n := len(rig.Reader.Calls("")) + rig.WriterRequests(); n != 0 {
 		t.Errorf("%d calls reached replicas", n)
 	}
 	chunked := strings.Replace(raw("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n4\r\n{  }\r\n0\r\n\r\n", 1)
@@ -157,7 +157,7 @@
 
 // Guards: timers hold a request until the time its client says it waits, which could be for ever.
 func TestNobodyWaitsForEver(t *testing.T) {
-	rig := fronttest.Start(t, fronttest.Read, serve)
+	rig := fronttest.Start(t, fronttest.HealthyReader, serve)
 	f := New(rig.Core, rig.Pool, fronttest.Settings(), nil)
 	for _, expires := range []string{"99999999999m", "1e300u"} {
 		var in fasthttp.Request
--- a/internal/front/platform/effects_test.go
+++ b/internal/front/platform/effects_test.go
@@ -35,7 +35,7 @@
 		{"enquiry", breaks, []int{200}, 2, 2},
 		{"instruction", breaks, []int{502}, 1, 1},
 		{"instruction", full, []int{200}, 2, 2},
-		{"instruction", fronttest.Read, []int{502}, 1, 1}, // a writer that answers as a reader does
+		{"instruction", fronttest.HealthyReader, []int{502}, 1, 1}, // a writer that answers as a reader does
 		{"all", breaks, []int{200}, 2, 2},
 		{"cell", breaks, []int{200, 502}, 2, 1},
 		{"short", breaks, []int{503}, 1, 1},
@@ -49,7 +49,7 @@
 			}
 			serve(x)
 		}
-		rig := fronttest.Start(t, fronttest.Read, act, act, act)
+		rig := fronttest.Start(t, fronttest.HealthyReader, act, act, act)
 		if err := rig.Core.Retune(set, dispatch.Bounds{Requests: 64, Bytes: 16 << 20}, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -62,7 +62,7 @@
 		rig.Core.Tell(u)
 		addr := rig.Serve(t, New(rig.Core, rig.Pool, set, nil).Server())
 		resp, _, whole := answer(t, send(t, addr, raw(c.class, "3000m")))
-		sends, cells := rig.Runs(), 0
+		sends, cells := rig.WriterRequests(), 0
 		for _, w := range rig.Writers {
 			if len(w.Calls("POST")) > 0 {
 				cells++
--- a/internal/front/platform/expiry_test.go
+++ b/internal/front/platform/expiry_test.go
@@ -33,7 +33,7 @@
 	if _, err := io.WriteString(c, raw("enquiry", "2000m")); err != nil {
 		t.Fatal(err)
 	}
-	fronttest.Wait(t, "both at the writer", func() bool { return rig.Runs() == 2 })
+	fronttest.WaitFor(t, "both at the writer", func() bool { return rig.WriterRequests() == 2 })
 	reads, writes := rig.Reader.Calls("POST"), rig.Writers[0].Calls("POST")
 	for name, check := range map[string]struct {
 		call standin.Call
--- a/internal/front/platform/leaving_test.go
+++ b/internal/front/platform/leaving_test.go
@@ -30,16 +30,16 @@
 		for _, behind := range []string{"", "P", raw("enquiry", "3000m"), strings.Repeat(raw("enquiry", "3000m"), 8), strings.Repeat(raw("enquiry", "3000m"), 200)} {
 			rig, addr := start(t, func(x *standin.Exchange) { x.Gone() }, serve)
 			c := send(t, addr, raw("enquiry", "3000m"))
-			fronttest.Wait(t, "the send to the reader", func() bool { return len(rig.Reader.Calls("POST")) == 1 })
+			fronttest.WaitFor(t, "the send to the reader", func() bool { return len(rig.Reader.Calls("POST")) == 1 })
 			if _, err := io.WriteString(c, behind); err != nil {
 				t.Fatal(err)
 			}
 			end(c)
-			fronttest.Wait(t, name+" is noticed", func() bool { return rig.Verdicts(dispatch.Left) == 1 })
-			fronttest.Wait(t, "the release", func() bool {
+			fronttest.WaitFor(t, name+" is noticed", func() bool { return rig.CountVerdicts(dispatch.Left) == 1 })
+			fronttest.WaitFor(t, "the release", func() bool {
 				return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 			})
-			if n := rig.Runs(); n != 0 {
+			if n := rig.WriterRequests(); n != 0 {
 				t.Errorf("%s behind %d bytes: %d sends to the writer", name, len(behind), n)
 			}
 		}
@@ -50,8 +50,8 @@
 // The whole request and the end are there before anything accepts the connection.
 func TestClientThatHasLeftIsNotServed(t *testing.T) {
 	for name, end := range ends {
-		rig := fronttest.Start(t, fronttest.Read, serve)
-		port, err := front.Listen("127.0.0.1:0", front.NewGate(fronttest.GateMost, fronttest.GateBytes), false)
+		rig := fronttest.Start(t, fronttest.HealthyReader, serve)
+		port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,11 +64,11 @@
 		server := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server()
 		ln := port.Attach()
 		go func() { _ = server.Serve(ln) }() // ends with the port
-		t.Cleanup(func() { port.Finish(0) })
+		t.Cleanup(func() { port.Shutdown(0) })
 		if resp, _, whole := answer(t, last); resp.StatusCode != 200 || !whole {
 			t.Errorf("the one that stays: %d", resp.StatusCode)
 		}
-		port.Finish(0)
+		port.Shutdown(0)
 		if err := server.Shutdown(); err != nil { // returns when all were dealt with
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 // the writer goes on.
 func TestAnswerIsNotHeldBackForTheNextRequest(t *testing.T) {
 	goOn := make(chan bool)
-	_, addr := start(t, fronttest.Read, func(x *standin.Exchange) { <-goOn; serve(x) })
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-goOn; serve(x) })
 	c := send(t, addr, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"+raw("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // of the 3 that the second may take
 	br := bufio.NewReader(c)
@@ -123,20 +123,20 @@
 func TestAnswerToWhoIsSentAwayIsNotReset(t *testing.T) {
 	for range 10 {
 		goOn := make(chan bool)
-		rig := fronttest.Start(t, fronttest.Read, func(x *standin.Exchange) { <-goOn; serve(x) })
-		gate := front.NewGate(fronttest.GateMost, fronttest.GateBytes)
+		rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-goOn; serve(x) })
+		gate := front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes)
 		port, err := front.Listen("127.0.0.1:0", gate, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		server, ln := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server(), port.Attach()
 		go func() { _ = server.Serve(ln) }() // ends with the port
-		t.Cleanup(func() { port.Finish(0) })
+		t.Cleanup(func() { port.Shutdown(0) })
 		c := send(t, port.Addr(), raw("enquiry", "3000m")+strings.Repeat("more than is read ", 4<<10))
-		fronttest.Wait(t, "the send to the writer", func() bool { return rig.Runs() == 1 })
-		gate.SendAway(true)
+		fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
+		gate.DisableKeepAlives(true)
 		close(goOn)
-		fronttest.Wait(t, "the answer", func() bool { return rig.Verdicts(dispatch.Served) == 1 })
+		fronttest.WaitFor(t, "the answer", func() bool { return rig.CountVerdicts(dispatch.Served) == 1 })
 		time.Sleep(5 * time.Millisecond) // any order of reading and closing must do
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		text, err := io.ReadAll(c) // the answer, and one to what was read behind it, which is no request
@@ -149,7 +149,7 @@
 
 // A request that keeps coming, a little at a time, has its time like any other: an answer is owed within 3 s of connecting.
 func TestRequestThatKeepsComingIsAnsweredInTime(t *testing.T) {
-	_, addr := start(t, fronttest.Read, serve)
+	_, addr := start(t, fronttest.HealthyReader, serve)
 	for name, c := range map[string]struct{ head, again string }{
 		"a body": {strings.Replace(raw("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n", 1), "1\r\n \r\n"},
 		"a head": {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Filler: ", "x"},
@@ -181,13 +181,13 @@
 // loop ends behind the present answer. It is owed an answer, and the connection ends behind that.
 func TestRequestReadBehindAStreamIsAnsweredAtTheEnd(t *testing.T) {
 	goOn := make(chan bool)
-	rig := fronttest.Start(t, fronttest.Read, func(x *standin.Exchange) {
+	rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		x.Token("one")
 		<-goOn
 		x.End()
 	})
-	port, err := front.Listen("127.0.0.1:0", front.NewGate(fronttest.GateMost, fronttest.GateBytes), false)
+	port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,9 +208,9 @@
 		t.Fatal(err)
 	}
 	rig.Core.StopTaking()
-	port.Finish(0)
+	port.Shutdown(0)
 	ended := make(chan bool)
-	go func() { ln.End(); close(ended) }()
+	go func() { ln.DrainConns(); close(ended) }()
 	close(goOn)
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.HasSuffix(string(text), "[DONE]\n\n") {
 		t.Fatalf("the stream: %q %v", text, err)
@@ -223,7 +223,7 @@
 	case <-time.After(5 * time.Second):
 		t.Error("its server does not end")
 	}
-	if rig.Runs() != 1 {
-		t.Errorf("%d requests came to writers", rig.Runs())
+	if rig.WriterRequests() != 1 {
+		t.Errorf("%d requests came to writers", rig.WriterRequests())
 	}
 }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -48,12 +48,12 @@
 // New makes the front of a core; its requests travel by the pool.
 func New(core *dispatch.Dispatcher, pool *replica.Pool, set logic.Settings, l once.Ledger) *Front {
 	f := &Front{core: core, pool: pool, ledger: l}
-	f.Retune(set)
+	f.UpdateSettings(set)
 	return f
 }
 
-// Retune puts other settings in force for the requests to come.
-func (f *Front) Retune(set logic.Settings) {
+// UpdateSettings puts other settings in force for the requests to come.
+func (f *Front) UpdateSettings(set logic.Settings) {
 	s := &settings{classes: map[string]logic.Class{}, movable: set.Movable()}
 	for _, c := range set.Classes {
 		s.classes[c.Name] = c
@@ -69,10 +69,10 @@
 func refuse(ctx *fasthttp.RequestCtx, status int, text string) { ctx.Error(text, status) }
 
 func (f *Front) serve(ctx *fasthttp.RequestCtx, body []byte) {
-	received := front.Received(ctx)
+	received := front.ReceivedAt(ctx)
 	switch string(ctx.Path()) {
 	case "/-/ready":
-		front.Ready(ctx, f.core)
+		front.ServeReadiness(ctx, f.core)
 		return
 	case "/v1/chat/completions":
 	default:
@@ -89,16 +89,16 @@
 		ctx.SetConnectionClose() // its next request may begin elsewhere than it seems
 		return
 	}
-	q.Received, q.ClientGone = received, front.HungUp(ctx)
+	q.Received, q.ClientGone = received, front.ClientGone(ctx)
 	if f.ledger != nil && !q.Ask.Resumed && f.set.Load().classes[q.Ask.Class].Repeat == logic.Unsafe {
-		q.Noted, err = once.Enter(f.ledger, &ctx.Request.Header, q.Ask.Tenant, body, q.Ask.Again, received.Add(q.Ask.Remaining))
+		q.Noted, err = once.Admit(f.ledger, &ctx.Request.Header, q.Ask.Tenant, body, q.Ask.Again, received.Add(q.Ask.Remaining))
 		if err != nil {
 			unsent(ctx, err)
 			return
 		}
 	}
 	t := f.core.Take(q)
-	a, stop := front.Await(ctx, t)
+	a, stop := front.AwaitAnswer(ctx, t)
 	f.answer(ctx, t, a, stop)
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
-	front.RetryAfter(ctx, findAgain)
+	front.SetRetryAfter(ctx, findAgain)
 }
 
 // answer writes the final answer: a stream as it comes, a refusal with the time to come back, else a failure.
@@ -120,16 +120,16 @@
 	switch a.Verdict {
 	case dispatch.Served:
 		ctx.SetContentType("text/event-stream")
-		ctx.Response.SetBodyStream(&front.Body{Stream: a.Stream, Ticket: t, Stop: stop}, -1)
+		ctx.Response.SetBodyStream(&front.StreamBody{Stream: a.Stream, Ticket: t, StopWatch: stop}, -1)
 	case dispatch.Refused:
 		ctx.Error(a.Reason, fasthttp.StatusServiceUnavailable)
-		front.RetryAfter(ctx, a.After)
+		front.SetRetryAfter(ctx, a.After)
 	case dispatch.Failed:
 		ctx.Error(a.Reason, fasthttp.StatusBadGateway)
 	case dispatch.Left:
 		ctx.SetConnectionClose()
 	}
-	front.Mark(ctx, a)
+	front.SetSettingsHeader(ctx, a)
 }
 
 // request reads what a client sent into the core's form. An error names the header at fault.
@@ -165,7 +165,7 @@
 	ask.Again, ask.Resumed = try == "1", try == "again"
 	parcel := &replica.Parcel{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
 		URI: string(in.RequestURI()), Host: string(in.Header.Host()), Body: body}
-	parcel.Headers = front.PassedOn(&in.Header, "X-Trace-Id", "X-Expires-In")
+	parcel.Headers = front.ForwardedHeaders(&in.Header, "X-Trace-Id", "X-Expires-In")
 	q.Parcel, q.Size, q.Movable = parcel, len(body), set.movable
 	for _, h := range parcel.Headers {
 		q.Size += len(h[0]) + len(h[1])
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -62,7 +62,7 @@
 func silent(x *standin.Exchange) { x.Gone() }
 
 func TestServed(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, serve)
+	rig, addr := start(t, fronttest.HealthyReader, serve)
 	resp, body, whole := answer(t, send(t, addr, raw("enquiry", "2000m")))
 	if resp.StatusCode != 200 || !whole || !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "data: ") != 5 {
 		t.Errorf("%d %q %v", resp.StatusCode, body, whole)
@@ -80,12 +80,12 @@
 		"broken":  func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Break() },
 		"stalled": func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Gone() },
 	} {
-		rig, addr := start(t, fronttest.Read, act)
+		rig, addr := start(t, fronttest.HealthyReader, act)
 		if resp, body, whole := answer(t, send(t, addr, raw("enquiry", "2000m"))); resp.StatusCode != 200 || whole ||
 			!strings.Contains(body, `"a"`) {
 			t.Errorf("%s: %d %q whole %v", name, resp.StatusCode, body, whole)
 		}
-		if n := rig.Runs(); n != 1 {
+		if n := rig.WriterRequests(); n != 1 {
 			t.Errorf("%s: %d sends after the stream had begun", name, n)
 		}
 	}
@@ -94,20 +94,20 @@
 // Guards: fasthttp does not report a client that leaves while a handler waits.
 func TestClientLeavesWhileItWaits(t *testing.T) {
 	gone := make(chan bool, 1)
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) { x.Gone(); gone <- true })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone(); gone <- true })
 	c := send(t, addr, raw("instruction", "3000m"))
-	fronttest.Wait(t, "the send to the writer", func() bool { return rig.Runs() == 1 })
+	fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 	_ = c.Close()
-	fronttest.Wait(t, "the client's leaving", func() bool { return rig.Verdicts(dispatch.Left) == 1 })
+	fronttest.WaitFor(t, "the client's leaving", func() bool { return rig.CountVerdicts(dispatch.Left) == 1 })
 	<-gone // the attempt was given up
-	fronttest.Wait(t, "the release", func() bool {
+	fronttest.WaitFor(t, "the release", func() bool {
 		return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 	})
 }
 
 // Guards: the watch for a client that leaves must not cut off one that sends its next request early.
 func TestNextRequestMayComeEarly(t *testing.T) {
-	_, addr := start(t, fronttest.Read, func(x *standin.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
 	c := send(t, addr, raw("enquiry", "3000m")+raw("enquiry", "3000m"))
 	br := bufio.NewReader(c)
 	for i := range 2 {
@@ -124,7 +124,7 @@
 // Guards: a final answer comes by the deadline also when no replica says a word.
 func TestSilentReplicas(t *testing.T) {
 	for class, want := range map[string]int{"enquiry": 503, "instruction": 502} {
-		_, addr := start(t, fronttest.Read, silent)
+		_, addr := start(t, fronttest.HealthyReader, silent)
 		from := time.Now()
 		resp, _, _ := answer(t, send(t, addr, raw(class, "800m")))
 		if took := time.Since(from); resp.StatusCode != want || took > 4*time.Second {
@@ -138,7 +138,7 @@
 
 // Guards: a replica may close idle connections at any time; a request written to one would count as a reset.
 func TestIdleConnectionThatTheReplicaClosed(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) { serve(x); x.Break() })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { serve(x); x.Break() })
 	c := send(t, addr, "")
 	for range 3 {
 		if _, err := io.WriteString(c, raw("instruction", "2000m")); err != nil {
@@ -156,7 +156,7 @@
 // Guards: a refused connection proves that nothing ran, so an instruction goes to another writer.
 func TestInstructionGoesOnWhereItNeverRan(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
-	rig, addr := start(t, fronttest.Read, full, serve)
+	rig, addr := start(t, fronttest.HealthyReader, full, serve)
 	rig.Writers[0].Close()
 	for range 4 {
 		if resp, _, whole := answer(t, send(t, addr, raw("instruction", "2000m"))); resp.StatusCode != 200 || !whole {
@@ -174,14 +174,14 @@
 	if resp, _, _ := answer(t, send(t, addr, raw("instruction", "1000m"))); resp.StatusCode != 503 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
-	fronttest.Wait(t, "the release", func() bool {
+	fronttest.WaitFor(t, "the release", func() bool {
 		return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 	})
 }
 
 // Guards: bad input gets its 4xx and never reaches a replica.
 func TestBadInput(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, serve)
+	rig, addr := start(t, fronttest.HealthyReader, serve)
 	good := raw("enquiry", "2000m")
 	for _, c := range []struct {
 		old, new string
@@ -196,13 +196,13 @@
 			t.Errorf("%s: %d, want %d", c.new, resp.StatusCode, c.want)
 		}
 	}
-	if n := len(rig.Reader.Calls("")) + rig.Runs(); n != 0 {
+	if n := len(rig.Reader.Calls("")) + rig.WriterRequests(); n != 0 {
 		t.Errorf("%d calls reached replicas", n)
 	}
 }
 
 func TestReadyTellsThePhase(t *testing.T) {
-	rig, addr := start(t, fronttest.Read, serve)
+	rig, addr := start(t, fronttest.HealthyReader, serve)
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 200 {
 		t.Errorf("ready: %d", resp.StatusCode)
@@ -227,7 +227,7 @@
 // Guards: a program that knew no replicas answered that it was ready, and turned away all that came.
 func TestReadyOnlyWhereSomebodyCouldBeServed(t *testing.T) {
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-	rig, addr := start(t, fronttest.Read, serve)
+	rig, addr := start(t, fronttest.HealthyReader, serve)
 	list := rig.Core.List()
 	for _, c := range []struct {
 		listed []string
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -15,7 +15,7 @@
 // next.
 func TestSlowReaderHoldsUpNobody(t *testing.T) {
 	next, full := make(chan bool), make(chan bool, 1)
-	_, addr := start(t, fronttest.Read, func(x *standin.Exchange) {
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		if strings.HasSuffix(string(x.Req.Header.Peek("X-Object")), "f") { // the slow one's
 			for range 1 << 12 { // 32 MB, of which the machine holds a part
@@ -64,7 +64,7 @@
 func TestClientThatTakesNothingHasGone(t *testing.T) {
 	t.Parallel()
 	gone, full := make(chan bool), make(chan bool, 1)
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) {
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		for {
 			select {
--- a/internal/front/port.go
+++ b/internal/front/port.go
@@ -13,7 +13,7 @@
 // server can take over from another without closing the address.
 type Port struct {
 	tcp  *net.TCPListener
-	gate *Gate
+	gate *ConnLimiter
 
 	mu   sync.Mutex
 	to   *Listener
@@ -23,7 +23,7 @@
 
 // Listen opens an address, whose connections pass the gate. They wait until a Listener is attached. Where the address
 // is shared, another process may listen there too, as this program does when a new version takes over.
-func Listen(addr string, gate *Gate, shared bool) (*Port, error) {
+func Listen(addr string, gate *ConnLimiter, shared bool) (*Port, error) {
 	ln, err := listen(addr, shared)
 	if err != nil {
 		return nil, err
@@ -119,8 +119,8 @@
 	}
 }
 
-// Finish accepts for wait longer, then what the machine has accepted by then, and closes the address.
-func (p *Port) Finish(wait time.Duration) {
+// Shutdown accepts for wait longer, then what the machine has accepted by then, and closes the address.
+func (p *Port) Shutdown(wait time.Duration) {
 	p.mu.Lock()
 	p.gone = true
 	attached := p.to
@@ -138,7 +138,7 @@
 
 // Listener hands a server the connections of a Port.
 type Listener struct {
-	gate    *Gate
+	gate    *ConnLimiter
 	open    int  // connections that it has handed out, guarded by the gate
 	leaving bool // each ends with its present request, guarded by the gate
 
@@ -176,9 +176,9 @@
 
 const endEvery = 10 * time.Millisecond
 
-// End ends the connections that the Listener has handed out, each behind its present request and those that have come by then, and
+// DrainConns ends the connections that the Listener has handed out, each behind its present request and those that have come by then, and
 // returns when none is open.
-func (l *Listener) End() {
+func (l *Listener) DrainConns() {
 	for l.gate.end(l) > 0 {
 		time.Sleep(endEvery)
 	}
--- a/internal/front/port_test.go
+++ b/internal/front/port_test.go
@@ -13,7 +13,7 @@
 func TestWhatTheMachineAcceptedIsTakenAtTheEnd(t *testing.T) {
 	const waiting = 20
 	for _, wait := range []time.Duration{-time.Second, 0, 10 * time.Millisecond} {
-		port, err := front.Listen("127.0.0.1:0", front.NewGate(2*waiting, 1<<20), false)
+		port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(2*waiting, 1<<20), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 				_ = c.Close()
 			}
 		}()
-		port.Finish(wait)
+		port.Shutdown(wait)
 		if n := <-taken; n != waiting {
 			t.Errorf("wait %v: %d of %d connections are taken", wait, n, waiting)
 		}
--- a/internal/fronttest/rig.go
+++ b/internal/fronttest/rig.go
@@ -16,8 +16,8 @@
 
 // A front of the tests holds so many connections of clients, and so many bytes of bodies that are being read.
 const (
-	GateMost  = 32
-	GateBytes = 1 << 20
+	MaxConns     = 32
+	MaxBodyBytes = 1 << 20
 )
 
 // Settings are those of a small fleet with one class of each kind.
@@ -83,21 +83,21 @@
 // Serve runs a front's server and gives its address.
 func (r *Rig) Serve(t *testing.T, server *fasthttp.Server) string {
 	t.Helper()
-	port, err := front.Listen("127.0.0.1:0", front.NewGate(GateMost, GateBytes), false)
+	port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(MaxConns, MaxBodyBytes), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln := port.Attach()
 	go func() { _ = server.Serve(ln) }() // ends with the port
-	t.Cleanup(func() { port.Finish(0) })
+	t.Cleanup(func() { port.Shutdown(0) })
 	return port.Addr()
 }
 
-// Read is the script of a reader that is well.
-func Read(x *standin.Exchange) { x.Read(0) }
+// HealthyReader is the script of a reader that is well.
+func HealthyReader(x *standin.Exchange) { x.Read(0) }
 
-// Wait waits for a condition that the story must lead to.
-func Wait(t *testing.T, what string, cond func() bool) {
+// WaitFor waits for a condition that the story must lead to.
+func WaitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -106,14 +106,14 @@
 	}
 }
 
-// Verdicts counts the final answers of one kind.
-func (r *Rig) Verdicts(v dispatch.Verdict) int {
+// CountVerdicts counts the final answers of one kind.
+func (r *Rig) CountVerdicts(v dispatch.Verdict) int {
 	totals, _ := r.Core.Counts.Snapshot()
 	return totals.Verdicts[v.String()]
 }
 
-// Runs counts the requests that came to writers.
-func (r *Rig) Runs() (n int) {
+// WriterRequests counts the requests that came to writers.
+func (r *Rig) WriterRequests() (n int) {
 	for _, w := range r.Writers {
 		n += len(w.Calls("POST"))
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -27,7 +27,7 @@
 
 // Listen opens the door's address.
 func Listen(addr string) (*front.Port, error) {
-	return front.Listen(addr, front.NewGate(callsMost, callBytes), false)
+	return front.Listen(addr, front.NewConnLimiter(callsMost, callBytes), false)
 }
 
 // Server gives the door's server.
@@ -52,6 +52,6 @@
 		},
 		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, ReadBufferSize: 4 << 10,
 		MaxRequestBodySize: callBytes, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true,
-		Logger: front.Quiet{},
+		Logger: front.DiscardLogger{},
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -116,7 +116,7 @@
 	s.ln = ln
 	s.http = &fasthttp.Server{
 		Handler: s.serve, Concurrency: conns, ReadTimeout: callTime, WriteTimeout: callTime, IdleTimeout: idleTime, ReadBufferSize: 4 << 10,
-		MaxRequestBodySize: largeCall, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, Logger: front.Quiet{},
+		MaxRequestBodySize: largeCall, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, Logger: front.DiscardLogger{},
 		HeaderReceived: func(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 			if path := string(h.RequestURI()); path == RaftCall || path == ReadingCall {
 				return fasthttp.RequestConfig{}
--- a/internal/program/door.go
+++ b/internal/program/door.go
@@ -38,7 +38,7 @@
 		}()
 	}
 	if p.door != nil {
-		p.door.Finish(0)
+		p.door.Shutdown(0)
 	}
 	p.door, p.doorAt = port, addr
 	return nil
@@ -59,7 +59,7 @@
 
 func (p *program) setAway(away bool) {
 	p.away.Store(away)
-	p.gate.SendAway(away)
+	p.gate.DisableKeepAlives(away)
 	if s := p.live.Load(); s != nil {
 		s.core.Phases.SendAway(away)
 	}
@@ -77,7 +77,7 @@
 		case <-tick.C:
 		}
 		if p.away.Load() {
-			p.gate.Empty(awayAfter)
+			p.gate.CloseIdle(awayAfter)
 		}
 	}
 }
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -73,7 +73,7 @@
 	done := make(chan struct{})
 	for _, port := range p.ports {
 		go func() {
-			port.Finish(acceptedAhead)
+			port.Shutdown(acceptedAhead)
 			done <- struct{}{}
 		}()
 	}
--- a/internal/program/force.go
+++ b/internal/program/force.go
@@ -76,7 +76,7 @@
 		if opened[addr], err = front.Listen(addr, p.gate, p.shared); err != nil {
 			for a, port := range opened {
 				if a != addr {
-					port.Finish(0)
+					port.Shutdown(0)
 				}
 			}
 			next.cancel()
@@ -104,7 +104,7 @@
 	for addr, port := range p.ports {
 		if next.fronts[addr] == nil {
 			delete(p.ports, addr)
-			go port.Finish(acceptedAhead)
+			go port.Shutdown(acceptedAhead)
 		}
 	}
 	if err := before.core.Phases.Enter(dispatch.Leaving); err != nil {
@@ -154,7 +154,7 @@
 // limit keeps the process within what a configuration states.
 func (p *program) limit(cfg config.Config) {
 	clients, replicas := share(cfg.Limits.Sockets)
-	p.gate.Limit(clients, int(comingShare*float64(cfg.Limits.MemoryMB<<20)))
+	p.gate.SetLimits(clients, int(comingShare*float64(cfg.Limits.MemoryMB<<20)))
 	p.pool.Limit(replicas, cfg.Settings.ConnIdle, cfg.Settings.ConnectTimeout)
 	runtime.GOMAXPROCS(max(int(cfg.Limits.Cores+0.5), 1))
 	debug.SetMemoryLimit(int64(memoryShare * float64(cfg.Limits.MemoryMB) * (1 << 20)))
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -37,7 +37,7 @@
 type program struct {
 	ports      map[string]*front.Port
 	pool       *replica.Pool // this and the gate are the same for all stacks, as the limits are the process's
-	gate       *front.Gate
+	gate       *front.ConnLimiter
 	now        *stack
 	live       atomic.Pointer[stack] // the same, for the operators' door
 	door       *front.Port           // and that door
@@ -114,9 +114,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := &program{ports: map[string]*front.Port{}, pool: replica.NewPool(0, 0, 0), gate: front.NewGate(0, 0),
+	p := &program{ports: map[string]*front.Port{}, pool: replica.NewPool(0, 0, 0), gate: front.NewConnLimiter(0, 0),
 		draining: make(chan struct{})}
-	p.gate.Closed = func(cause dispatch.Cause, client string) { p.counts.Count(dispatch.ClientClosed, cause, client) }
+	p.gate.OnClose = func(cause dispatch.Cause, client string) { p.counts.Count(dispatch.ClientClosed, cause, client) }
 	go p.pool.Sweep(ctx)
 	if m == nil {
 		p.shared = true
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -113,10 +113,10 @@
 		return err
 	}
 	if s.platform != nil {
-		s.platform.Retune(cfg.Settings)
+		s.platform.UpdateSettings(cfg.Settings)
 	}
 	if s.chat != nil {
-		if err := s.chat.Retune(cfg.Settings.Classes); err != nil { // config has checked that each model has its class
+		if err := s.chat.UpdateClasses(cfg.Settings.Classes); err != nil { // config has checked that each model has its class
 			log.Printf("chat: %v", err)
 		}
 	}
@@ -209,7 +209,7 @@
 		}
 	}
 	for _, ln := range s.accepts {
-		ln.End() // first: what the server's own end finds on a connection it drops, read or not
+		ln.DrainConns() // first: what the server's own end finds on a connection it drops, read or not
 	}
 	for addr, server := range s.fronts {
 		if err := server.Shutdown(); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := w.Yield("12"); err != nil {
+	if err := w.EndBatch("12"); err != nil {
 		t.Fatal(err)
 	}
 	want := "PASS_ON\ti=3\tcorr=q\thost=h:1\tnot_past_us=8000000\nBOUNCE\ti=3\tcorr=q\tpause_us=1000000\nREPORT_FAILURE\ti=3\tcorr=q\n" +
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -58,16 +58,16 @@
 	return w.line()
 }
 
-// Fault reports that the adapter cannot go on.
-func (w *Writer) Fault(instance int, text string) error {
+// InternalError reports that the adapter cannot go on.
+func (w *Writer) InternalError(instance int, text string) error {
 	w.buf = append(w.buf[:0], "INTERNAL_ERROR"...)
 	w.int("i", int64(instance))
 	w.text("reason_text", strings.NewReplacer("\t", " ", "\n", " ").Replace(text))
 	return w.line()
 }
 
-// Yield ends the reply to a batch and sends it off.
-func (w *Writer) Yield(batch string) error {
+// EndBatch ends the reply to a batch and sends it off.
+func (w *Writer) EndBatch(batch string) error {
 	w.buf = append(w.buf[:0], "YIELD"...)
 	w.text("n", batch)
 	if err := w.line(); err != nil {
