--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -97,9 +97,9 @@
 func (unwilling) Reload() error          { return errors.New("port taken") }
 func (unwilling) State() Reply {
 	return Reply{Name: "branch-1", Since: time.Now(), View: dispatch.View{Phase: "ready", Open: 3,
-		Servers: []dispatch.ViewLine{{ID: "s-1", State: "draining", Out: 2}},
+		Servers: []dispatch.ServerView{{ID: "s-1", State: "draining", Out: 2}},
 		Totals:  dispatch.Totals{Taken: 9, Verdicts: map[string]int{"served": 5, "refused": 1}},
-		Recent:  []dispatch.Line{{ID: "old", What: "served"}, {ID: "new", What: "refused", Detail: "deadline"}}}}
+		Recent:  []dispatch.LogEntry{{ID: "old", What: "served"}, {ID: "new", What: "refused", Detail: "deadline"}}}}
 }
 
 func TestConsolePage(t *testing.T) {
--- a/internal/bookkeeping/noted.go
+++ b/internal/bookkeeping/noted.go
@@ -17,7 +17,7 @@
 
 // Note makes an instruction that this dispatcher takes known to the core. Named tells that it is known to be the same as others of
 // its key: by a key that the client gave, or as a marked repeat.
-func (k *Keeper) Note(key ledger.Key, customer string, named bool) dispatch.Noted {
+func (k *Keeper) Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder {
 	return &note{k: k, i: Instruction{Key: key, Customer: customer, Named: named}}
 }
 
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -14,10 +14,10 @@
 	received   time.Time
 	deadline   time.Time
 	class      *logic.Class
-	parcel     Parcel
+	parcel     Payload
 	size       int
 	movable    bool
-	noted      Noted
+	noted      IntentRecorder
 	ticket     *Ticket
 	late       bool        // it has waited for the core for too long to be decided
 	left       atomic.Bool // the client has gone; any goroutine may find that out
@@ -61,14 +61,14 @@
 	case d.requests[r.id] != nil:
 		d.answer(r, Answer{Verdict: Failed, Reason: "a request with this id is open"})
 	case d.ending:
-		d.answer(r, Answer{Verdict: Refused, After: fullAfter, Reason: "the program ends"})
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullAfter, Reason: "the program ends"})
 	case r.late && !r.ask.Resumed:
-		d.answer(r, Answer{Verdict: Refused, After: fullAfter, Reason: "too many requests wait to be decided"})
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullAfter, Reason: "too many requests wait to be decided"})
 	case len(d.requests) >= d.bounds.Requests || d.size+r.size > d.bounds.Bytes:
-		d.answer(r, Answer{Verdict: Refused, After: fullAfter, Reason: "too many requests are open"})
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullAfter, Reason: "too many requests are open"})
 	case d.licence != nil:
-		if err := d.licence.Take(Taking{r.class.Name, r.ask.Tenant, r.ask.Again, r.class.Repeat == logic.Unsafe}); err != nil {
-			d.answer(r, Answer{Verdict: Refused, After: comeBack(err), Mark: noMark, Reason: err.Error()})
+		if err := d.licence.MayAdmit(Admission{r.class.Name, r.ask.Tenant, r.ask.Again, r.class.Repeat == logic.Unsafe}); err != nil {
+			d.answer(r, Answer{Verdict: Refused, RetryAfter: comeBack(err), SettingsVersion: noMark, Reason: err.Error()})
 		}
 	}
 	if r.answered {
@@ -88,7 +88,7 @@
 // overtime answers a request that the module has not answered by its deadline.
 func (d *Dispatcher) overtime(r *request) {
 	if !r.answered {
-		d.giveUp(r, Answer{Verdict: Failed, Reason: "deadline"}, DeadlineOver)
+		d.giveUp(r, Answer{Verdict: Failed, Reason: "deadline"}, DeadlineExceeded)
 	}
 }
 
--- a/internal/dispatch/book.go
+++ b/internal/dispatch/book.go
@@ -63,10 +63,10 @@
 	}
 	d.Counts.note(r, at, out, detail)
 	leftover := d.stateAfter(at, res, out)
-	if res.Left && !r.answered {
-		d.giveUp(r, Answer{Verdict: Left}, ClientGone)
+	if res.ClientGone && !r.answered {
+		d.giveUp(r, Answer{Verdict: ClientLeft}, ClientGone)
 	}
-	if res.Lapsed {
+	if res.NoLease {
 		d.lapsed(r) // before the module tries elsewhere: there is no leave anywhere
 	}
 	told := attemptBooked{r, logic.Event{Kind: logic.Ended, RequestID: r.id, Server: at.server, Attempt: at.n, Outcome: out,
@@ -105,10 +105,10 @@
 		return
 	}
 	if d.requests[g.r.id] != g.r { // its arrival still waits; another request with this id may be open
-		d.answer(g.r, Answer{Verdict: Left})
+		d.answer(g.r, Answer{Verdict: ClientLeft})
 		return
 	}
-	d.giveUp(g.r, Answer{Verdict: Left}, ClientGone)
+	d.giveUp(g.r, Answer{Verdict: ClientLeft}, ClientGone)
 }
 
 // settle forgets a request that is answered and has no attempt out.
--- a/internal/dispatch/cause.go
+++ b/internal/dispatch/cause.go
@@ -21,13 +21,13 @@
 
 // Why an attempt was cancelled.
 const (
-	Overdue       Cause = "overdue"        // the decision module gave it up
-	LostRace      Cause = "lost_race"      // another attempt answered first
-	ClientGone    Cause = "client_gone"    // nobody waits for the answer
-	DeadlineOver  Cause = "deadline"       // the request's time was over
-	ProgramEnding Cause = "program_ending" // the request was answered before SIGKILL could come
-	NoLicence     Cause = "no_licence"     // this dispatcher may not act
-	NotRecorded   Cause = "not_recorded"   // its intent could not be noted
+	Overdue          Cause = "overdue"        // the decision module gave it up
+	LostRace         Cause = "lost_race"      // another attempt answered first
+	ClientGone       Cause = "client_gone"    // nobody waits for the answer
+	DeadlineExceeded Cause = "deadline"       // the request's time was over
+	ProgramEnding    Cause = "program_ending" // the request was answered before SIGKILL could come
+	NoLease          Cause = "no_licence"     // this dispatcher may not act
+	NotRecorded      Cause = "not_recorded"   // its intent could not be noted
 )
 
 // Why replicas were asked to let go.
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -13,28 +13,28 @@
 type Counts struct {
 	mu     sync.Mutex
 	totals Totals
-	recent []Line // a ring of the last final answers
+	recent []LogEntry // a ring of the last final answers
 	next   int
 
-	classes map[string]*Results
+	classes map[string]*ClassResults
 	open    int // requests that are owed an answer, or whose stream runs
 	written int // attempts whose last byte was written
 	causes  map[Event]map[Cause]int
 }
 
-// Results are the requests of a class by how they ended. A stream has ended well only with its last chunk.
-type Results struct{ Served, Refused, Failed int }
-
-// Figures are what operators ask for, since the program's start.
-type Figures struct {
-	Classes           map[string]Results
-	Open, Written     int
-	Listed, LeftAlone int // replicas in the list, and those of them that are avoided now
-	Held              int // requests for which the first stage holds something, or may
-	Causes            map[Event]map[Cause]int
-	Delays            DelayFigures
-	Behind            int // messages and timers that waited for long for the core
-	Waiting           int // messages that wait for it now
+// ClassResults are the requests of a class by how they ended. A stream has ended well only with its last chunk.
+type ClassResults struct{ Served, Refused, Failed int }
+
+// Metrics are what operators ask for, since the program's start.
+type Metrics struct {
+	Classes         map[string]ClassResults
+	Open, Written   int
+	Listed, Ejected int // replicas in the list, and those of them that are avoided now
+	Held            int // requests for which the first stage holds something, or may
+	Causes          map[Event]map[Cause]int
+	Delays          DelayMetrics
+	Delayed         int // messages and timers that waited for long for the core
+	Queued          int // messages that wait for it now
 }
 
 // result books how a request of a class ended.
@@ -42,11 +42,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.classes == nil {
-		c.classes = map[string]*Results{}
+		c.classes = map[string]*ClassResults{}
 	}
 	r := c.classes[class]
 	if r == nil {
-		r = &Results{}
+		r = &ClassResults{}
 		c.classes[class] = r
 	}
 	switch v {
@@ -74,8 +74,8 @@
 	Releases int            `json:"releases"`
 }
 
-// Line is one final answer or attempt, for people.
-type Line struct {
+// LogEntry is one final answer or attempt, for people.
+type LogEntry struct {
 	At     time.Time `json:"at"`
 	ID     string    `json:"id"`
 	Class  string    `json:"class"`
@@ -114,16 +114,16 @@
 	if a.Verdict != Served {
 		detail = fmt.Sprintf("%s; %d sent, %d out, client gone %v", a.Reason, r.sent, len(r.out), r.left.Load())
 	}
-	c.add(Line{ID: r.id, Class: r.ask.Class, What: a.Verdict.String(), Took: took(r.received), Detail: detail})
+	c.add(LogEntry{ID: r.id, Class: r.ask.Class, What: a.Verdict.String(), Took: took(r.received), Detail: detail})
 }
 
 func (c *Counts) note(r *request, at *attempt, out logic.Outcome, detail string) {
-	c.add(Line{ID: r.id, Class: r.ask.Class, Server: at.server, What: out.String(), Took: took(at.sentAt), Detail: fmt.Sprintf("attempt %d %s", at.n, detail)})
+	c.add(LogEntry{ID: r.id, Class: r.ask.Class, Server: at.server, What: out.String(), Took: took(at.sentAt), Detail: fmt.Sprintf("attempt %d %s", at.n, detail)})
 }
 
 func took(since time.Time) string { return time.Since(since).Round(100 * time.Microsecond).String() }
 
-func (c *Counts) add(l Line) {
+func (c *Counts) add(l LogEntry) {
 	l.At = time.Now()
 	log.Printf("%s %s %s %s %s %s", l.ID, l.Class, l.What, l.Took, l.Server, l.Detail)
 	c.mu.Lock()
@@ -137,12 +137,12 @@
 }
 
 // Snapshot gives the totals and the last lines, the oldest first.
-func (c *Counts) Snapshot() (Totals, []Line) {
+func (c *Counts) Snapshot() (Totals, []LogEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.totals
 	t.Verdicts, t.Outcomes = copyOf(t.Verdicts), copyOf(t.Outcomes)
-	var lines []Line
+	var lines []LogEntry
 	if len(c.recent) == recentLines {
 		lines = append(lines, c.recent[c.next:]...)
 	}
--- a/internal/dispatch/delay.go
+++ b/internal/dispatch/delay.go
@@ -15,15 +15,15 @@
 // Delays tells how far the core's goroutine is behind what is asked of it. Figures of a window are those of the last whole second.
 type Delays struct {
 	mu      sync.Mutex
-	now     DelayFigures // of the window that runs
-	last    DelayFigures // of the window before
+	now     DelayMetrics // of the window that runs
+	last    DelayMetrics // of the window before
 	began   time.Time    // of the window that runs
 	behind  int          // messages and timers that waited for behindFrom or longer, since the start
 	waiting func() int   // messages that wait now
 }
 
-// DelayFigures are the longest waits and the longest step of a window.
-type DelayFigures struct {
+// DelayMetrics are the longest waits and the longest step of a window.
+type DelayMetrics struct {
 	Message time.Duration // that a message waited for the core
 	Timer   time.Duration // that a timer went off late
 	Step    time.Duration // that the core took for one message or timer
@@ -56,11 +56,11 @@
 		log.Printf("core: behind: messages waited up to %v, timers %v; the longest step, %T, took %v; %d messages wait", f.Message, f.Timer,
 			f.step, f.Step, y.waiting())
 	}
-	y.last, y.now, y.began = y.now, DelayFigures{}, now
+	y.last, y.now, y.began = y.now, DelayMetrics{}, now
 }
 
 // Snapshot gives the figures of the last whole window, and how many messages and timers came late since the start.
-func (y *Delays) Snapshot(now time.Time) (f DelayFigures, behind int) {
+func (y *Delays) Snapshot(now time.Time) (f DelayMetrics, behind int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if now.Sub(y.began) >= delayWindow {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -38,18 +38,18 @@
 
 // Target is where an attempt goes and how long it may take.
 type Target struct {
-	Server string
-	Addr   string
-	Until  time.Time
-	Once   bool         // it would be lost on a connection whose other side is gone unseen
-	Leave  func() error // asked right before the first byte; nil: it may leave
-	Mark   string       // of the settings that it is sent by; empty where dispatchers do not agree on them
+	Server          string
+	Addr            string
+	Until           time.Time
+	NoReuse         bool         // it would be lost on a connection whose other side is gone unseen
+	BeforeSend      func() error // asked right before the first byte; nil: it may leave
+	SettingsVersion string       // of the settings that it is sent by; empty where dispatchers do not agree on them
 }
 
-// Parcel is a request in the form of its wire; only it knows how to travel.
-type Parcel interface {
+// Payload is a request in the form of its wire; only it knows how to travel.
+type Payload interface {
 	// Send starts an attempt and returns at once. The attempt tells of itself through Report.
-	Send(to Target, tell Report) Attempt
+	Send(to Target, tell AttemptObserver) Attempt
 }
 
 // Attempt is one that is out.
@@ -58,8 +58,8 @@
 	Cancel()
 }
 
-// Report is how an attempt tells of itself: Written and Began at most once, then Ended exactly once.
-type Report interface {
+// AttemptObserver is how an attempt tells of itself: Written and Began at most once, then Ended exactly once.
+type AttemptObserver interface {
 	Written()
 	Began(Stream)
 	Ended(Result)
@@ -67,12 +67,12 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome logic.Outcome
-	Tokens  int64  // prompt tokens found kept, with ReadDone
-	NoState bool   // with Full: there was no state to fetch; else: the attempt has taken it
-	Lapsed  bool   // with NotSent: there was no leave to send
-	Left    bool   // with NotSent: the client had gone
-	Detail  string // for people
+	Outcome    logic.Outcome
+	Tokens     int64  // prompt tokens found kept, with ReadDone
+	NoState    bool   // with Full: there was no state to fetch; else: the attempt has taken it
+	NoLease    bool   // with NotSent: there was no leave to send
+	ClientGone bool   // with NotSent: the client had gone
+	Detail     string // for people
 }
 
 // Stream is an answer that has begun. Whoever holds it reads to the end or closes it.
@@ -130,7 +130,7 @@
 	events    []logic.Event // that answer actions at once
 	bounds    Bounds
 	size      int // of the open requests
-	licence   Licence
+	licence   Lease
 	ending    bool // nothing more is taken
 	overload  overload
 	late      map[string]*lateReads // by the replica's address
@@ -167,9 +167,9 @@
 	return d, nil
 }
 
-// Retune puts other settings in force, or says which is wrong. Requests that are open keep their class. With a licence
+// UpdateSettings puts other settings in force, or says which is wrong. Requests that are open keep their class. With a licence
 // they keep to the stricter rule on repeats.
-func (d *Dispatcher) Retune(set logic.Settings, bounds Bounds, licence Licence) error {
+func (d *Dispatcher) UpdateSettings(set logic.Settings, bounds Bounds, licence Lease) error {
 	q := retuning{set, bounds, licence, make(chan error, 1)}
 	d.post(q)
 	select {
@@ -183,7 +183,7 @@
 type retuning struct {
 	set     logic.Settings
 	bounds  Bounds
-	licence Licence
+	licence Lease
 	reply   chan error
 }
 
@@ -193,7 +193,7 @@
 		d.set, d.bounds, d.surest = q.set, q.bounds.under(q.set), nil
 		d.Phases.setAble(d.able())
 		if q.licence != nil {
-			d.Under(q.licence)
+			d.SetLease(q.licence)
 			d.strictly()
 		}
 	}
@@ -246,8 +246,8 @@
 	}
 }
 
-// Tell takes a list of replicas.
-func (d *Dispatcher) Tell(u Update) { d.post(u) }
+// UpdateServers takes a list of replicas.
+func (d *Dispatcher) UpdateServers(u Update) { d.post(u) }
 
 func (u Update) apply(d *Dispatcher) {
 	d.starts.listTold(d.now())
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -19,11 +19,11 @@
 
 type fake struct {
 	p    *parcel
-	tell Report
+	tell AttemptObserver
 	to   Target
 }
 
-func (p *parcel) Send(to Target, tell Report) Attempt {
+func (p *parcel) Send(to Target, tell AttemptObserver) Attempt {
 	f := &fake{p, tell, to}
 	p.sent = append(p.sent, f)
 	return f
@@ -97,8 +97,8 @@
 
 func take(d *Dispatcher, id, class string) (*Ticket, *parcel) {
 	p := &parcel{}
-	t := d.Take(Request{ID: id, Received: time.Now(), Parcel: p,
-		Ask: logic.Request{Class: class, Remaining: 2 * time.Second, PromptTokens: 10}})
+	t := d.Submit(Request{ID: id, Received: time.Now(), Payload: p,
+		Spec: logic.Request{Class: class, Remaining: 2 * time.Second, PromptTokens: 10}})
 	drive(d)
 	return t, p
 }
@@ -210,7 +210,7 @@
 	for range 3 {
 		end(d, p, logic.ConnectionLost)
 	}
-	if a := answerOf(t, k); a.Verdict != Refused || a.MayRun || a.After <= 0 || len(*rel) == 0 {
+	if a := answerOf(t, k); a.Verdict != Refused || a.MayRun || a.RetryAfter <= 0 || len(*rel) == 0 {
 		t.Errorf("broken reads: %+v, released %v", a, *rel)
 	}
 }
@@ -219,9 +219,9 @@
 func TestDeparture(t *testing.T) {
 	d, rel := core(t, 9)
 	k, p := take(d, "a", "unsafe")
-	k.Leave()
+	k.Abandon()
 	drive(d)
-	if a := answerOf(t, k); a.Verdict != Left || a.MayRun || p.cancelled != 1 {
+	if a := answerOf(t, k); a.Verdict != ClientLeft || a.MayRun || p.cancelled != 1 {
 		t.Errorf("got %+v, %d cancelled", a, p.cancelled)
 	}
 	end(d, p, logic.Cancelled)
@@ -250,13 +250,13 @@
 func TestTheRestIsNeverRefused(t *testing.T) {
 	d, _ := core(t, 1)
 	p := &parcel{}
-	k := d.Take(Request{ID: "a", Received: time.Now(), Parcel: p,
-		Ask: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10, Resumed: true}})
+	k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p,
+		Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10, Resumed: true}})
 	drive(d)
 	if len(p.sent) != 1 {
 		t.Fatalf("%d sends", len(p.sent))
 	}
-	other := d.Take(Request{ID: "b", Received: time.Now(), Parcel: &parcel{}, Ask: logic.Request{Class: "unsafe", Remaining: time.Second, Resumed: true}})
+	other := d.Submit(Request{ID: "b", Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "unsafe", Remaining: time.Second, Resumed: true}})
 	drive(d)                                             // there is no room for it
 	d.route(logic.Event{Kind: logic.TimerFired, Tag: 3}) // the first request's deadline
 	for name, k := range map[string]*Ticket{"at its deadline": k, "without room": other} {
@@ -298,7 +298,7 @@
 func TestBookKeepsTheLastLines(t *testing.T) {
 	c := &Counts{}
 	for i := range recentLines + 3 {
-		c.add(Line{ID: string(rune('a' + i%26))})
+		c.add(LogEntry{ID: string(rune('a' + i%26))})
 	}
 	_, lines := c.Snapshot()
 	last := recentLines + 2
@@ -318,9 +318,9 @@
 	waiting, _ := take(d, "waiting", "safe")
 	running, p := take(d, "running", "unsafe")
 	end(d, p, logic.ReadDone)
-	d.Vacate()
+	d.AnswerPending()
 	drive(d)
-	if a := answerOf(t, waiting); a.Verdict != Refused || a.After == 0 {
+	if a := answerOf(t, waiting); a.Verdict != Refused || a.RetryAfter == 0 {
 		t.Errorf("what never ran: %+v", a)
 	}
 	if a := answerOf(t, running); a.Verdict != Failed {
@@ -340,8 +340,8 @@
 	var streams []*closer
 	for i, movable := range []bool{true, true, false, true} {
 		p, s := &parcel{}, &closer{}
-		d.Take(Request{ID: fmt.Sprint(i), Received: now, Parcel: p, Movable: movable,
-			Ask: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
+		d.Submit(Request{ID: fmt.Sprint(i), Received: now, Payload: p, Resumable: movable,
+			Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
 		drive(d)
 		end(d, p, logic.ReadDone)
 		if i < 3 { // the last one has not begun
@@ -351,7 +351,7 @@
 		streams = append(streams, s)
 		now = now.Add(100 * time.Millisecond)
 	}
-	d.Move(time.Second)
+	d.CloseResumable(time.Second)
 	drive(d)
 	now = now.Add(500 * time.Millisecond)
 	d.ring()
@@ -379,7 +379,7 @@
 		list.apply(d)
 		for i := range 500 {
 			p := &parcel{}
-			k := d.Take(Request{ID: fmt.Sprint(n, "-", i), Received: now, Parcel: p, Ask: logic.Request{Class: "safe",
+			k := d.Submit(Request{ID: fmt.Sprint(n, "-", i), Received: now, Payload: p, Spec: logic.Request{Class: "safe",
 				Remaining: 2 * time.Second, PromptTokens: 10, Session: uint64(n*1000 + i + 1), Prefix: uint64(n*1000 + i + 1), PrefixTokens: 5}})
 			drive(d)
 			end(d, p, logic.ReadDone)
--- a/internal/dispatch/inbox_test.go
+++ b/internal/dispatch/inbox_test.go
@@ -20,7 +20,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		for range 5000 { // nobody takes them
-			d.Tell(Update{})
+			d.UpdateServers(Update{})
 		}
 		p.sent[1].tell.Ended(Result{Outcome: logic.Delivered})
 		ended <- io.EOF
@@ -45,7 +45,7 @@
 	d, _ := core(t, 9)
 	var taken []string
 	for _, id := range []string{"a", "b"} {
-		d.Take(Request{ID: id, Received: time.Now(), Parcel: &parcel{}, Ask: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+		d.Submit(Request{ID: id, Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	}
 	d.after(0, func() { step{"timer", &taken}.apply(d) })
 	d.post(step{"owed", &taken})
@@ -66,7 +66,7 @@
 	again()
 	var taken []string
 	d.post(step{"owed", &taken})
-	d.Take(Request{ID: "a", Received: time.Now(), Parcel: &parcel{}, Ask: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+	d.Submit(Request{ID: "a", Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	done := make(chan bool)
 	go func() { d.turn(); done <- true }()
 	select {
@@ -108,7 +108,7 @@
 	} {
 		d, _ := core(t, 9)
 		p := &parcel{}
-		k := d.Take(Request{ID: "a", Received: time.Now(), Parcel: p, Ask: logic.Request{Class: "safe", Remaining: 2 * time.Second, Resumed: c.resumed}})
+		k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second, Resumed: c.resumed}})
 		m, _ := d.inbox.nextArrival()
 		m.at = m.at.Add(-refuseAfter)
 		d.overload.since = time.Now().Add(-c.behind)
@@ -120,7 +120,7 @@
 			}
 			continue
 		}
-		if a := answerOf(t, k); a.Verdict != Refused || a.After == 0 || len(p.sent) != 0 {
+		if a := answerOf(t, k); a.Verdict != Refused || a.RetryAfter == 0 || len(p.sent) != 0 {
 			t.Errorf("%s: %+v, %d attempts", c.name, a, len(p.sent))
 		}
 	}
@@ -132,10 +132,10 @@
 	d, _ := core(t, 9)
 	first, p := take(d, "a", "safe")
 	again := &parcel{}
-	second := d.Take(Request{ID: "a", Received: time.Now(), Parcel: again, Ask: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
-	second.Leave()
+	second := d.Submit(Request{ID: "a", Received: time.Now(), Payload: again, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+	second.Abandon()
 	d.turn()
-	if a := answerOf(t, second); a.Verdict != Left {
+	if a := answerOf(t, second); a.Verdict != ClientLeft {
 		t.Errorf("got %+v", a)
 	}
 	if none(t, first); p.cancelled != 0 || len(again.sent) != 0 {
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -7,15 +7,15 @@
 
 // View is the core's present state, for people.
 type View struct {
-	Phase   string     `json:"phase"`
-	Open    int        `json:"open"`
-	Servers []ViewLine `json:"servers"`
-	Totals  Totals     `json:"totals"`
-	Recent  []Line     `json:"recent"`
+	Phase   string       `json:"phase"`
+	Open    int          `json:"open"`
+	Servers []ServerView `json:"servers"`
+	Totals  Totals       `json:"totals"`
+	Recent  []LogEntry   `json:"recent"`
 }
 
-// ViewLine is one listed replica.
-type ViewLine struct {
+// ServerView is one listed replica.
+type ServerView struct {
 	ID    string `json:"id"`
 	Addr  string `json:"addr"`
 	Kind  string `json:"kind"`
@@ -54,26 +54,26 @@
 		}
 	}
 	for _, s := range d.servers {
-		v.Servers = append(v.Servers, ViewLine{s.ID, s.Addr, s.Kind, s.Zone, s.Cell, s.Availability.String(), out[s.ID]})
+		v.Servers = append(v.Servers, ServerView{s.ID, s.Addr, s.Kind, s.Zone, s.Cell, s.Availability.String(), out[s.ID]})
 	}
 	sort.Slice(v.Servers, func(i, j int) bool { return v.Servers[i].ID < v.Servers[j].ID })
 	q <- v
 }
 
-type counting chan Figures
+type counting chan Metrics
 
-// Figures asks the core for what operators want to know. It reports false after Stop.
-func (d *Dispatcher) Figures() (Figures, bool) { return ask(d, make(counting, 1)) }
+// Metrics asks the core for what operators want to know. It reports false after Stop.
+func (d *Dispatcher) Metrics() (Metrics, bool) { return ask(d, make(counting, 1)) }
 
 func (q counting) apply(d *Dispatcher) {
-	f := Figures{Classes: map[string]Results{}, Listed: len(d.servers), LeftAlone: d.router.LeftAlone(d.now())}
+	f := Metrics{Classes: map[string]ClassResults{}, Listed: len(d.servers), Ejected: d.router.LeftAlone(d.now())}
 	for _, c := range d.set.Classes {
-		f.Classes[c.Name] = Results{}
+		f.Classes[c.Name] = ClassResults{}
 	}
 	c := d.Counts
 	f.Causes = c.Causes()
-	f.Delays, f.Behind = d.Delays.Snapshot(time.Now())
-	f.Waiting = d.Delays.waiting()
+	f.Delays, f.Delayed = d.Delays.Snapshot(time.Now())
+	f.Queued = d.Delays.waiting()
 	for _, r := range d.requests {
 		if r.held.addr != "" {
 			f.Held++
--- a/internal/dispatch/instant_test.go
+++ b/internal/dispatch/instant_test.go
@@ -53,7 +53,7 @@
 	if len(p.sent) != 0 {
 		t.Fatalf("%d sends where there is nobody", len(p.sent))
 	}
-	k.Leave()
+	k.Abandon()
 	drive(d)
 	list.apply(d)
 	for range 10 {
@@ -63,7 +63,7 @@
 	if len(p.sent) != 0 {
 		t.Errorf("%d sends after the client left", len(p.sent))
 	}
-	if a := answerOf(t, k); a.Verdict != Left {
+	if a := answerOf(t, k); a.Verdict != ClientLeft {
 		t.Errorf("%v", a.Verdict)
 	}
 }
@@ -74,11 +74,11 @@
 	d, _ := core(t, 9)
 	_, p := take(d, "a", "safe")
 	first := p.sent[0]
-	if err := first.to.Leave(); err != nil {
+	if err := first.to.BeforeSend(); err != nil {
 		t.Fatal(err)
 	}
 	Update{Servers: []Server{{Addr: "elsewhere", ServerEntry: logic.ServerEntry{ID: "r1", Kind: "r", Weight: 1}}}}.apply(d)
-	if err := first.to.Leave(); err != ErrWithdrawn {
+	if err := first.to.BeforeSend(); err != ErrWithdrawn {
 		t.Errorf("to the address before: %v", err)
 	}
 	if s := d.servers["r1"]; s.Addr != "elsewhere" || s.withdrawn.Load() {
@@ -93,7 +93,7 @@
 	open, p := take(d, "a", "safe")
 	for range 3 {
 		k, again := take(d, "b", "safe")
-		if a := answerOf(t, k); a.Verdict != Refused || a.After <= 0 || len(again.sent) != 0 {
+		if a := answerOf(t, k); a.Verdict != Refused || a.RetryAfter <= 0 || len(again.sent) != 0 {
 			t.Errorf("%+v after %d sends", a, len(again.sent))
 		}
 		none(t, k)
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -32,7 +32,7 @@
 			d := keyedCore(t, scope, 5*time.Second)
 			k, p := take(d, "a", "keyed")
 			ran(d, p)
-			d.Vacate()
+			d.AnswerPending()
 			drive(d)
 			if a := answerOf(t, k); a.Verdict != want {
 				t.Errorf("scope %v, %s: %v, want %v", scope, name, a.Verdict, want)
@@ -48,18 +48,18 @@
 		d := keyedCore(t, logic.AllServers, window)
 		_, p := take(d, "a", "keyed")
 		end(d, p, logic.ReadDone)
-		if err := p.sent[1].to.Leave(); err != nil {
+		if err := p.sent[1].to.BeforeSend(); err != nil {
 			t.Errorf("the first: %v", err)
 		}
 		end(d, p, logic.ServerError) // it may have run
 		again := p.sent[len(p.sent)-1]
-		if len(p.sent) < 3 || again.to.Leave() != nil {
+		if len(p.sent) < 3 || again.to.BeforeSend() != nil {
 			t.Fatalf("%d sends", len(p.sent))
 		}
 		r := d.requests["a"]
 		r.ranSince = r.ranSince.Add(-time.Minute)
 		err := d.leave(&attempt{d: d, r: r}, d.servers["w1"])()
-		if errors.Is(err, ErrClosed) != (window < time.Minute) {
+		if errors.Is(err, ErrRepeatWindowClosed) != (window < time.Minute) {
 			t.Errorf("window %v, a minute later: %v", window, err)
 		}
 	}
--- a/internal/dispatch/left_test.go
+++ b/internal/dispatch/left_test.go
@@ -16,27 +16,27 @@
 			d, rel := core(t, 9)
 			gone := false
 			p := &parcel{}
-			k := d.Take(Request{ID: "a", Received: time.Now(), Parcel: p, ClientGone: func() bool { return gone },
-				Ask: logic.Request{Class: "safe", Remaining: 2 * time.Second, PromptTokens: 10}})
+			k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, ClientGone: func() bool { return gone },
+				Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second, PromptTokens: 10}})
 			drive(d)
 			if stage == logic.Writer {
 				end(d, p, logic.ReadDone)
 			}
 			at := p.sent[len(p.sent)-1]
-			if err := at.to.Leave(); err != nil {
+			if err := at.to.BeforeSend(); err != nil {
 				t.Fatalf("while the client is there: %v", err)
 			}
 			if gone = true; how == "its watch has noticed" {
 				gone = false
-				k.Leave()
+				k.Abandon()
 			}
-			if err := at.to.Leave(); !errors.Is(err, ErrLeft) {
+			if err := at.to.BeforeSend(); !errors.Is(err, ErrClientGone) {
 				t.Errorf("stage %v, %s: %v", stage, how, err)
 			}
 			sends := len(p.sent)
-			at.tell.Ended(Result{Outcome: logic.NotSent, Left: true})
+			at.tell.Ended(Result{Outcome: logic.NotSent, ClientGone: true})
 			drive(d)
-			if a := answerOf(t, k); a.Verdict != Left || len(p.sent) != sends {
+			if a := answerOf(t, k); a.Verdict != ClientLeft || len(p.sent) != sends {
 				t.Errorf("stage %v, %s: %v, %d further sends", stage, how, a.Verdict, len(p.sent)-sends)
 			}
 			if stage == logic.Writer && len(*rel) == 0 {
--- a/internal/dispatch/licence.go
+++ b/internal/dispatch/licence.go
@@ -7,32 +7,32 @@
 	"standpulley/logic"
 )
 
-// Licence is leave to act by the settings in force, where dispatchers agree on them. It may run out at any moment, so it
+// Lease is leave to act by the settings in force, where dispatchers agree on them. It may run out at any moment, so it
 // is asked where something is taken and once more right before the first byte of an attempt leaves. It is read from any
 // goroutine. Without one (nil) the core always has leave.
-type Licence interface {
-	// Take says why a new request may not be taken.
-	Take(q Taking) error
-	// Send says why an attempt may not leave now. Again is that an earlier one of its request may have run.
-	Send(once, again bool) error
-	// Once tells whether every class must be treated as one that may run only once.
-	Once() bool
+type Lease interface {
+	// MayAdmit says why a new request may not be taken.
+	MayAdmit(q Admission) error
+	// MaySend says why an attempt may not leave now. Again is that an earlier one of its request may have run.
+	MaySend(once, again bool) error
+	// AtMostOnce tells whether every class must be treated as one that may run only once.
+	AtMostOnce() bool
 	// Ready tells whether clients may come.
 	Ready() bool
-	// Mark names the settings, for who hears of what was done by them.
-	Mark() string
+	// SettingsVersion names the settings, for who hears of what was done by them.
+	SettingsVersion() string
 }
 
-// Taking is what is to be taken.
-type Taking struct {
-	Class    string
-	Customer string
-	Again    bool // its client has tried before
-	Once     bool // its class must not run twice
+// Admission is what is to be taken.
+type Admission struct {
+	Class      string
+	Tenant     string
+	Retry      bool // its client has tried before
+	AtMostOnce bool // its class must not run twice
 }
 
-// Under puts the core under a licence; before Run, or on its goroutine.
-func (d *Dispatcher) Under(l Licence) {
+// SetLease puts the core under a licence; before Run, or on its goroutine.
+func (d *Dispatcher) SetLease(l Lease) {
 	d.licence = l
 	d.Phases.under(l.Ready)
 }
@@ -56,7 +56,7 @@
 // lapsed gives up a request that may not be sent on for want of leave.
 func (d *Dispatcher) lapsed(r *request) {
 	if !r.answered && !r.away() {
-		d.giveUp(r, Answer{Verdict: Refused, After: lapsedAfter, Mark: noMark, Reason: "this dispatcher may not act: it has lost contact with the others"}, NoLicence)
+		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: lapsedAfter, SettingsVersion: noMark, Reason: "this dispatcher may not act: it has lost contact with the others"}, NoLease)
 	}
 }
 
@@ -64,7 +64,7 @@
 	if d.licence == nil {
 		return ""
 	}
-	return d.licence.Mark()
+	return d.licence.SettingsVersion()
 }
 
 // strictly keeps the requests that are open to the stricter of the rules on repeats: those they came with, and those in
--- a/internal/dispatch/licence_test.go
+++ b/internal/dispatch/licence_test.go
@@ -15,14 +15,14 @@
 	asked      []bool // whether an earlier attempt may have run, each time that leave to send was asked
 }
 
-func (l *leave) Take(Taking) error { return l.take }
-func (l *leave) Send(_, again bool) error {
+func (l *leave) MayAdmit(Admission) error { return l.take }
+func (l *leave) MaySend(_, again bool) error {
 	l.asked = append(l.asked, again)
 	return l.send
 }
-func (l *leave) Once() bool   { return l.once }
-func (l *leave) Ready() bool  { return l.take == nil }
-func (l *leave) Mark() string { return "7-abcd" }
+func (l *leave) AtMostOnce() bool        { return l.once }
+func (l *leave) Ready() bool             { return l.take == nil }
+func (l *leave) SettingsVersion() string { return "7-abcd" }
 
 var errGone = errors.New("gone")
 
@@ -31,26 +31,26 @@
 func TestWithoutLeave(t *testing.T) {
 	d, _ := core(t, 9)
 	lic := &leave{}
-	d.Under(lic)
-	if err := d.Phases.Enter(Ready); err != nil || !d.Phases.Welcome() {
+	d.SetLease(lic)
+	if err := d.Phases.Enter(Ready); err != nil || !d.Phases.AcceptsClients() {
 		t.Fatal(err, "clients may not come though there is leave")
 	}
 	k, p := take(d, "a", "unsafe")
-	if to := p.sent[0].to; to.Mark != "7-abcd" || to.Leave() != nil || lic.asked[0] {
+	if to := p.sent[0].to; to.SettingsVersion != "7-abcd" || to.BeforeSend() != nil || lic.asked[0] {
 		t.Errorf("%+v, asked %v", to, lic.asked)
 	}
 	lic.take, lic.send = errGone, errGone
-	if p.sent[0].to.Leave() == nil || d.Phases.Welcome() {
+	if p.sent[0].to.BeforeSend() == nil || d.Phases.AcceptsClients() {
 		t.Error("an attempt leaves without leave, or clients may come")
 	}
 	// The attempt found no leave at its first byte: it never ran.
-	p.sent[0].tell.Ended(Result{Outcome: logic.NotSent, Lapsed: true})
+	p.sent[0].tell.Ended(Result{Outcome: logic.NotSent, NoLease: true})
 	drive(d)
-	if a := answerOf(t, k); a.Verdict != Refused || a.After < lapsedAfter || a.Mark != noMark {
+	if a := answerOf(t, k); a.Verdict != Refused || a.RetryAfter < lapsedAfter || a.SettingsVersion != noMark {
 		t.Errorf("%+v", a)
 	}
 	k, p = take(d, "b", "safe")
-	if a := answerOf(t, k); a.Verdict != Refused || a.Mark != noMark || len(p.sent) > 0 {
+	if a := answerOf(t, k); a.Verdict != Refused || a.SettingsVersion != noMark || len(p.sent) > 0 {
 		t.Errorf("taken without leave: %+v, %d sent", a, len(p.sent))
 	}
 	// One that may have run at a writer fails.
@@ -69,7 +69,7 @@
 func TestStricterRepeats(t *testing.T) {
 	d, _ := core(t, 9)
 	lic := &leave{}
-	d.Under(lic)
+	d.SetLease(lic)
 	_, p := take(d, "a", "safe")
 	end(d, p, logic.ReadDone)
 	before := len(p.sent)
@@ -107,13 +107,13 @@
 	} {
 		d, _ := core(t, 9)
 		if name != "gone" {
-			d.Under(&leave{})
+			d.SetLease(&leave{})
 		}
 		_, p := take(d, "a", "unsafe")
 		end(d, p, logic.ReadDone)
 		to := p.sent[1].to
 		list(*d.servers[to.Server]).apply(d)
-		if err := to.Leave(); errors.Is(err, ErrWithdrawn) != (name != "") {
+		if err := to.BeforeSend(); errors.Is(err, ErrWithdrawn) != (name != "") {
 			t.Errorf("%s: %v", name, err)
 		}
 		if name != "drained" {
@@ -121,13 +121,13 @@
 		}
 		before := len(p.sent)
 		end(d, p, logic.NotSent)
-		if len(p.sent) != before+1 || p.sent[before].to.Server == to.Server || p.sent[before].to.Leave() != nil {
+		if len(p.sent) != before+1 || p.sent[before].to.Server == to.Server || p.sent[before].to.BeforeSend() != nil {
 			t.Errorf("%d attempts after %d", len(p.sent), before)
 		}
 		back := *d.servers[to.Server]
 		back.Availability = logic.Ready
 		Update{Servers: []Server{back}}.apply(d)
-		if d.servers[to.Server].withdrawn.Load() || to.Leave() == nil {
+		if d.servers[to.Server].withdrawn.Load() || to.BeforeSend() == nil {
 			t.Error("one that is back takes nothing, or takes what was routed before")
 		}
 	}
--- a/internal/dispatch/noted.go
+++ b/internal/dispatch/noted.go
@@ -7,9 +7,9 @@
 	"standpulley/logic"
 )
 
-// Noted is a request that must not run twice, of which others must find that it may have run. The intent to send an attempt is
+// IntentRecorder is a request that must not run twice, of which others must find that it may have run. The intent to send an attempt is
 // noted where they look, before its first byte leaves.
-type Noted interface {
+type IntentRecorder interface {
 	// Begin notes an intent and calls then once, from any goroutine: with what takes the attempt's end, or with why it must not
 	// be sent. It does not block.
 	Begin(until time.Time, then func(end func(logic.Outcome), err error))
@@ -71,6 +71,6 @@
 		r.ran = true
 		d.giveUp(r, Answer{Verdict: Failed, Reason: err.Error()}, NotRecorded)
 	default:
-		d.giveUp(r, Answer{Verdict: Refused, After: notedAfter, Reason: err.Error()}, NotRecorded)
+		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: notedAfter, Reason: err.Error()}, NotRecorded)
 	}
 }
--- a/internal/dispatch/noted_test.go
+++ b/internal/dispatch/noted_test.go
@@ -38,15 +38,15 @@
 		"noted":            {nil, false, 2, Served, true},
 		"can't be noted":   {noDisk, false, 1, Refused, false},
 		"ran before":       {ran, false, 1, Failed, true},
-		"client has left":  {nil, true, 1, Left, false},
-		"left and unnoted": {noDisk, true, 1, Left, false},
-		"left and has run": {ran, true, 1, Left, false},
+		"client has left":  {nil, true, 1, ClientLeft, false},
+		"left and unnoted": {noDisk, true, 1, ClientLeft, false},
+		"left and has run": {ran, true, 1, ClientLeft, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, _ := core(t, 9)
 			n, p := &notes{}, &parcel{}
-			k := d.Take(Request{ID: "a", Received: time.Now(), Parcel: p, Noted: n,
-				Ask: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
+			k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, Intents: n,
+				Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
 			drive(d)
 			if len(n.began) > 0 {
 				t.Error("a read is noted, which has no effect")
@@ -56,7 +56,7 @@
 				t.Fatalf("%d intents, %d sends", len(n.began), len(p.sent))
 			}
 			if x.leaves {
-				k.Leave()
+				k.Abandon()
 				drive(d)
 			}
 			var take func(logic.Outcome)
@@ -73,7 +73,7 @@
 				drive(d)
 				end(d, p, logic.Delivered)
 			}
-			if a := answerOf(t, k); a.Verdict != x.verdict || a.MayRun != x.mayRun || a.Verdict == Refused && a.After == 0 {
+			if a := answerOf(t, k); a.Verdict != x.verdict || a.MayRun != x.mayRun || a.Verdict == Refused && a.RetryAfter == 0 {
 				t.Errorf("%+v", a)
 			}
 			want := logic.Delivered
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -50,15 +50,15 @@
 	if r.sent > d.set.MaxAttempts {
 		return false
 	}
-	return r.class.Repeat != logic.Unsafe && !(d.licence != nil && d.licence.Once()) || len(r.out) == 0 && !r.unsure()
+	return r.class.Repeat != logic.Unsafe && !(d.licence != nil && d.licence.AtMostOnce()) || len(r.out) == 0 && !r.unsure()
 }
 
 // Why an attempt may not leave any more, though it was routed.
 var (
-	ErrLapsed    = errors.New("there is no licence to send")
-	ErrWithdrawn = errors.New("the server was withdrawn meanwhile")
-	ErrClosed    = errors.New("the window for repeats has closed")
-	ErrLeft      = errors.New("the client has gone")
+	ErrNoLease            = errors.New("there is no licence to send")
+	ErrWithdrawn          = errors.New("the server was withdrawn meanwhile")
+	ErrRepeatWindowClosed = errors.New("the window for repeats has closed")
+	ErrClientGone         = errors.New("the client has gone")
 )
 
 // leave is what an attempt at a server asks before its first byte, whatever kind of send it is. A lease that was renewed since the
@@ -73,18 +73,18 @@
 	}
 	return func() error {
 		if lic != nil {
-			if err := lic.Send(once, again); err != nil {
-				return errors.Join(ErrLapsed, err)
+			if err := lic.MaySend(once, again); err != nil {
+				return errors.Join(ErrNoLease, err)
 			}
 		}
 		if r.clientLeft() {
-			return ErrLeft
+			return ErrClientGone
 		}
 		if s.withdrawn.Load() {
 			return ErrWithdrawn
 		}
 		if !closes.IsZero() && !time.Now().Add(heldUp).Before(closes) {
-			return ErrClosed
+			return ErrRepeatWindowClosed
 		}
 		at.left.set(d.now())
 		return nil
--- a/internal/dispatch/phase.go
+++ b/internal/dispatch/phase.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// SendAway sends clients away from now on, or takes them again. The phase stays: what comes all the same is served.
-func (p *Phases) SendAway(away bool) {
+// SetDiverting sends clients away from now on, or takes them again. The phase stays: what comes all the same is served.
+func (p *Phases) SetDiverting(away bool) {
 	p.mu.Lock()
 	p.away = away
 	p.mu.Unlock()
@@ -72,8 +72,8 @@
 	p.mu.Unlock()
 }
 
-// Able tells whether replicas are known that could serve a request between them.
-func (p *Phases) Able() bool {
+// CanServe tells whether replicas are known that could serve a request between them.
+func (p *Phases) CanServe() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.able
@@ -85,15 +85,15 @@
 	p.mu.Unlock()
 }
 
-// Welcome tells whether clients may come: not to a program that could serve none of them.
-func (p *Phases) Welcome() bool {
+// AcceptsClients tells whether clients may come: not to a program that could serve none of them.
+func (p *Phases) AcceptsClients() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.now == Ready && p.able && !p.away && (p.may == nil || p.may())
 }
 
-// Keep tells whether clients may keep their connections after an answer.
-func (p *Phases) Keep() bool {
+// KeepAlive tells whether clients may keep their connections after an answer.
+func (p *Phases) KeepAlive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.now < Leaving && !p.away
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -10,9 +10,9 @@
 // Began is called by the transport when the first event of an answer is there.
 func (at *attempt) Began(s Stream) { at.d.post(beginning{at, s}) }
 
-// Vacate answers what is unanswered, as the program is about to be killed: it is refused, or fails where it may have
+// AnswerPending answers what is unanswered, as the program is about to be killed: it is refused, or fails where it may have
 // run. Streams go on.
-func (d *Dispatcher) Vacate() { d.post(vacating{}) }
+func (d *Dispatcher) AnswerPending() { d.post(vacating{}) }
 
 type vacating struct{}
 
@@ -24,16 +24,16 @@
 	}
 }
 
-// StopTaking refuses what comes from now on, before anything of it is sent: it could not be finished before the program is killed.
-func (d *Dispatcher) StopTaking() { d.post(stopTaking{}) }
+// StopAdmission refuses what comes from now on, before anything of it is sent: it could not be finished before the program is killed.
+func (d *Dispatcher) StopAdmission() { d.post(stopTaking{}) }
 
 type stopTaking struct{}
 
 func (stopTaking) apply(d *Dispatcher) { d.ending = true }
 
-// Move ends the streams whose clients ask another dispatcher for the rest, as the program is about to be killed. They
+// CloseResumable ends the streams whose clients ask another dispatcher for the rest, as the program is about to be killed. They
 // are spread over a time, as all of their prompts are read anew. The youngest go first: the others may yet end.
-func (d *Dispatcher) Move(over time.Duration) { d.post(moving(over)) }
+func (d *Dispatcher) CloseResumable(over time.Duration) { d.post(moving(over)) }
 
 type moving time.Duration
 
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -260,9 +260,9 @@
 			t.Fatalf("%d sends, %d releases", len(p.sent), len(rel.then))
 		}
 		if leaves {
-			k.Leave()
+			k.Abandon()
 			drive(d)
-			if a := answerOf(t, k); a.Verdict != Left || len(d.requests) != 1 {
+			if a := answerOf(t, k); a.Verdict != ClientLeft || len(d.requests) != 1 {
 				t.Errorf("%v, %d requests are known", a.Verdict, len(d.requests))
 			}
 		}
@@ -283,7 +283,7 @@
 		d.releaser = rel
 		k, p := take(d, "a", "safe")
 		if !served {
-			k.Leave()
+			k.Abandon()
 			drive(d)
 		}
 		end(d, p, logic.Cancelled)
@@ -338,9 +338,9 @@
 	d, rel, pass := clocked(t)
 	idle := func() bool { d.Phases.mu.Lock(); defer d.Phases.mu.Unlock(); return d.Phases.open == 0 }
 	k, p := take(d, "a", "safe")
-	k.Leave()
+	k.Abandon()
 	drive(d)
-	if a := answerOf(t, k); a.Verdict != Left {
+	if a := answerOf(t, k); a.Verdict != ClientLeft {
 		t.Fatalf("%v", a.Verdict)
 	}
 	k.Finish()
@@ -403,7 +403,7 @@
 			before := len(p.sent)
 			end(d, p, c.outcome)
 			if len(p.sent) == before { // it waits for another replica
-				d.giveUp(k.r, Answer{Verdict: Refused}, DeadlineOver)
+				d.giveUp(k.r, Answer{Verdict: Refused}, DeadlineExceeded)
 			}
 		}
 		answerOf(t, k)
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -79,7 +79,7 @@
 			at.cancel(Overdue)
 		}
 	case logic.Refuse:
-		d.answer(r, Answer{Verdict: Refused, After: a.After, Reason: "no replica can serve it in time"})
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: a.After, Reason: "no replica can serve it in time"})
 		d.settle(r)
 	case logic.Fail:
 		d.answer(r, Answer{Verdict: Failed, Reason: "it may have run, and no answer came"})
@@ -94,14 +94,14 @@
 		return
 	}
 	a.MayRun = r.mayRun()
-	if a.Mark == "" {
-		a.Mark = d.mark()
+	if a.SettingsVersion == "" {
+		a.SettingsVersion = d.mark()
 	}
 	if a.Verdict == Refused && !r.refusable() {
 		a.Verdict = Failed
 	}
 	if a.Verdict == Refused { // a refusal always says when to come back
-		a.After = max(a.After, refusedAfter)
+		a.RetryAfter = max(a.RetryAfter, refusedAfter)
 	}
 	r.answered, r.verdict, r.answeredAt = true, a.Verdict, d.now()
 	d.checkAnswer(r)
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -45,7 +45,7 @@
 	r.out[at.n] = at
 	leave := d.leave(at, s)
 	d.note(at, Target{Server: s.ID, Addr: s.Addr, Until: until,
-		Once: at.role != logic.Reader && r.class.Repeat != logic.Safe, Leave: leave, Mark: d.mark()})
+		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: leave, SettingsVersion: d.mark()})
 }
 
 // cancel gives an attempt up, unless its stream belongs to the client already.
--- a/internal/dispatch/take.go
+++ b/internal/dispatch/take.go
@@ -8,13 +8,13 @@
 
 // Request is what a front hands in.
 type Request struct {
-	ID       string
-	Ask      logic.Request
-	Received time.Time // when its last byte came: its deadline counts from here
-	Parcel   Parcel
-	Size     int   // bytes of memory that the parcel holds
-	Noted    Noted // nil where nobody is to find its attempts
-	Movable  bool  // its client asks another dispatcher for the rest of a stream that ends early
+	ID        string
+	Spec      logic.Request
+	Received  time.Time // when its last byte came: its deadline counts from here
+	Payload   Payload
+	Size      int            // bytes of memory that the parcel holds
+	Intents   IntentRecorder // nil where nobody is to find its attempts
+	Resumable bool           // its client asks another dispatcher for the rest of a stream that ends early
 
 	// ClientGone tells whether the client has ended its connection. It is asked right before the first byte of each attempt, from the
 	// attempt's goroutine; nil where nobody can tell.
@@ -26,22 +26,22 @@
 
 // The verdicts.
 const (
-	Served  Verdict = iota // Stream is the answer
-	Refused                // trying again is harmless
-	Failed                 // nothing is promised: it may have run
-	Left                   // the client left before any of these; nobody is told
+	Served     Verdict = iota // Stream is the answer
+	Refused                   // trying again is harmless
+	Failed                    // nothing is promised: it may have run
+	ClientLeft                // the client left before any of these; nobody is told
 )
 
 func (v Verdict) String() string { return [...]string{"served", "refused", "failed", "left"}[v] }
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Verdict Verdict
-	After   time.Duration // with Refused: the client should not come back sooner
-	Reason  string        // for people
-	Mark    string        // of the settings that decided
-	MayRun  bool          // an attempt has run, may have, or may yet
-	Stream  Stream        // with Served
+	Verdict         Verdict
+	RetryAfter      time.Duration // with Refused: the client should not come back sooner
+	Reason          string        // for people
+	SettingsVersion string        // of the settings that decided
+	MayRun          bool          // an attempt has run, may have, or may yet
+	Stream          Stream        // with Served
 }
 
 // Ticket stands for a request that was taken. Exactly one Answer comes.
@@ -55,9 +55,9 @@
 // Answer gives the channel on which the one final answer comes.
 func (t *Ticket) Answer() <-chan Answer { return t.answer }
 
-// Leave says that the client has gone. The answer still comes: Left, or what was decided before.
+// Abandon says that the client has gone. The answer still comes: Left, or what was decided before.
 // No attempt begins any more, also before the core has heard of it.
-func (t *Ticket) Leave() {
+func (t *Ticket) Abandon() {
 	t.r.left.Store(true)
 	t.d.post(departure{t.r})
 }
@@ -72,10 +72,10 @@
 // Finished is closed by Finish.
 func (t *Ticket) Finished() <-chan struct{} { return t.finished }
 
-// Take hands in a request.
-func (d *Dispatcher) Take(q Request) *Ticket {
+// Submit hands in a request.
+func (d *Dispatcher) Submit(q Request) *Ticket {
 	t := &Ticket{d: d, answer: make(chan Answer, 1), finished: make(chan struct{})}
-	t.r = &request{id: q.ID, ask: q.Ask, received: q.Received, parcel: q.Parcel, size: q.Size, movable: q.Movable, noted: q.Noted, ticket: t,
+	t.r = &request{id: q.ID, ask: q.Spec, received: q.Received, parcel: q.Payload, size: q.Size, movable: q.Resumable, noted: q.Intents, ticket: t,
 		clientGone: q.ClientGone}
 	d.Phases.begin()
 	d.Counts.opened(1)
--- a/internal/dispatch/unheard_test.go
+++ b/internal/dispatch/unheard_test.go
@@ -47,7 +47,7 @@
 	if len(p.sent) != 1 {
 		t.Errorf("%d sends", len(p.sent))
 	}
-	d.Vacate()
+	d.AnswerPending()
 	drive(d)
 	if a := answerOf(t, k); a.Verdict != Failed {
 		t.Errorf("%v", a.Verdict)
@@ -59,7 +59,7 @@
 	d := keyedCore(t, logic.AllServers, 30*time.Second)
 	_, p := take(d, "a", "keyed")
 	end(d, p, logic.TimedOut)
-	if len(p.sent) != 2 || p.sent[1].to.Leave() != nil {
+	if len(p.sent) != 2 || p.sent[1].to.BeforeSend() != nil {
 		t.Fatalf("%d sends", len(p.sent))
 	}
 	r := d.requests["a"]
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -129,7 +129,7 @@
 	ctx.Response.Header.Set("X-Request-Id", id)
 
 	done := func(mayHaveRun bool) {}
-	var noted dispatch.Noted
+	var noted dispatch.IntentRecorder
 	switch {
 	case class.Repeat == logic.Unsafe && f.set.Ledger != nil:
 		noted, err = once.Enter(f.set.Ledger, h, customer(h, b), text, ask.Again, received.Add(ask.Remaining))
@@ -153,7 +153,7 @@
 		}
 		done = func(mayHaveRun bool) { f.ledger.close(key, mayHaveRun) }
 	}
-	t := f.core.Take(dispatch.Request{ID: id, Ask: ask, Received: received, ClientGone: front.HungUp(ctx), Size: len(text), Noted: noted, Parcel: &replica.Parcel{
+	t := f.core.Submit(dispatch.Request{ID: id, Spec: ask, Received: received, ClientGone: front.HungUp(ctx), Size: len(text), Intents: noted, Payload: &replica.Parcel{
 		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: path, Host: string(h.Host()), Body: text,
 		Headers: headers(ask, h)}})
 	a, stop := front.Await(ctx, t)
@@ -188,14 +188,14 @@
 			f.fail(ctx, &fault{fasthttp.StatusBadGateway, "upstream_error", "", "the answer broke off"})
 		}
 	case dispatch.Refused:
-		f.overloaded(ctx, a.After, a.Reason)
+		f.overloaded(ctx, a.RetryAfter, a.Reason)
 	case dispatch.Failed:
 		if unsafe && a.MayRun {
 			f.mayHaveRun(ctx, "no answer came; the instruction may have run")
 		} else {
 			f.fail(ctx, &fault{fasthttp.StatusBadGateway, "upstream_error", "", a.Reason})
 		}
-	case dispatch.Left:
+	case dispatch.ClientLeft:
 		ctx.SetConnectionClose()
 	}
 }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -185,7 +185,7 @@
 	if err == nil {
 		t.Error("it was answered")
 	}
-	fronttest.Wait(t, "the first try to end", func() bool { return rig.Verdicts(dispatch.Left)+rig.Verdicts(dispatch.Failed) == 1 })
+	fronttest.Wait(t, "the first try to end", func() bool { return rig.Verdicts(dispatch.ClientLeft)+rig.Verdicts(dispatch.Failed) == 1 })
 	if n := rig.Runs(); n != 1 {
 		t.Errorf("it was sent to writers %d times", n)
 	}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -302,7 +302,7 @@
 	select {
 	case a = <-t.Answer():
 	case <-left:
-		t.Leave()
+		t.Abandon()
 		a = <-t.Answer()
 	}
 	if a.Stream == nil {
@@ -437,7 +437,7 @@
 				return
 			}
 			handler(ctx, body)
-			if !core.Phases.Keep() && len(c.ahead) == 0 { // what was read behind it is owed an answer too
+			if !core.Phases.KeepAlive() && len(c.ahead) == 0 { // what was read behind it is owed an answer too
 				ctx.SetConnectionClose()
 			}
 		},
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -53,16 +53,16 @@
 
 // Mark names to the client the settings that decided its request, where dispatchers agree on them.
 func Mark(ctx *fasthttp.RequestCtx, a dispatch.Answer) {
-	if a.Mark != "" {
-		ctx.Response.Header.Set("X-Settings", a.Mark)
+	if a.SettingsVersion != "" {
+		ctx.Response.Header.Set("X-Settings", a.SettingsVersion)
 	}
 }
 
 // Ready answers whether the program takes requests: 200, or 503 with its phase.
 func Ready(ctx *fasthttp.RequestCtx, core *dispatch.Dispatcher) {
 	switch {
-	case core.Phases.Welcome():
-	case !core.Phases.Able():
+	case core.Phases.AcceptsClients():
+	case !core.Phases.CanServe():
 		ctx.Error("not now: no replicas are known that could serve", fasthttp.StatusServiceUnavailable)
 	default:
 		ctx.Error("not now: "+core.Phases.Now().String(), fasthttp.StatusServiceUnavailable)
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -17,7 +17,7 @@
 	// Find says why a repeat of an instruction may not be taken.
 	Find(key ledger.Key, until time.Time) error
 	// Note gives what notes the attempts of an instruction.
-	Note(key ledger.Key, customer string, named bool) dispatch.Noted
+	Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
 }
 
 // HeaderKey is the header by which a client names an instruction (draft-ietf-httpapi-idempotency-key-header).
@@ -25,7 +25,7 @@
 
 // Enter gives what notes the attempts of an instruction, or why it must not be taken. The customer is who asks; again tells that
 // the client marks it as a repeat. It waits for what others know of a repeat, within a bound and until the deadline.
-func Enter(l Ledger, h *fasthttp.RequestHeader, customer string, words []byte, again bool, until time.Time) (dispatch.Noted, error) {
+func Enter(l Ledger, h *fasthttp.RequestHeader, customer string, words []byte, again bool, until time.Time) (dispatch.IntentRecorder, error) {
 	key, named := Key(h, customer, words)
 	named = named || again
 	if named {
--- a/internal/front/platform/bad_test.go
+++ b/internal/front/platform/bad_test.go
@@ -165,8 +165,8 @@
 			t.Fatal(err)
 		}
 		q, err := f.request(&in, in.Body())
-		if most := 2 * fronttest.Settings().Classes[0].Deadline; err != nil || q.Ask.Remaining <= 0 || q.Ask.Remaining > most {
-			t.Errorf("%s: %v, %v", expires, q.Ask.Remaining, err)
+		if most := 2 * fronttest.Settings().Classes[0].Deadline; err != nil || q.Spec.Remaining <= 0 || q.Spec.Remaining > most {
+			t.Errorf("%s: %v, %v", expires, q.Spec.Remaining, err)
 		}
 	}
 }
--- a/internal/front/platform/effects_test.go
+++ b/internal/front/platform/effects_test.go
@@ -50,7 +50,7 @@
 			serve(x)
 		}
 		rig := fronttest.Start(t, fronttest.Read, act, act, act)
-		if err := rig.Core.Retune(set, dispatch.Bounds{Requests: 64, Bytes: 16 << 20}, nil); err != nil {
+		if err := rig.Core.UpdateSettings(set, dispatch.Bounds{Requests: 64, Bytes: 16 << 20}, nil); err != nil {
 			t.Fatal(err)
 		}
 		u := rig.Core.List()
@@ -59,7 +59,7 @@
 				u.Servers[i].Cell = int64(i)
 			}
 		}
-		rig.Core.Tell(u)
+		rig.Core.UpdateServers(u)
 		addr := rig.Serve(t, New(rig.Core, rig.Pool, set, nil).Server())
 		resp, _, whole := answer(t, send(t, addr, raw(c.class, "3000m")))
 		sends, cells := rig.Runs(), 0
--- a/internal/front/platform/leaving_test.go
+++ b/internal/front/platform/leaving_test.go
@@ -35,7 +35,7 @@
 				t.Fatal(err)
 			}
 			end(c)
-			fronttest.Wait(t, name+" is noticed", func() bool { return rig.Verdicts(dispatch.Left) == 1 })
+			fronttest.Wait(t, name+" is noticed", func() bool { return rig.Verdicts(dispatch.ClientLeft) == 1 })
 			fronttest.Wait(t, "the release", func() bool {
 				return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 			})
@@ -207,7 +207,7 @@
 	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil {
 		t.Fatal(err)
 	}
-	rig.Core.StopTaking()
+	rig.Core.StopAdmission()
 	port.Finish(0)
 	ended := make(chan bool)
 	go func() { ln.End(); close(ended) }()
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -90,14 +90,14 @@
 		return
 	}
 	q.Received, q.ClientGone = received, front.HungUp(ctx)
-	if f.ledger != nil && !q.Ask.Resumed && f.set.Load().classes[q.Ask.Class].Repeat == logic.Unsafe {
-		q.Noted, err = once.Enter(f.ledger, &ctx.Request.Header, q.Ask.Tenant, body, q.Ask.Again, received.Add(q.Ask.Remaining))
+	if f.ledger != nil && !q.Spec.Resumed && f.set.Load().classes[q.Spec.Class].Repeat == logic.Unsafe {
+		q.Intents, err = once.Enter(f.ledger, &ctx.Request.Header, q.Spec.Tenant, body, q.Spec.Again, received.Add(q.Spec.Remaining))
 		if err != nil {
 			unsent(ctx, err)
 			return
 		}
 	}
-	t := f.core.Take(q)
+	t := f.core.Submit(q)
 	a, stop := front.Await(ctx, t)
 	f.answer(ctx, t, a, stop)
 }
@@ -123,10 +123,10 @@
 		ctx.Response.SetBodyStream(&front.Body{Stream: a.Stream, Ticket: t, Stop: stop}, -1)
 	case dispatch.Refused:
 		ctx.Error(a.Reason, fasthttp.StatusServiceUnavailable)
-		front.RetryAfter(ctx, a.After)
+		front.RetryAfter(ctx, a.RetryAfter)
 	case dispatch.Failed:
 		ctx.Error(a.Reason, fasthttp.StatusBadGateway)
-	case dispatch.Left:
+	case dispatch.ClientLeft:
 		ctx.SetConnectionClose()
 	}
 	front.Mark(ctx, a)
@@ -135,7 +135,7 @@
 // request reads what a client sent into the core's form. An error names the header at fault.
 func (f *Front) request(in *fasthttp.Request, body []byte) (dispatch.Request, error) {
 	q := dispatch.Request{ID: string(in.Header.Peek("X-Trace-Id"))}
-	ask := &q.Ask
+	ask := &q.Spec
 	if !front.ValidID(q.ID) {
 		return q, fmt.Errorf("X-Trace-Id: %q is not an id", q.ID)
 	}
@@ -166,7 +166,7 @@
 	parcel := &replica.Parcel{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
 		URI: string(in.RequestURI()), Host: string(in.Header.Host()), Body: body}
 	parcel.Headers = front.PassedOn(&in.Header, "X-Trace-Id", "X-Expires-In")
-	q.Parcel, q.Size, q.Movable = parcel, len(body), set.movable
+	q.Payload, q.Size, q.Resumable = parcel, len(body), set.movable
 	for _, h := range parcel.Headers {
 		q.Size += len(h[0]) + len(h[1])
 	}
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -98,7 +98,7 @@
 	c := send(t, addr, raw("instruction", "3000m"))
 	fronttest.Wait(t, "the send to the writer", func() bool { return rig.Runs() == 1 })
 	_ = c.Close()
-	fronttest.Wait(t, "the client's leaving", func() bool { return rig.Verdicts(dispatch.Left) == 1 })
+	fronttest.Wait(t, "the client's leaving", func() bool { return rig.Verdicts(dispatch.ClientLeft) == 1 })
 	<-gone // the attempt was given up
 	fronttest.Wait(t, "the release", func() bool {
 		return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
@@ -239,7 +239,7 @@
 				u.Servers = append(u.Servers, s)
 			}
 		}
-		rig.Core.Tell(u)
+		rig.Core.UpdateServers(u)
 		rig.Core.List() // the one before has been taken up
 		if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != c.want {
 			t.Errorf("with %v: %d, want %d", c.listed, resp.StatusCode, c.want)
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -86,7 +86,7 @@
 		t.Fatal("the stream goes on")
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		f, _ := rig.Core.Figures()
+		f, _ := rig.Core.Metrics()
 		if f.Open == 0 {
 			return
 		}
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -39,7 +39,7 @@
 // takeup asks the program's goroutine to act on a version.
 type takeup struct {
 	cfg     config.Config
-	licence dispatch.Licence // nil: the one that it acts under
+	licence dispatch.Lease // nil: the one that it acts under
 	reply   chan error
 }
 
@@ -49,11 +49,11 @@
 	now   func() time.Duration
 }
 
-func (l *licence) Take(q dispatch.Taking) error { return l.lease.MayTake(l.now(), q.Once) }
-func (l *licence) Send(once, again bool) error  { return l.lease.MaySend(l.now(), once, again) }
-func (l *licence) Once() bool                   { return l.lease.Once(l.now()) }
-func (l *licence) Ready() bool                  { return l.lease.Ready(l.now()) }
-func (l *licence) Mark() string                 { return l.lease.Mark() }
+func (l *licence) MayAdmit(q dispatch.Admission) error { return l.lease.MayTake(l.now(), q.AtMostOnce) }
+func (l *licence) MaySend(once, again bool) error      { return l.lease.MaySend(l.now(), once, again) }
+func (l *licence) AtMostOnce() bool                    { return l.lease.Once(l.now()) }
+func (l *licence) Ready() bool                         { return l.lease.Ready(l.now()) }
+func (l *licence) SettingsVersion() string             { return l.lease.Mark() }
 
 // Bounds of what is agreed on about lists of replicas.
 const (
@@ -95,10 +95,10 @@
 }
 
 // WrapLicence is another such place; nil elsewhere.
-var WrapLicence func(dispatch.Licence) dispatch.Licence
+var WrapLicence func(dispatch.Lease) dispatch.Lease
 
-func (a *agreed) under(lease *agree.Lease) dispatch.Licence {
-	var l dispatch.Licence = &licence{lease, a.node.Now}
+func (a *agreed) under(lease *agree.Lease) dispatch.Lease {
+	var l dispatch.Lease = &licence{lease, a.node.Now}
 	if WrapLicence != nil {
 		l = WrapLicence(l)
 	}
@@ -229,7 +229,7 @@
 }
 
 // act hands a configuration to the program, with a licence if it is another.
-func (a *agreed) act(cfg config.Config, lic dispatch.Licence, content string) (err error) {
+func (a *agreed) act(cfg config.Config, lic dispatch.Lease, content string) (err error) {
 	t := takeup{cfg, lic, make(chan error, 1)}
 	select {
 	case a.takeups <- t:
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -155,7 +155,7 @@
 		if s == nil {
 			continue
 		}
-		f, _ := s.core.Figures() // it runs for as long as it is in force
+		f, _ := s.core.Metrics() // it runs for as long as it is in force
 		n, away := 0, 0
 		for _, r := range f.Classes {
 			n, away = n+r.Served, away+r.Refused
@@ -257,15 +257,15 @@
 func (w *waiting) After() time.Duration { return w.after }
 
 // take says why a request may not be taken yet.
-func (b *comeback) take(q dispatch.Taking) error {
+func (b *comeback) take(q dispatch.Admission) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.manner
 	now := time.Now()
 	switch {
 	case !w.Takes:
-	case q.Once && !w.Instructions:
-	case w.Ramps && !b.gate.Admit(now.Sub(b.began), b.classOf(q.Class), q.Again, q.Customer):
+	case q.AtMostOnce && !w.Instructions:
+	case w.Ramps && !b.gate.Admit(now.Sub(b.began), b.classOf(q.Class), q.Retry, q.Tenant):
 	default:
 		return nil
 	}
@@ -362,15 +362,15 @@
 
 // coming is a licence that takes nothing before its time.
 type coming struct {
-	dispatch.Licence
+	dispatch.Lease
 	b *comeback
 }
 
-func (c *coming) Take(q dispatch.Taking) error {
-	if err := c.Licence.Take(q); err != nil {
+func (c *coming) MayAdmit(q dispatch.Admission) error {
+	if err := c.Lease.MayAdmit(q); err != nil {
 		return err
 	}
 	return c.b.take(q)
 }
 
-func (c *coming) Ready() bool { return c.Licence.Ready() && c.b.ready() }
+func (c *coming) Ready() bool { return c.Lease.Ready() && c.b.ready() }
--- a/internal/program/door.go
+++ b/internal/program/door.go
@@ -47,7 +47,7 @@
 // Ready tells operators whether the program can serve, also while it sends clients away.
 func (p *program) Ready() bool {
 	s := p.live.Load()
-	return s != nil && s.core.Phases.Now() == dispatch.Ready && s.core.Phases.Able()
+	return s != nil && s.core.Phases.Now() == dispatch.Ready && s.core.Phases.CanServe()
 }
 
 // Drain sends clients away: the front is told that this program is not ready, each answer is the last on its
@@ -61,7 +61,7 @@
 	p.away.Store(away)
 	p.gate.SendAway(away)
 	if s := p.live.Load(); s != nil {
-		s.core.Phases.SendAway(away)
+		s.core.Phases.SetDiverting(away)
 	}
 	log.Printf("operators: clients are sent away: %v", away)
 }
@@ -88,7 +88,7 @@
 	var out bytes.Buffer
 	say := func(name string, value int, kind string) { fmt.Fprintf(&out, "edge.%s:%d|%s\n", name, value, kind) }
 	if s := p.live.Load(); s != nil {
-		f, _ := s.core.Figures() // it runs for as long as it is in force
+		f, _ := s.core.Metrics() // it runs for as long as it is in force
 		for _, class := range slices.Sorted(maps.Keys(f.Classes)) {
 			r := f.Classes[class]
 			say("results."+class+".succeeded", r.Served, "c")
@@ -98,13 +98,13 @@
 		say("forwards", f.Written, "c")
 		say("outstanding", f.Open, "g")
 		say("discovered", f.Listed, "g")
-		say("ejected", f.LeftAlone, "g")
+		say("ejected", f.Ejected, "g")
 		say("held", f.Held, "g")
 		say("core.message_wait_us", int(f.Delays.Message.Microseconds()), "g")
 		say("core.timer_late_us", int(f.Delays.Timer.Microseconds()), "g")
 		say("core.longest_step_us", int(f.Delays.Step.Microseconds()), "g")
-		say("core.messages_waiting", f.Waiting, "g")
-		say("core.behind", f.Behind, "c")
+		say("core.messages_waiting", f.Queued, "g")
+		say("core.behind", f.Delayed, "c")
 		for _, event := range slices.Sorted(maps.Keys(f.Causes)) {
 			for _, cause := range slices.Sorted(maps.Keys(f.Causes[event])) {
 				say(fmt.Sprintf("%s.%s", event, cause), f.Causes[event][cause], "c")
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -37,15 +37,15 @@
 func (s *stack) vacate(told time.Time) {
 	by := s.vacateBy()
 	in := func(d time.Duration) time.Duration { return time.Until(told.Add(d)) }
-	time.AfterFunc(in(min(keepOpen, by)), s.core.StopTaking)
+	time.AfterFunc(in(min(keepOpen, by)), s.core.StopAdmission)
 	time.AfterFunc(in(part(by, moveFrom)), func() {
 		over := part(by, moveOver)
 		if s.succeeded() { // then somebody will be there also later: fewer at once, and more of them may end before
 			over = time.Until(told.Add(by))
 		}
-		s.core.Move(over)
+		s.core.CloseResumable(over)
 	})
-	time.AfterFunc(in(by), func() { s.core.Vacate(); s.core.Move(0) })
+	time.AfterFunc(in(by), func() { s.core.AnswerPending(); s.core.CloseResumable(0) })
 }
 
 // succeeded tells whether another process, a new version, listens at the clients' address after this one has closed it.
--- a/internal/program/force.go
+++ b/internal/program/force.go
@@ -93,7 +93,7 @@
 	if l := p.lists(); l != nil {
 		l.anew()
 	}
-	next.core.Phases.SendAway(p.away.Load())
+	next.core.Phases.SetDiverting(p.away.Load())
 	if err := next.open(p.ports, wait); err != nil {
 		return err
 	}
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if core := l.a.p.live.Load(); core != nil && len(some) > 0 {
-		core.core.Tell(updateOf(some))
+		core.core.UpdateServers(updateOf(some))
 	}
 }
 
@@ -147,7 +147,7 @@
 	diff := roster.Diff(l.told, next)
 	l.told = next
 	if len(diff) > 0 {
-		core.core.Tell(updateOf(diff))
+		core.core.UpdateServers(updateOf(diff))
 	}
 }
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -51,7 +51,7 @@
 	draining   chan struct{}   // closed when the program drains
 	toldToStop time.Time       // when SIGTERM came; set before draining is closed
 	agreed     *agreed         // nil where dispatchers do not agree on settings
-	licence    dispatch.Licence
+	licence    dispatch.Lease
 }
 
 // reload reads the configuration anew and puts it in force; a faulty one changes nothing.
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -47,7 +47,7 @@
 
 // newStack makes a stack that knows the replicas of a list, whose version at its discovery is at, if it came from there. It is not yet open
 // to clients.
-func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Licence, l *lists, k *bookkeeping.Keeper) (*stack, error) {
+func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Lease, l *lists, k *bookkeeping.Keeper) (*stack, error) {
 	s := &stack{cfg: cfg, releaser: replica.NewReleaser(pool), fronts: map[string]*fasthttp.Server{}, heard: make(chan struct{}, 1),
 		unwatch: func() {}, lists: l, known: at}
 	var err error
@@ -58,7 +58,7 @@
 	s.core.Counts = counts
 	s.core.Prober = replica.Prober{Pool: pool}
 	if licence != nil {
-		s.core.Under(licence)
+		s.core.SetLease(licence)
 	}
 	var remembered once.Ledger
 	if k != nil {
@@ -92,7 +92,7 @@
 }
 
 // takeUp puts a configuration in force that the stack can go on under.
-func (s *stack) takeUp(cfg config.Config, licence dispatch.Licence) error {
+func (s *stack) takeUp(cfg config.Config, licence dispatch.Lease) error {
 	if err := s.retune(cfg, licence); err != nil {
 		return err
 	}
@@ -108,8 +108,8 @@
 }
 
 // retune hands the settings to all that acts on them. It may be called from any goroutine.
-func (s *stack) retune(cfg config.Config, licence dispatch.Licence) error {
-	if err := s.core.Retune(cfg.Settings, bounds(cfg.Limits), licence); err != nil {
+func (s *stack) retune(cfg config.Config, licence dispatch.Lease) error {
+	if err := s.core.UpdateSettings(cfg.Settings, bounds(cfg.Limits), licence); err != nil {
 		return err
 	}
 	if s.platform != nil {
@@ -140,7 +140,7 @@
 		if s.lists != nil {
 			s.lists.hear(u)
 		} else {
-			s.core.Tell(u)
+			s.core.UpdateServers(u)
 		}
 		select {
 		case s.heard <- struct{}{}:
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -228,7 +228,7 @@
 
 // wrapped is a licence that leaves out one question.
 type wrapped struct {
-	dispatch.Licence
+	dispatch.Lease
 	leaves string
 }
 
@@ -246,21 +246,21 @@
 )
 
 func wrap(leaves string) {
-	program.WrapLicence = func(l dispatch.Licence) dispatch.Licence { return &wrapped{l, leaves} }
+	program.WrapLicence = func(l dispatch.Lease) dispatch.Lease { return &wrapped{l, leaves} }
 }
 
-func (w *wrapped) Take(q dispatch.Taking) error {
+func (w *wrapped) MayAdmit(q dispatch.Admission) error {
 	if w.leaves == dispatchTake {
 		return nil
 	}
-	return w.Licence.Take(q)
+	return w.Lease.MayAdmit(q)
 }
 
-func (w *wrapped) Send(once, again bool) error {
+func (w *wrapped) MaySend(once, again bool) error {
 	if w.leaves == dispatchSend {
 		return nil
 	}
-	return w.Licence.Send(once, again)
+	return w.Lease.MaySend(once, again)
 }
 
 // forgetful is a disk that loses some of what it is told to keep when the process ends.
--- a/internal/replica/attempt.go
+++ b/internal/replica/attempt.go
@@ -43,7 +43,7 @@
 }
 
 // Send starts an attempt.
-func (p *Parcel) Send(to dispatch.Target, tell dispatch.Report) dispatch.Attempt {
+func (p *Parcel) Send(to dispatch.Target, tell dispatch.AttemptObserver) dispatch.Attempt {
 	ctx, cancel := context.WithDeadline(context.Background(), to.Until)
 	a := &attempt{p: p, to: to, tell: tell, ctx: ctx, cancel: cancel, began: time.Now()}
 	go a.run()
@@ -54,7 +54,7 @@
 type attempt struct {
 	p      *Parcel
 	to     dispatch.Target
-	tell   dispatch.Report
+	tell   dispatch.AttemptObserver
 	ctx    context.Context // ends at the attempt's time, or when it is given up
 	cancel context.CancelFunc
 	c      *conn
@@ -98,7 +98,7 @@
 
 // exchange takes the attempt to its outcome, or to the first event of its answer.
 func (a *attempt) exchange() (dispatch.Result, *stream) {
-	c, err := a.p.Pool.get(a.ctx, a.to.Addr, a.to.Once)
+	c, err := a.p.Pool.get(a.ctx, a.to.Addr, a.to.NoReuse)
 	if err != nil {
 		return a.failed(logic.ConnectFailed, err), nil
 	}
@@ -155,10 +155,10 @@
 	req.Header.Set(headerID, a.p.ID)
 	req.Header.Set(headerExpires, strconv.FormatInt(max(time.Until(a.to.Until).Microseconds(), 1), 10)+"u")
 	req.SetBodyRaw(a.p.Body)
-	if a.to.Mark != "" {
-		req.Header.Set(headerMark, a.to.Mark)
+	if a.to.SettingsVersion != "" {
+		req.Header.Set(headerMark, a.to.SettingsVersion)
 	}
-	bw := bufio.NewWriterSize(&fence{Conn: a.c, ctx: a.ctx, leave: a.to.Leave}, writeBuffer)
+	bw := bufio.NewWriterSize(&fence{Conn: a.c, ctx: a.ctx, leave: a.to.BeforeSend}, writeBuffer)
 	if err := req.Write(bw); err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 	case a.ctx.Err() != nil || isTimeout(err):
 		as = logic.TimedOut
 	}
-	return dispatch.Result{Outcome: as, Lapsed: errors.Is(err, dispatch.ErrLapsed), Left: errors.Is(err, dispatch.ErrLeft), Detail: err.Error()}
+	return dispatch.Result{Outcome: as, NoLease: errors.Is(err, dispatch.ErrNoLease), ClientGone: errors.Is(err, dispatch.ErrClientGone), Detail: err.Error()}
 }
 
 func isTimeout(err error) bool {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -341,7 +341,7 @@
 	for i := range 20 {
 		rep := newReport()
 		p := &Parcel{Pool: pool, ID: "id", Method: "POST", URI: "/"}
-		p.Send(dispatch.Target{Addr: r.Addr, Until: time.Now().Add(time.Second), Once: true}, rep)
+		p.Send(dispatch.Target{Addr: r.Addr, Until: time.Now().Add(time.Second), NoReuse: true}, rep)
 		select {
 		case s := <-rep.began:
 			for _, err := s.Next(); err == nil; _, err = s.Next() {
@@ -375,7 +375,7 @@
 	for range 20 {
 		rep := newReport()
 		p := &Parcel{Pool: pool, ID: "id", Method: "POST", URI: "/"}
-		p.Send(dispatch.Target{Addr: ln.Addr().String(), Until: time.Now().Add(time.Second), Once: true}, rep)
+		p.Send(dispatch.Target{Addr: ln.Addr().String(), Until: time.Now().Add(time.Second), NoReuse: true}, rep)
 		// On a machine that is busy the reset may come later than that moment: then it may have run.
 		if got := rep.result(t); got.Outcome == logic.ConnectFailed {
 			return
@@ -430,13 +430,13 @@
 func TestNoByteWithoutLeave(t *testing.T) {
 	r := replicaOf(t, func(x *standin.Exchange) { x.Read(1) })
 	pool, asked := NewPool(4, 0, 0), 0
-	for _, err := range []error{nil, errors.Join(dispatch.ErrLapsed, errors.New("over")), dispatch.ErrWithdrawn, dispatch.ErrClosed} {
+	for _, err := range []error{nil, errors.Join(dispatch.ErrNoLease, errors.New("over")), dispatch.ErrWithdrawn, dispatch.ErrRepeatWindowClosed} {
 		rep := newReport()
 		p := &Parcel{Pool: pool, ID: "id1", Method: "POST", URI: "/", Body: []byte(strings.Repeat("x", 100<<10))}
-		p.Send(dispatch.Target{Server: "s", Addr: r.Addr, Until: time.Now().Add(5 * time.Second), Mark: "3-ab",
-			Leave: func() error { asked++; return err }}, rep)
+		p.Send(dispatch.Target{Server: "s", Addr: r.Addr, Until: time.Now().Add(5 * time.Second), SettingsVersion: "3-ab",
+			BeforeSend: func() error { asked++; return err }}, rep)
 		got := rep.result(t)
-		if got.Lapsed != errors.Is(err, dispatch.ErrLapsed) || got.Outcome != map[bool]logic.Outcome{true: logic.ReadDone, false: logic.NotSent}[err == nil] {
+		if got.NoLease != errors.Is(err, dispatch.ErrNoLease) || got.Outcome != map[bool]logic.Outcome{true: logic.ReadDone, false: logic.NotSent}[err == nil] {
 			t.Errorf("leave %v: %+v", err, got)
 		}
 	}
