--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -185,7 +185,7 @@
 	if err == nil {
 		t.Error("it was answered")
 	}
-	fronttest.WaitFor(t, "the first try to end", func() bool { return rig.CountVerdicts(dispatch.Left)+rig.CountVerdicts(dispatch.Failed) == 1 })
+	fronttest.WaitFor(t, "the first try to end", func() bool { return rig.CountVerdicts(dispatch.ClientLeft)+rig.CountVerdicts(dispatch.Failed) == 1 })
 	if n := rig.WriterRequests(); n != 1 {
 		t.Errorf("it was sent to writers %d times", n)
 	}
