--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"standpulley/internal/agree"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // member keeps a dispatcher's lease: it renews it, checks versions that are under way and takes up the one in force.
@@ -36,8 +36,8 @@
 	fault   *agree.Fault
 	open    agree.Version // the version that was checked last
 	life    life
-	copied  roster.Copy // mu guards its change
-	list    roster.List // that the program acts on; mu guards its change
+	copied  membership.Copy // mu guards its change
+	list    membership.List // that the program acts on; mu guards its change
 	living  int
 	uses    bool                     // the share of what is summed over all
 	counted time.Duration            // since when this dispatcher is counted; 0: it is not
@@ -145,7 +145,7 @@
 		r.Since = (m.n.now() - m.lost).Milliseconds()
 	}
 	if m.n.opt.Lists != nil {
-		r.List, r.Reads, r.Deaf = m.copied.At(), m.n.opt.Lists.Reads, m.n.prog.Deaf()
+		r.List, r.Reads, r.Deaf = m.copied.Cursor(), m.n.opt.Lists.Reads, m.n.prog.Deaf()
 	}
 	if m.open.Number != 0 && m.open.Number > r.Version {
 		r.Version = m.open.Number // if that is in force by now its content is here
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -34,7 +34,7 @@
 	if !d.maySend(r, s) {
 		d.Counts.ended(logic.NotSent)
 		d.route(logic.Event{Kind: logic.Ended, RequestID: r.id, Server: a.Server, Attempt: at.n,
-			Outcome: logic.NotSent, Over: r.answered})
+			Outcome: logic.NotSent, RequestEnded: r.answered})
 		return
 	}
 	at.addr, at.role = s.Addr, d.roleOf(s)
@@ -45,7 +45,7 @@
 	r.out[at.n] = at
 	leave := d.leave(at, s)
 	d.note(at, Target{Server: s.ID, Addr: s.Addr, Until: until,
-		Once: at.role != logic.Reader && r.class.Repeat != logic.Safe, Leave: leave, Mark: d.mark()})
+		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: leave, SettingsVersion: d.mark()})
 }
 
 // cancel gives an attempt up, unless its stream belongs to the client already.
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -15,7 +15,7 @@
 // next.
 func TestSlowReaderHoldsUpNobody(t *testing.T) {
 	next, full := make(chan bool), make(chan bool, 1)
-	_, addr := start(t, fronttest.Read, func(x *standin.Exchange) {
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		if strings.HasSuffix(string(x.Req.Header.Peek("X-Object")), "f") { // the slow one's
 			for range 1 << 12 { // 32 MB, of which the machine holds a part
@@ -64,7 +64,7 @@
 func TestClientThatTakesNothingHasGone(t *testing.T) {
 	t.Parallel()
 	gone, full := make(chan bool), make(chan bool, 1)
-	rig, addr := start(t, fronttest.Read, func(x *standin.Exchange) {
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		for {
 			select {
@@ -86,7 +86,7 @@
 		t.Fatal("the stream goes on")
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		f, _ := rig.Core.Figures()
+		f, _ := rig.Core.Metrics()
 		if f.Open == 0 {
 			return
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,7 +13,7 @@
 // Program is what the door leads to. Its methods are called from the door's own goroutines and must not block.
 type Program interface {
 	Ready() bool     // it can serve
-	Figures() []byte // one a line
+	Metrics() []byte // one a line
 	Drain()          // send clients away
 	Resume()         // and take them again
 }
@@ -27,7 +27,7 @@
 
 // Listen opens the door's address.
 func Listen(addr string) (*front.Port, error) {
-	return front.Listen(addr, front.NewGate(callsMost, callBytes), false)
+	return front.Listen(addr, front.NewConnLimiter(callsMost, callBytes), false)
 }
 
 // Server gives the door's server.
@@ -38,7 +38,7 @@
 				ctx.Error("not ready", fasthttp.StatusServiceUnavailable)
 			}
 		},
-		"GET /-/metrics": func(ctx *fasthttp.RequestCtx) { ctx.SetBody(p.Figures()) },
+		"GET /-/metrics": func(ctx *fasthttp.RequestCtx) { ctx.SetBody(p.Metrics()) },
 		"PUT /-/drain":   func(*fasthttp.RequestCtx) { p.Drain() },
 		"PUT /-/resume":  func(*fasthttp.RequestCtx) { p.Resume() },
 	}
@@ -52,6 +52,6 @@
 		},
 		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, ReadBufferSize: 4 << 10,
 		MaxRequestBodySize: callBytes, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true,
-		Logger: front.Quiet{},
+		Logger: front.DiscardLogger{},
 	}
 }
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -18,7 +18,7 @@
 	"standpulley/internal/bookkeeping"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
-	"standpulley/internal/roster"
+	"standpulley/internal/membership"
 )
 
 // agreed is the program's part in agreeing on settings: what a version is checked against, and how it is put in force.
@@ -39,7 +39,7 @@
 // takeup asks the program's goroutine to act on a version.
 type takeup struct {
 	cfg     config.Config
-	licence dispatch.Licence // nil: the one that it acts under
+	licence dispatch.Lease // nil: the one that it acts under
 	reply   chan error
 }
 
@@ -49,18 +49,18 @@
 	now   func() time.Duration
 }
 
-func (l *licence) Take(q dispatch.Taking) error { return l.lease.MayTake(l.now(), q.Once) }
-func (l *licence) Send(once, again bool) error  { return l.lease.MaySend(l.now(), once, again) }
-func (l *licence) Once() bool                   { return l.lease.Once(l.now()) }
-func (l *licence) Ready() bool                  { return l.lease.Ready(l.now()) }
-func (l *licence) Mark() string                 { return l.lease.Mark() }
+func (l *licence) MayAdmit(q dispatch.Admission) error { return l.lease.MayTake(l.now(), q.AtMostOnce) }
+func (l *licence) MaySend(once, again bool) error      { return l.lease.MaySend(l.now(), once, again) }
+func (l *licence) AtMostOnce() bool                    { return l.lease.Once(l.now()) }
+func (l *licence) Ready() bool                         { return l.lease.Ready(l.now()) }
+func (l *licence) SettingsVersion() string             { return l.lease.Mark() }
 
 // Bounds of what is agreed on about lists of replicas.
 const (
-	listBatch = 50 * time.Millisecond // changes of the register are gathered for so long
-	listMost  = roster.PartMost       // entries that one version changes
-	listFresh = 15 * time.Second      // a reader that said nothing for so long does not count; its register answers within 10 s
-	listFlaps = 4                     // turns of one replica within listCalm, and it stays drained until it was still for that long
+	listBatch = 50 * time.Millisecond     // changes of the register are gathered for so long
+	listMost  = membership.MaxPartEntries // entries that one version changes
+	listFresh = 15 * time.Second          // a reader that said nothing for so long does not count; its register answers within 10 s
+	listFlaps = 4                         // turns of one replica within listCalm, and it stays drained until it was still for that long
 	listCalm  = 30 * time.Second
 )
 
@@ -70,37 +70,40 @@
 // Options gives what a node of the agreement is told by a configuration.
 func Options(cfg config.Config, folder string) agreement.Options {
 	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), Alone: cfg.Agree.Alone,
-		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: Seams}
+		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: AgreementHooks}
 	if l := cfg.Agree.Lists; l != nil {
-		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: roster.Limits{Bulk: l.Bulk, Batch: listBatch, Most: listMost,
-			Fresh: listFresh, Flaps: listFlaps, Calm: listCalm}}
+		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMost,
+			MaxAge: listFresh, MaxFlaps: listFlaps, FlapWindow: listCalm}}
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; votes {
 		opt.Listen = cfg.Peers.Listen
 	}
-	opt.Knows = func(name string) bool { _, votes := cfg.Agree.Voters[name]; return votes || cfg.Agree.Knows(name) }
+	opt.Knows = func(name string) bool {
+		_, votes := cfg.Agree.Voters[name]
+		return votes || cfg.Agree.MatchesOthers(name)
+	}
 	return opt
 }
 
-// Seams are where a test's own build puts faults in; none elsewhere.
-var Seams agreement.Seams
+// AgreementHooks are where a test's own build puts faults in; none elsewhere.
+var AgreementHooks agreement.Seams
 
-// ListSeams are those of lists; the zero value puts in none.
-var ListSeams struct {
-	Join   func(agreed roster.List, own roster.Own, named bool) map[string]roster.Entry
-	Ignore bool                // agreed lists are not acted on
-	Forget bool                // who stops reading forgets what it heard
-	Entry  func(*roster.Entry) // of an agreed list, before it is acted on
-	Late   time.Duration       // agreed lists are acted on so much later, and the lease goes on
+// ListHooks are those of lists; the zero value puts in none.
+var ListHooks struct {
+	OverrideMerge func(agreed membership.List, own membership.OwnList, named bool) map[string]membership.Entry
+	IgnoreAgreed  bool                    // agreed lists are not acted on
+	ForgetOnStop  bool                    // who stops reading forgets what it heard
+	MutateEntry   func(*membership.Entry) // of an agreed list, before it is acted on
+	ApplyDelay    time.Duration           // agreed lists are acted on so much later, and the lease goes on
 }
 
-// WrapLicence is another such place; nil elsewhere.
-var WrapLicence func(dispatch.Licence) dispatch.Licence
+// WrapLease is another such place; nil elsewhere.
+var WrapLease func(dispatch.Lease) dispatch.Lease
 
-func (a *agreed) under(lease *agree.Lease) dispatch.Licence {
-	var l dispatch.Licence = &licence{lease, a.node.Now}
-	if WrapLicence != nil {
-		l = WrapLicence(l)
+func (a *agreed) under(lease *agree.Lease) dispatch.Lease {
+	var l dispatch.Lease = &licence{lease, a.node.Now}
+	if WrapLease != nil {
+		l = WrapLease(l)
 	}
 	if a.back != nil {
 		l = &coming{l, a.back}
@@ -108,8 +111,8 @@
 	return l
 }
 
-// Found makes the log of a cluster's first voter, with the settings of the file that is in force in a state folder.
-func Found(dir appliance.Dir) error {
+// Bootstrap makes the log of a cluster's first voter, with the settings of the file that is in force in a state folder.
+func Bootstrap(dir appliance.Dir) error {
 	cfg, err := dir.Load()
 	if err != nil {
 		return err
@@ -125,11 +128,11 @@
 	if err != nil {
 		return err
 	}
-	return agreement.Found(Options(cfg, string(dir)), content, keys, config.Print(content))
+	return agreement.Found(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
 }
 
-// Seat gives the seat of the voter that runs on a state folder to its present log, as its earlier one is lost.
-func Seat(dir appliance.Dir) error {
+// ReclaimSeat gives the seat of the voter that runs on a state folder to its present log, as its earlier one is lost.
+func ReclaimSeat(dir appliance.Dir) error {
 	var r agreement.Reply
 	if err := dir.Settings(agreement.Command{Do: "seat"}, &r); err != nil {
 		return err
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// Refound makes a new cluster out of what is left of a lost one, with the voter of a state folder as its first.
-func Refound(dir appliance.Dir, lost uint64, others []string, by string) (agree.Book, error) {
+// Rebootstrap makes a new cluster out of what is left of a lost one, with the voter of a state folder as its first.
+func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (agree.Book, error) {
 	cfg, err := dir.Load()
 	if err != nil {
 		return agree.Book{}, err
@@ -183,7 +186,7 @@
 		return a, cfg, nil
 	}
 	a.content = known.Content
-	with, err := cfg.With(known.Content)
+	with, err := cfg.WithSettings(known.Content)
 	if err != nil {
 		slog.Warn("agreement: the version that this dispatcher acted on does not go with its file any more", "version", known.Number, "error", err)
 		return a, cfg, nil
@@ -207,19 +210,19 @@
 	a.mu.Lock()
 	file := a.file
 	a.mu.Unlock()
-	cfg, err := file.With(content)
+	cfg, err := file.WithSettings(content)
 	if err == nil && len(file.Known.Servers) > 0 {
 		if err = file.Known.CheckKinds(cfg.Settings.Kinds); err != nil {
 			err = fmt.Errorf("key known: %w", err)
 		}
 	}
-	return config.FaultOf(err)
+	return config.AgreeFault(err)
 }
 
 // TakeUp acts on a version from now on. What is open stays open.
 func (a *agreed) TakeUp(v agree.Version, lease *agree.Lease) error {
 	a.mu.Lock()
-	cfg, err := a.file.With(v.Content)
+	cfg, err := a.file.WithSettings(v.Content)
 	a.mu.Unlock()
 	if err != nil {
 		return err
@@ -229,7 +232,7 @@
 }
 
 // act hands a configuration to the program, with a licence if it is another.
-func (a *agreed) act(cfg config.Config, lic dispatch.Licence, content string) (err error) {
+func (a *agreed) act(cfg config.Config, lic dispatch.Lease, content string) (err error) {
 	t := takeup{cfg, lic, make(chan error, 1)}
 	select {
 	case a.takeups <- t:
@@ -246,7 +249,7 @@
 }
 
 // TakeList acts on an agreed list of replicas from now on, and goes by the number of dispatchers that live.
-func (a *agreed) TakeList(l roster.List, living int, counted bool) error {
+func (a *agreed) TakeList(l membership.List, living int, counted bool) error {
 	if !a.lists.take(l, living, counted) {
 		return nil
 	}
@@ -257,7 +260,7 @@
 func (a *agreed) again() error {
 	a.mu.Lock()
 	content := a.content
-	cfg, err := a.file.With(content)
+	cfg, err := a.file.WithSettings(content)
 	a.mu.Unlock()
 	if err != nil || content == "" {
 		return nil // there is nothing yet that goes by the number
@@ -328,12 +331,12 @@
 func (a *agreed) adopt(cfg config.Config) (config.Config, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if err := cfg.Moves(a.file, a.content); err != nil {
+	if err := cfg.CheckReload(a.file, a.content); err != nil {
 		return cfg, err
 	}
 	with, err := cfg, error(nil)
 	if a.content != "" {
-		with, err = cfg.With(a.content)
+		with, err = cfg.WithSettings(a.content)
 	}
 	if err == nil {
 		a.file = cfg
@@ -350,7 +353,7 @@
 	if err != nil {
 		r.Error = err.Error()
 	} else {
-		r = a.node.Do(c, func(content string) (map[string]string, error) { return config.Flatten([]byte(content)) }, config.Print)
+		r = a.node.Do(c, func(content string) (map[string]string, error) { return config.Flatten([]byte(content)) }, config.Fingerprint)
 	}
 	if a.keeper != nil && strings.HasPrefix(c.Do, "ledger-") {
 		r = a.ledger(c)
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -13,18 +13,18 @@
 	"standpulley/internal/agreement"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
+	"standpulley/internal/membership"
 	"standpulley/internal/recovery"
-	"standpulley/internal/roster"
 	"standpulley/logic"
 )
 
-// BackSeams are where a test's own build puts faults in; none elsewhere.
-var BackSeams struct {
-	Trusts   func(recovery.Known) recovery.Known                // what is gone by, in place of what is known
-	Says     func(name string, k recovery.Known) recovery.Known // and what others are told
-	Manner   func(recovery.Manner) recovery.Manner
-	Rate     func(float64) float64 // that is let in
-	Believes bool                  // a list from before the start, as to which replicas are warm
+// RecoveryHooks are where a test's own build puts faults in; none elsewhere.
+var RecoveryHooks struct {
+	OverrideKnown    func(recovery.Known) recovery.Known                // what is gone by, in place of what is known
+	OverrideReported func(name string, k recovery.Known) recovery.Known // and what others are told
+	OverrideManner   func(recovery.Manner) recovery.Manner
+	OverrideRate     func(float64) float64 // that is let in
+	TrustInitialList bool                  // a list from before the start, as to which replicas are warm
 }
 
 const (
@@ -67,7 +67,7 @@
 func newComeback(a *agreed, cfg config.Config) *comeback {
 	b := &comeback{a: a, name: cfg.Name, ramp: cfg.Settings.RampTime, from: cfg.Settings.ColdFrom, began: time.Now(), since: time.Now(), gate: recovery.NewGate(0),
 		drawn: rand.New(rand.NewPCG(cfg.Seed, 23))}
-	b.machine = recovery.NewMachine(0, recovery.Bounds{Find: cfg.Recovery.FindTime(), Learn: cfg.Recovery.LearnTime(), Admit: cfg.Settings.RampTime + backSlack, Leave: leaveTime})
+	b.machine = recovery.NewMachine(0, recovery.Bounds{Find: cfg.Recovery.FindTimeout(), Learn: cfg.Recovery.LearnTimeout(), Admit: cfg.Settings.RampTime + backSlack, Leave: leaveTime})
 	b.manner = recovery.Manner{Why: "it is starting"}
 	text, err := a.node.Recall(bearsNote)
 	if err == nil && text != nil {
@@ -85,7 +85,7 @@
 func (b *comeback) fit(cfg *config.Config) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.kinds, cfg.Settings.Bears = cfg.Settings.Kinds, b.trusts()
+	b.kinds, cfg.Settings.WarmRates = cfg.Settings.Kinds, b.trusts()
 	if n := len(cfg.Settings.Classes); n != len(b.classes) {
 		b.gate = recovery.NewGate(n) // which lets in again from the next step on
 	}
@@ -98,8 +98,8 @@
 	if len(k) == 0 {
 		k = b.told
 	}
-	if BackSeams.Trusts != nil {
-		k = BackSeams.Trusts(k)
+	if RecoveryHooks.OverrideKnown != nil {
+		k = RecoveryHooks.OverrideKnown(k)
 	}
 	return k
 }
@@ -109,8 +109,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.known
-	if BackSeams.Says != nil {
-		k = BackSeams.Says(b.name, k)
+	if RecoveryHooks.OverrideReported != nil {
+		k = RecoveryHooks.OverrideReported(b.name, k)
 	}
 	if k == nil {
 		return recovery.Known{}
@@ -155,7 +155,7 @@
 		if s == nil {
 			continue
 		}
-		f, _ := s.core.Figures() // it runs for as long as it is in force
+		f, _ := s.core.Metrics() // it runs for as long as it is in force
 		n, away := 0, 0
 		for _, r := range f.Classes {
 			n, away = n+r.Served, away+r.Refused
@@ -216,8 +216,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if BackSeams.Manner != nil {
-		defer func() { b.manner = BackSeams.Manner(b.manner) }()
+	if RecoveryHooks.OverrideManner != nil {
+		defer func() { b.manner = RecoveryHooks.OverrideManner(b.manner) }()
 	}
 	b.bears = b.trusts().Capacity(weights, b.kinds)
 	f.Held = b.bears > 0 && b.gate.Held(now.Sub(b.began)) // where nothing is known of replicas, warm ones tell themselves
@@ -235,8 +235,8 @@
 	}
 	if w.Ramps {
 		rate := b.rampOf().Rate(now.Sub(b.admits), proven)
-		if BackSeams.Rate != nil {
-			rate = BackSeams.Rate(rate)
+		if RecoveryHooks.OverrideRate != nil {
+			rate = RecoveryHooks.OverrideRate(rate)
 		}
 		b.gate.Allow(now.Sub(b.began), rate)
 	}
@@ -257,15 +257,15 @@
 func (w *waiting) After() time.Duration { return w.after }
 
 // take says why a request may not be taken yet.
-func (b *comeback) take(q dispatch.Taking) error {
+func (b *comeback) take(q dispatch.Admission) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.manner
 	now := time.Now()
 	switch {
 	case !w.Takes:
-	case q.Once && !w.Instructions:
-	case w.Ramps && !b.gate.Admit(now.Sub(b.began), b.classOf(q.Class), q.Again, q.Customer):
+	case q.AtMostOnce && !w.Instructions:
+	case w.Ramps && !b.gate.Admit(now.Sub(b.began), b.classOf(q.Class), q.Retry, q.Tenant):
 	default:
 		return nil
 	}
@@ -348,7 +348,7 @@
 	weights, warm = map[string]float64{}, len(l.told) > 0
 	now := time.Now()
 	for _, e := range l.told {
-		if e.State != roster.InService {
+		if e.State != membership.InService {
 			continue
 		}
 		weights[e.Kind] += e.Weight
@@ -362,15 +362,15 @@
 
 // coming is a licence that takes nothing before its time.
 type coming struct {
-	dispatch.Licence
+	dispatch.Lease
 	b *comeback
 }
 
-func (c *coming) Take(q dispatch.Taking) error {
-	if err := c.Licence.Take(q); err != nil {
+func (c *coming) MayAdmit(q dispatch.Admission) error {
+	if err := c.Lease.MayAdmit(q); err != nil {
 		return err
 	}
 	return c.b.take(q)
 }
 
-func (c *coming) Ready() bool { return c.Licence.Ready() && c.b.ready() }
+func (c *coming) Ready() bool { return c.Lease.Ready() && c.b.ready() }
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -15,20 +15,20 @@
 
 const ledgerCall = "/ledger"
 
-// LedgerSeams are where a test's own build puts faults in; the zero value puts in none.
-var LedgerSeams struct {
+// LedgerHooks are where a test's own build puts faults in; the zero value puts in none.
+var LedgerHooks struct {
 	Options func(*bookkeeping.Options)
 }
 
 // openLedger opens this dispatcher's part of the ledger.
 func (a *agreed) openLedger(cfg config.Config, folder string) (*bookkeeping.Keeper, error) {
-	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.Names(), Limits: cfg.Ledger.Limits(),
-		Find: cfg.Ledger.FindTime(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
+	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
+		Find: cfg.Ledger.FindTimeout(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
 		Speak: func(name string, ask, answer any, limit time.Duration) error {
 			return a.node.Speak(name, ledgerCall, ask, answer, limit)
 		}}
-	if LedgerSeams.Options != nil {
-		LedgerSeams.Options(&opt)
+	if LedgerHooks.Options != nil {
+		LedgerHooks.Options(&opt)
 	}
 	return bookkeeping.Open(opt)
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -37,7 +37,7 @@
 type program struct {
 	ports      map[string]*front.Port
 	pool       *replica.Pool // this and the gate are the same for all stacks, as the limits are the process's
-	gate       *front.Gate
+	gate       *front.ConnLimiter
 	now        *stack
 	live       atomic.Pointer[stack] // the same, for the operators' door
 	door       *front.Port           // and that door
@@ -51,14 +51,14 @@
 	draining   chan struct{}   // closed when the program drains
 	toldToStop time.Time       // when SIGTERM came; set before draining is closed
 	agreed     *agreed         // nil where dispatchers do not agree on settings
-	licence    dispatch.Licence
+	licence    dispatch.Lease
 }
 
 // reload reads the configuration anew and puts it in force; a faulty one changes nothing.
 func (p *program) reload(load func() (config.Config, error)) {
 	cfg, err := load()
 	if err == nil {
-		err = cfg.Lacks(p.now.cfg)
+		err = cfg.CheckMissingKeys(p.now.cfg)
 	}
 	if err == nil {
 		err = p.adopt(cfg)
@@ -75,7 +75,7 @@
 func (p *program) adopt(cfg config.Config) (err error) {
 	if p.agreed != nil {
 		cfg, err = p.agreed.adopt(cfg)
-	} else if cfg.Agree.On() {
+	} else if cfg.Agree.Enabled() {
 		err = &config.Fault{Key: "agree", Text: "can't be switched on while the program runs"}
 	}
 	if err != nil {
@@ -114,9 +114,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := &program{ports: map[string]*front.Port{}, pool: replica.NewPool(0, 0, 0), gate: front.NewGate(0, 0),
+	p := &program{ports: map[string]*front.Port{}, pool: replica.NewPool(0, 0, 0), gate: front.NewConnLimiter(0, 0),
 		draining: make(chan struct{})}
-	p.gate.Closed = func(cause dispatch.Cause, client string) { p.counts.Count(dispatch.ClientClosed, cause, client) }
+	p.gate.OnClose = func(cause dispatch.Cause, client string) { p.counts.Count(dispatch.ClientClosed, cause, client) }
 	go p.pool.Sweep(ctx)
 	if m == nil {
 		p.shared = true
@@ -124,7 +124,7 @@
 	}
 	var takeups chan takeup
 	var reads chan bool
-	if cfg.Agree.On() {
+	if cfg.Agree.Enabled() {
 		if p.agreed, cfg, err = p.agreeOn(cfg, string(m.dir)); err != nil {
 			return err
 		}
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -47,7 +47,7 @@
 
 // newStack makes a stack that knows the replicas of a list, whose version at its discovery is at, if it came from there. It is not yet open
 // to clients.
-func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Licence, l *lists, k *bookkeeping.Keeper) (*stack, error) {
+func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Lease, l *lists, k *bookkeeping.Keeper) (*stack, error) {
 	s := &stack{cfg: cfg, releaser: replica.NewReleaser(pool), fronts: map[string]*fasthttp.Server{}, heard: make(chan struct{}, 1),
 		unwatch: func() {}, lists: l, known: at}
 	var err error
@@ -58,7 +58,7 @@
 	s.core.Counts = counts
 	s.core.Prober = replica.Prober{Pool: pool}
 	if licence != nil {
-		s.core.Under(licence)
+		s.core.SetLease(licence)
 	}
 	var remembered once.Ledger
 	if k != nil {
@@ -92,7 +92,7 @@
 }
 
 // takeUp puts a configuration in force that the stack can go on under.
-func (s *stack) takeUp(cfg config.Config, licence dispatch.Licence) error {
+func (s *stack) takeUp(cfg config.Config, licence dispatch.Lease) error {
 	if err := s.retune(cfg, licence); err != nil {
 		return err
 	}
@@ -108,15 +108,15 @@
 }
 
 // retune hands the settings to all that acts on them. It may be called from any goroutine.
-func (s *stack) retune(cfg config.Config, licence dispatch.Licence) error {
-	if err := s.core.Retune(cfg.Settings, bounds(cfg.Limits), licence); err != nil {
+func (s *stack) retune(cfg config.Config, licence dispatch.Lease) error {
+	if err := s.core.UpdateSettings(cfg.Settings, bounds(cfg.Limits), licence); err != nil {
 		return err
 	}
 	if s.platform != nil {
-		s.platform.Retune(cfg.Settings)
+		s.platform.UpdateSettings(cfg.Settings)
 	}
 	if s.chat != nil {
-		if err := s.chat.Retune(cfg.Settings.Classes); err != nil { // config has checked that each model has its class
+		if err := s.chat.UpdateClasses(cfg.Settings.Classes); err != nil { // config has checked that each model has its class
 			log.Printf("chat: %v", err)
 		}
 	}
@@ -140,7 +140,7 @@
 		if s.lists != nil {
 			s.lists.hear(u)
 		} else {
-			s.core.Tell(u)
+			s.core.UpdateServers(u)
 		}
 		select {
 		case s.heard <- struct{}{}:
@@ -152,10 +152,10 @@
 		return
 	}
 	time.AfterFunc(handOver, before)
-	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, Pushed: !cfg.Settings.ListOnRequest, Known: s.known, Kinds: cfg.Settings.Kinds, Tell: tell}
+	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, PushMode: !cfg.Settings.ListOnRequest, KnownVersion: s.known, Kinds: cfg.Settings.Kinds, OnUpdate: tell}
 	s.known = nil
 	if s.lists != nil {
-		w.Heard = s.lists.heard
+		w.OnResult = s.lists.heard
 	}
 	go w.Run(ctx)
 }
@@ -209,7 +209,7 @@
 		}
 	}
 	for _, ln := range s.accepts {
-		ln.End() // first: what the server's own end finds on a connection it drops, read or not
+		ln.DrainConns() // first: what the server's own end finds on a connection it drops, read or not
 	}
 	for addr, server := range s.fronts {
 		if err := server.Shutdown(); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	want := logic.Request{Class: "points", Tenant: "a", Session: 0x91f03b7c55d20a64, Prefix: 0x2b8e6401d9f37c10,
-		PrefixTokens: 1200, PromptTokens: 1800, MaxOutput: 256, Again: true,
+		PrefixTokens: 1200, PromptTokens: 1800, MaxOutput: 256, Retried: true,
 		Remaining: 240 * time.Millisecond}
 	if m.Instance != 3 || m.Event.RequestID != "abc" || m.Event.Request != want {
 		t.Errorf("got %+v", m)
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := w.Yield("12"); err != nil {
+	if err := w.EndBatch("12"); err != nil {
 		t.Fatal(err)
 	}
 	want := "PASS_ON\ti=3\tcorr=q\thost=h:1\tnot_past_us=8000000\nBOUNCE\ti=3\tcorr=q\tpause_us=1000000\nREPORT_FAILURE\ti=3\tcorr=q\n" +
