--- a/logic/choices.go
+++ b/logic/choices.go
@@ -105,7 +105,7 @@
 
 const (
 	notReady readiness = iota
-	ejected            // ejected after failures, and the ejection time is not over
+	ejected            // failed, and its ejection time is not over
 	ready
 )
 
@@ -150,7 +150,7 @@
 	return c
 }
 
-// sample is the usable servers found in part of a pool.
+// sample is the servers of a part of a pool that may be sent a request, and the ejected ones.
 type sample struct{ ready, ejected []*server }
 
 // best returns the servers that may be sent a request, or the ejected ones if there are none.
@@ -189,7 +189,7 @@
 	return d
 }
 
-// union adds the servers of others that servers does not contain yet.
+// union appends to all the servers of others that it does not contain yet.
 func union(all, others []*server) []*server {
 	for _, s := range others {
 		if !slices.Contains(all, s) {
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -9,7 +9,7 @@
 
 const (
 	balancingThreshold = 2.0 // from Algorithm 1: a match shorter than the longest by this factor counts as none
-	extraHomePenalty   = 4.0 // weight of the missing match's read time where all readers have queues
+	extraHomePenalty   = 4.0 // cost of a further home, in read times of the missing prefix, when all readers have queues
 	// A reader in another zone must be sooner by this many times the first-token target, multiplied
 	// by the price of another zone.
 	crossZonePenalty = 5.0
--- a/logic/prefixtable.go
+++ b/logic/prefixtable.go
@@ -43,12 +43,12 @@
 }
 
 // recordCached records what a reader holds; confirmed is false for a read that was only just sent.
-func (l *Router) recordCached(k tableKey, s *server, tokens int64, sure bool) {
+func (l *Router) recordCached(k tableKey, s *server, tokens int64, confirmed bool) {
 	if k.key == 0 || tokens <= 0 {
 		return
 	}
 	hs := slices.DeleteFunc(l.prefixTable[k], func(h cacheEntry) bool { return h.server == s || !l.live(h) })
-	l.prefixTable[k] = append(hs, cacheEntry{s, tokens, l.now, sure})
+	l.prefixTable[k] = append(hs, cacheEntry{s, tokens, l.now, confirmed})
 }
 
 // matches returns the length of the prompt's match for each reader that holds any of it.
--- a/logic/request.go
+++ b/logic/request.go
@@ -145,7 +145,7 @@
 	l.recordOutcome(r, s, phase, ev)
 	abandoned := ev.Outcome == TimedOut || ev.Outcome == Cancelled
 	if r.mayHaveRunAt == nil && (phase == writing && (abandoned || ev.Outcome == ServerError || ev.Outcome == ConnectionLost) ||
-		abandoned && !l.set.CancelStopsWork && r.class.Repeat != Safe) { // its read may go on
+		abandoned && !l.set.CancelStopsWork && r.class.Repeat != Safe) { // the server may go on with the read
 		r.mayHaveRunAt, r.mayHaveRunSince = s, r.sentAt
 	}
 	r.phase = parked
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -33,11 +33,12 @@
 // overdueAfter is the seconds after which an attempt is overdue. With a shorter limit, attempts at
 // healthy servers would time out, and retries from a whole fleet would become a retry storm.
 //
-// A server that this router rarely uses has little history, so the mean time of all recent reads is
-// taken into account. A router with a partial view does not know the queues, where a read behind a
-// long prompt takes many times as long as most. If reads usually take so much of the first-token
-// target that a retry elsewhere would be late too, their deviation is added. An overtaken attempt,
-// whose server has answered later ones, is not queued, so the deviation is left out.
+// If this router rarely hears from a server, the mean time of all recent reads says more than the
+// silence of that server, so the limit is a multiple of the mean where that is longer. A router with
+// a partial view does not know the queues, where a read behind a long prompt takes many times as
+// long as most. If reads usually take so much of the first-token target that a retry elsewhere would
+// be late too, their deviation is added. An overtaken attempt, whose server has answered later ones,
+// is not queued, so the deviation is left out.
 func (l *Router) overdueAfter(expected float64, overtaken bool) float64 {
 	typical := l.meanReadTime
 	if l.hasPartialView() && !overtaken && l.meanReadTime > l.minOverdue {
--- a/logic/router.go
+++ b/logic/router.go
@@ -57,7 +57,7 @@
 	// warmRates is the requests per second that a warm server of a kind, with weight 1, served for
 	// this router when one was last listed.
 	warmRates  map[string]float64
-	minOverdue float64 // seconds
+	minOverdue float64 // no attempt is overdue before this, in seconds
 	heldTokens float64 // tokens held by all writes of this router
 	// writerMemory is the memory of all listed servers that write, in tokens.
 	writerMemory   float64
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -43,11 +43,11 @@
 	return l.inSlowStart(s) && s.coldCredit >= -1 && unit(mix(r.Session+1)^s.hash) < share
 }
 
-// withinColdBudget keeps the total load that all routers send to a cold server within the limit.
-// The load that a warm server of its kind serves for each arrival here stands for this router's
-// share of a server's capacity, and earns credit for sends. The initial credit is a random fraction
-// of one send that depends on the seed, so that where the share is far below one send per window, a
-// few of the routers may send in each window.
+// withinColdBudget reports whether a request may be sent to a server under the limit on the total
+// load that all routers send to a cold server. The load that a warm server of its kind serves for
+// each arrival here stands for this router's share of a server's capacity, and earns credit for
+// sends. The initial credit is a random fraction of one send that depends on the seed, so that where
+// the share is far below one send per window, a few of the routers may send in each window.
 func (l *Router) withinColdBudget(s *server) bool {
 	if !l.cold(s) {
 		return true
--- a/logic/writer.go
+++ b/logic/writer.go
@@ -10,8 +10,8 @@
 )
 
 // load is the estimated share of a writer's memory in use: the mean over all writers, corrected by
-// the writer's own report, weighted by its age. This router's own count of tokens there stands for
-// that of all routers only to the extent that the router has many writes there.
+// this router's own tokens there and by the writer's latest report, weighted by its age. The own
+// tokens stand for those of all routers only to the extent that many writes there are this router's.
 func (l *Router) load(s *server) float64 {
 	memory := max(s.memoryTokens, 1) * s.Weight
 	siblings := float64(l.set.Siblings)
