--- a/logic/choices_test.go
+++ b/logic/choices_test.go
@@ -14,10 +14,10 @@
 	usualFleet = 200
 )
 
-// Guards against decisions whose cost grows with the fleet: with six in ten of 3,200 servers in
-// slow start, a decision took 50 ms, as the load of all servers was summed again for each of them.
-// The work for a request may grow with the logarithm of the fleet size at most; a factor of two is
-// allowed for noise.
+// TestDecisionCostInLargeFleet guards against decisions whose cost grows with the fleet: with six
+// in ten of 3,200 servers in slow start, a decision took 50 ms, as the load of all servers was
+// summed again for each of them. The work for a request may grow with the logarithm of the fleet
+// size at most; a factor of two is allowed for noise.
 func TestDecisionCostInLargeFleet(t *testing.T) {
 	const requests = 250
 	maxRatio := 2 * math.Log(largeFleet) / math.Log(usualFleet)
@@ -44,8 +44,8 @@
 	}
 }
 
-// In a large fleet, a key's homes are the same as in a ranking of all readers, at every router
-// whatever its seed.
+// TestHomesInLargeFleetMatchFullRanking checks that in a large fleet, a key's homes are the same as
+// in a ranking of all readers, at every router whatever its seed.
 func TestHomesInLargeFleetMatchFullRanking(t *testing.T) {
 	a, b := benchRouter(t, largeFleet, 0), benchRouter(t, largeFleet, 0)
 	b.seed = 99
@@ -62,8 +62,9 @@
 	}
 }
 
-// A prefix that many requests share has many homes: each session has its own first home, and
-// together the sessions use most of the homes.
+// TestPopularPrefixHasManyHomesInLargeFleet checks that a prefix that many requests share has many
+// homes: each session has one of them as its own first home, and together the sessions use most of
+// them.
 func TestPopularPrefixHasManyHomesInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	l.now = time.Hour
@@ -82,7 +83,8 @@
 	}
 }
 
-// A sample in a large fleet contains no server twice, and over time samples reach all servers.
+// TestSampleReachesAllServers checks that a sample in a large fleet contains no server twice, and
+// over time samples reach all servers.
 func TestSampleReachesAllServers(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	seen := map[*server]bool{}
@@ -101,7 +103,8 @@
 	}
 }
 
-// If only a few servers of a large fleet are usable, they are still found.
+// TestFewReadyServersAreFoundInLargeFleet checks that if only a few servers of a large fleet are
+// usable, they are still found.
 func TestFewReadyServersAreFoundInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	for i, s := range l.order {
@@ -136,8 +139,8 @@
 	l.Handle(now, &Event{Kind: Ended, RequestID: fmt.Sprint("q", i), Server: writer, Attempt: 1, Outcome: Delivered, RequestEnded: true}, nil)
 }
 
-// Requests in a large fleet are spread evenly as they arrive: no server is sent many times its
-// share.
+// TestRequestsSpreadOverLargeFleet checks that requests in a large fleet are spread evenly as they
+// arrive: no server is sent many times its share.
 func TestRequestsSpreadOverLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	const requests, step = 3200, 8
@@ -163,8 +166,8 @@
 	}
 }
 
-// In a large fleet too, a state goes to a writer in the cell of its reader if one there is as free
-// as others.
+// TestStateStaysInItsCellInLargeFleet checks that in a large fleet too, a state goes to a writer in
+// the cell of its reader if one there is as free as others.
 func TestStateStaysInItsCellInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	l.now = time.Hour
@@ -181,9 +184,10 @@
 	}
 }
 
-// A series of small lists, each with one server, costs as much as the changes and not as the fleet:
-// the index is rebuilt no more often than the fleet size allows. A server that a list removes is
-// not sent to from then on, and a new one is found shortly afterwards.
+// TestManySmallListsAreCheapInLargeFleet checks that the cost of a series of small lists, each with
+// one server, depends on the changes and not on the fleet: the index is rebuilt no more often than
+// the fleet size allows. A server that a list removes is not sent to from then on, and a new one is
+// found shortly afterwards.
 func TestManySmallListsAreCheapInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	now, passes, at := time.Hour, 0, l.indexedAt
@@ -211,8 +215,8 @@
 	}
 }
 
-// In a large fleet, writers with open connections are reused while they are as free as others, and
-// no longer than that.
+// TestRecentWritersArePreferredInLargeFleet checks that in a large fleet, writers with open
+// connections are reused while they are as free as others, and no longer than that.
 func TestRecentWritersArePreferredInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	for i, s := range l.order { // three cells with many writers each
@@ -242,8 +246,9 @@
 	}
 }
 
-// Guards against requests to a failed cell: if all writers in the cell of a state have failed, they
-// stay ejected in a large fleet too, as other writers can be used.
+// TestFailedCellIsEjectedInLargeFleet guards against requests to a failed cell: if all writers in
+// the cell of a state have failed, they stay ejected in a large fleet too, as other writers can be
+// used.
 func TestFailedCellIsEjectedInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	l.now = time.Hour
@@ -259,7 +264,8 @@
 	}
 }
 
-// If no server of a large fleet is usable, a request has no home and is parked.
+// TestNoReadyServerInLargeFleet checks that if no server of a large fleet is usable, a request has
+// no home and is parked.
 func TestNoReadyServerInLargeFleet(t *testing.T) {
 	l := benchRouter(t, largeFleet, 0)
 	for _, s := range l.order {
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -123,11 +123,12 @@
 	return highest
 }
 
-// A cold server and hundreds of routers that cannot see each other: the load that they send it
-// together must stay within the limit, even if it is the home of a prefix that a quarter of all
-// requests share (no site has a larger share, see `hot_key`). Readers have twice the capacity that
-// the traffic needs, as they have at sites under usual load. Guards against a minimum of one send
-// per window from each router, with which the server received all the traffic of its keys.
+// TestColdServerAndManyRouters checks that the load that hundreds of routers, which cannot see each
+// other, send together to a cold server stays within the limit, even if the server is the home of a
+// prefix that a quarter of all requests share (no site has a larger share, see `hot_key`). Readers
+// have twice the capacity that the traffic needs, as they have at sites under usual load. It guards
+// against a minimum of one send per window from each router, which let all the traffic of the
+// server's keys through.
 func TestColdServerAndManyRouters(t *testing.T) {
 	for _, n := range []int{3, 80, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -167,10 +168,11 @@
 	}
 }
 
-// After a power failure all servers are cold and all clients reconnect at once. Each router knows
-// its part of the rate that a warm server of each kind served before. With it, the routers send
-// most of what cold servers can take from the start, and never more than the limit. Without it no
-// router knows what a cold server can take, and all routers together send one request per window.
+// TestKnownWarmRatesAdmitLoadWhenAllServersAreCold covers the time after a power failure, when all
+// servers are cold and all clients reconnect at once. Each router knows its part of the rate that a
+// warm server of each kind served before. With it, the routers send most of what cold servers can
+// take from the start, and never more than the limit. Without it no router knows what a cold server
+// can take, and all routers together send one request per window.
 func TestKnownWarmRatesAdmitLoadWhenAllServersAreCold(t *testing.T) {
 	for _, n := range []int{3, 80} {
 		const rate, servers = 70.0, 20
@@ -222,7 +224,8 @@
 	}
 }
 
-// Routers that know only the list must not all choose the same reader or the same writer.
+// TestNewRoutersSpreadRequests checks that routers that know only the list do not all choose the
+// same reader or the same writer.
 func TestNewRoutersSpreadRequests(t *testing.T) {
 	var list []ServerEntry
 	for i := range 20 {
@@ -244,8 +247,9 @@
 	}
 }
 
-// A server answers "full" to one tenant at many routers while others restart: every request still
-// ends once, most are served, and the other tenant loses nothing.
+// TestServerFullToOneTenantWhileRoutersRestart has servers answer "full" to one tenant at many
+// routers while others restart. Every request must still end once, most must be served, and the
+// other tenant must lose nothing.
 func TestServerFullToOneTenantWhileRoutersRestart(t *testing.T) {
 	var list []ServerEntry
 	for i := range 10 {
@@ -283,7 +287,8 @@
 	}
 }
 
-// Lists and requests with unexpected contents are handled: a request still ends exactly once.
+// TestUnexpectedInputGetsOneAnswer checks that a request ends exactly once, also with unexpected
+// contents in lists and requests.
 func TestUnexpectedInputGetsOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		siblings int
@@ -326,9 +331,10 @@
 	}
 }
 
-// Six in ten readers are replaced under routers with a partial view. Sessions whose reader is still
-// listed stay with it, as their prompts would otherwise all be read again elsewhere. Sessions that
-// lost their reader move to the new ones as these warm up.
+// TestSessionsStayWhileReadersAreReplaced replaces six in ten readers under routers with a partial
+// view. Sessions whose reader is still listed must stay with it, as their prompts would otherwise
+// all be read again elsewhere. Sessions that lost their reader must move to the new ones as these
+// warm up.
 func TestSessionsStayWhileReadersAreReplaced(t *testing.T) {
 	var list []ServerEntry
 	for i := range 20 {
@@ -361,7 +367,7 @@
 	}{{0, 0.05, 0.75}, {set.RampTime * 3 / 4, 0.5, 1}} {
 		moved, settled, onNewReader, displaced := 0, 0, 0, 0
 		for key := range uint64(600) {
-			for _, s := range l.order { // the test does not depend on the arrivals that this router has seen
+			for _, s := range l.order { // credit from the arrivals seen by this router is not tested here
 				s.coldCredit = 1
 			}
 			at := readerOf(changed+c.after, key)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Guards against halving the time of an attempt when the client gives up soon: the half would be
-// less than a healthy server needs (i170e8f).
+// TestShortAttemptsAreNotHalved guards against halving the time of an attempt when the client gives
+// up soon: the half would be less than a healthy server needs (i170e8f).
 func TestShortAttemptsAreNotHalved(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	ev := arrival("q", 7, 9)
@@ -89,8 +89,8 @@
 	}
 }
 
-// A mixed server that is idle takes a request for both read and write if the readers' queue would
-// cause a refusal (i07ef36).
+// TestMixedServerTakesRequestThatReadersRefuse checks that a mixed server that is idle takes a
+// request for both read and write if the readers' queue would cause a refusal (i07ef36).
 func TestMixedServerTakesRequestThatReadersRefuse(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("m1", "m", 1))
 	l.meanPerToken = 0.0001
@@ -104,7 +104,8 @@
 	}
 }
 
-// Nothing is refused before a rate is learned, even if every writer answers "full".
+// TestNoRefusalBeforeARateIsLearned checks that nothing is refused before a rate is learned, even
+// if every writer answers "full".
 func TestNoRefusalBeforeARateIsLearned(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	l.servers["w1"].backpressure[tenantClass{"", l.classes["c"]}] = backpressure{fullUntil: ms(5000)}
@@ -117,7 +118,8 @@
 	}
 }
 
-// A request's own long read never causes its refusal; a queue of the same length does.
+// TestOwnLongReadIsNotRefused checks that a request's own long read never causes its refusal; a
+// queue of the same length does.
 func TestOwnLongReadIsNotRefused(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	l.meanPerToken = 0.001
@@ -129,7 +131,7 @@
 	}
 }
 
-// Which reader is chosen for a request with session 7 and prefix 9.
+// TestReaderChoice checks which reader is chosen for a request with session 7 and prefix 9.
 func TestReaderChoice(t *testing.T) {
 	now := ms(10000)
 	for name, c := range map[string]struct {
@@ -186,8 +188,8 @@
 	}
 }
 
-// If all readers have queues, a reader that would have to read a known prefix again costs more than
-// that read.
+// TestFurtherHomeCostsMoreUnderLoad checks that while all readers have queues, choosing a reader
+// that would have to read a known prefix again costs more than that read.
 func TestFurtherHomeCostsMoreUnderLoad(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("r2", "r", 1), entry("r3", "r", 1), entry("w1", "w", 1))
 	l.now, l.meanPerToken = ms(10000), 0.0001
@@ -213,8 +215,8 @@
 	}
 }
 
-// A prefix that no router has seen yet starts at the same home at all routers, whatever the order
-// of their lists.
+// TestUnseenPrefixesShareAHome checks that a prefix that no router has seen yet starts at the same
+// home at all routers, whatever the order of their lists.
 func TestUnseenPrefixesShareAHome(t *testing.T) {
 	homes := map[string]int{}
 	for key := uint64(1); key < 60; key++ {
@@ -254,8 +256,8 @@
 	}
 }
 
-// Guards against ejecting all writers forever after each has failed: later requests are admitted
-// and try them again.
+// TestFailedWritersAreRetried guards against ejecting all writers forever after each has failed:
+// later requests are admitted and try them again.
 func TestFailedWritersAreRetried(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	l.meanPerToken = 0.0001
@@ -267,8 +269,8 @@
 	}
 }
 
-// A client's retry has only the rest of its first-token target (ib6e6d7): a queue that admitted the
-// first attempt refuses the retry.
+// TestRetriesHaveLessTime checks that a client's retry has only the rest of its first-token target
+// (ib6e6d7): a queue that admitted the first attempt refuses the retry.
 func TestRetriesHaveLessTime(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	l.meanPerToken = 0.0001
@@ -285,8 +287,8 @@
 	}
 }
 
-// One lost connection does not count as a failed server; three in a row do (i9869bd: connections
-// were cut while their servers ran).
+// TestOneLostConnectionIsNotAFailure checks that one lost connection does not count as a failed
+// server; three in a row do (i9869bd: connections were cut while their servers ran).
 func TestOneLostConnectionIsNotAFailure(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	r1 := l.servers["r1"]
@@ -300,9 +302,10 @@
 	}
 }
 
-// A reader that has not answered is overdue if reads are usually short, but not if every read takes
-// long. Guards against mass cancellation of reads, which congested large fleets, where a router
-// sends to a given reader only about once a minute.
+// TestOverdueDependsOnMeanReadTime checks that a reader that has not answered is overdue if reads
+// are usually short, but not if every read takes long. It guards against mass cancellation of
+// reads, which congested large fleets, where a router hears from a given reader only about once a
+// minute.
 func TestOverdueDependsOnMeanReadTime(t *testing.T) {
 	for _, meanRead := range []float64{0.05, 0.6, 0} { // 0: a router that has just started, and no read has ended yet
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
@@ -317,8 +320,9 @@
 	}
 }
 
-// A server that answers "full" to one tenant while it has room for others is still used by the
-// others. The tenant that it refused skips it, for longer the slower its refusals are.
+// TestServerFullToOneTenant checks that a server that answers "full" to one tenant while it has
+// room for others is still used by the others. The refused tenant skips it, for longer the slower
+// its refusals are.
 func TestServerFullToOneTenant(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{"a", 50}, {"b", 50}}
@@ -346,8 +350,8 @@
 	}
 }
 
-// A server that failed may have restarted unnoticed and be cold: of many routers only a few try it
-// within a window.
+// TestFailedServerIsRetriedByFewRouters checks that of many routers only a few try a failed server
+// within a window, as it may have restarted unnoticed and be cold.
 func TestFailedServerIsRetriedByFewRouters(t *testing.T) {
 	tried := 0
 	for i := range 200 {
@@ -371,8 +375,8 @@
 	}
 }
 
-// A request that its client marks as a retry was first sent to another router: a queue that admits
-// other requests refuses it.
+// TestMarkedRetryHasLessTime checks that a queue that admits other requests refuses one that its
+// client marks as a retry, as it was first sent to another router.
 func TestMarkedRetryHasLessTime(t *testing.T) {
 	for _, retried := range []bool{false, true} {
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
@@ -386,8 +390,8 @@
 	}
 }
 
-// A writer is expected to hold as many answer tokens as the output hint says, or a share of the
-// maximum output if there is no hint.
+// TestOutputHint checks that a writer is expected to hold as many answer tokens as the output hint
+// says, or a share of the maximum output if there is no hint.
 func TestOutputHint(t *testing.T) {
 	for hint, want := range map[time.Duration]float64{0: 2000 + 0.3*200, ms(5000): 2100, ms(90000): 2200} {
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
@@ -401,8 +405,8 @@
 	}
 }
 
-// A load report loses weight with age, and a writer without a report counts as the mean, not as
-// empty.
+// TestReportsLoseWeightWithAge checks that a load report loses weight with age, and a writer
+// without a report counts as the mean, not as empty.
 func TestReportsLoseWeightWithAge(t *testing.T) {
 	l := newRouter(t, settings(), entry("w1", "w", 1), entry("w2", "w", 1))
 	w1 := l.servers["w1"]
@@ -421,8 +425,8 @@
 	}
 }
 
-// If a server stalls for half a second among short reads, its attempt is not cancelled and the
-// server is not ejected.
+// TestShortStallIsNotOverdue checks that if a server stalls for half a second among short reads,
+// its attempt is not cancelled and the server is not ejected.
 func TestShortStallIsNotOverdue(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	l.meanPerToken, l.meanReadTime = 0.00005, 0.16
@@ -432,8 +436,9 @@
 	}
 }
 
-// Guards against a retry with a state that no longer exists: a writer whose answer was corrupted
-// has already fetched it. The prompt is read again, and the reader does not count as failed.
+// TestFetchedStateIsReadAgain guards against a retry with a state that no longer exists: a writer
+// whose answer was corrupted has already fetched it. The prompt is read again, and the reader does
+// not count as failed.
 func TestFetchedStateIsReadAgain(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1), entry("w2", "w", 1))
 	l.Handle(ms(1), arrival("q", 7, 9), nil)
@@ -455,8 +460,8 @@
 	}
 }
 
-// Guards against a writer that fails now and then, but never often enough in a row to be ejected:
-// requests that may run only once would be lost there.
+// TestWritersWithErrorsAreAvoided guards against a writer that fails now and then, but never often
+// enough in a row to be ejected: requests that may run only once would be lost there.
 func TestWritersWithErrorsAreAvoided(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1), entry("w2", "w", 1))
 	at, sent := 0, map[string]int{}
@@ -477,8 +482,8 @@
 	}
 }
 
-// Guards against growth without bound: replicas are constantly replaced by new ones with new ids,
-// and what is stored about the old ones must be removed.
+// TestGoneServersAreRemoved guards against unbounded growth: replicas are constantly replaced by
+// new ones with new ids, and what is stored about the old ones must be removed.
 func TestGoneServersAreRemoved(t *testing.T) {
 	l := newRouter(t, settings(), entry("r0", "r", 1), entry("w0", "w", 1))
 	var at time.Duration
@@ -505,7 +510,7 @@
 	if len(l.servers) > 2*maxKnown || len(l.order) != len(l.servers) {
 		t.Errorf("%d servers stored, %d in order", len(l.servers), len(l.order))
 	}
-	for name, n := range map[string]int{"table": len(l.prefixTable), "popular": len(l.keyArrivals), "tries": len(l.firstSeen),
+	for name, n := range map[string]int{"prefixTable": len(l.prefixTable), "keyArrivals": len(l.keyArrivals), "firstSeen": len(l.firstSeen),
 		"requests": len(l.requests), "bySeq": len(l.bySeq), "open": len(l.open)} {
 		if n > 2*maxKnown {
 			t.Errorf("%s: %d entries", name, n)
@@ -513,8 +518,9 @@
 	}
 }
 
-// With a price on other zones, most homes of a key are in the zone where its clients come in. A
-// reader elsewhere is chosen only if it is sooner by enough.
+// TestReadersInOwnZoneArePreferredHomes checks that with a price on other zones, most homes of a
+// key are in the zone where its clients come in. A reader elsewhere is chosen only if it is sooner
+// by enough.
 func TestReadersInOwnZoneArePreferredHomes(t *testing.T) {
 	inOtherZone := func(id string) ServerEntry { e := entry(id, "r", 2); e.Zone = "z2"; return e }
 	chosen := func(price float64) (own int) {
@@ -535,8 +541,8 @@
 	}
 }
 
-// Guards against refusing the rest of a broken stream early, as everything that was served of it
-// would be lost.
+// TestResumedStreamIsNotRefusedEarly guards against refusing the rest of a broken stream early, as
+// everything that was served of it would be lost.
 func TestResumedStreamIsNotRefusedEarly(t *testing.T) {
 	for _, resumed := range []bool{false, true} {
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
@@ -551,9 +557,9 @@
 	}
 }
 
-// Guards against a read that waited for half of its time on a stalled connection while its reader
-// went on answering others. If later sends have been answered, only the connection is at fault: the
-// read is cancelled and the reader stays in use.
+// TestOvertakenAttemptsAreOverdue guards against a read that waited for half of its time on a
+// stalled connection while its reader went on answering others. If later sends have been answered,
+// only the connection is at fault: the read is cancelled and the reader stays in use.
 func TestOvertakenAttemptsAreOverdue(t *testing.T) {
 	for _, overtaken := range []bool{false, true} {
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
@@ -571,8 +577,8 @@
 	}
 }
 
-// New settings take effect without a restart: learned estimates are kept, open requests keep their
-// class, and an invalid setting changes nothing.
+// TestUpdateSettings checks that new settings take effect without a restart: learned estimates are
+// kept, open requests keep their class, and an invalid setting changes nothing.
 func TestUpdateSettings(t *testing.T) {
 	l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
 	l.meanPerToken = 0.0001
--- a/logic/probing_test.go
+++ b/logic/probing_test.go
@@ -36,9 +36,10 @@
 	return tags
 }
 
-// Guards against a read that goes to its first choice although requests of other routers are queued
-// there, which a router with a partial view can't know. Each case lists the answers to the probes
-// of the first and the second choice, and where the read must go.
+// TestReadGoesToReaderThatAnswersProbe guards against a read that goes to its first choice although
+// requests of other routers are queued there, which a router with a partial view can't know. Each
+// case lists the answers to the probes of the first and the second choice, and where the read must
+// go.
 func TestReadGoesToReaderThatAnswersProbe(t *testing.T) {
 	const none = 0
 	type probeAnswer struct {
@@ -87,9 +88,9 @@
 	}
 }
 
-// Guards against probes that are forbidden by the settings, cost too much, come from a router that
-// knows enough, are for the rest of a broken stream, or go to servers in slow start, where they
-// would use up the slow-start budget.
+// TestNoProbesWhereNotAllowed guards against probes that are forbidden by the settings, cost too
+// much, come from a router that knows enough, are for the rest of a broken stream, or go to servers
+// in slow start, where they would use up the slow-start budget.
 func TestNoProbesWhereNotAllowed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"forbidden":     func(s *Settings) { s.CanProbe = false },
@@ -119,8 +120,9 @@
 	}
 }
 
-// Guards against a send for a request whose client leaves or whose deadline passes while readers
-// are probed, and against a send to a reader that begins to drain meanwhile.
+// TestRequestEndsWhileReadersAreProbed guards against a send for a request whose client leaves or
+// whose deadline passes while readers are probed, and against a send to a reader that begins to
+// drain meanwhile.
 func TestRequestEndsWhileReadersAreProbed(t *testing.T) {
 	l := probingRouter(t, nil)
 	probed := probesOf(l.Handle(ms(1), arrival("left", 7, 9), nil))
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -380,28 +380,28 @@
 // events must give the same actions.
 func TestRulesHold(t *testing.T) {
 	variants := map[string]func(*Settings){
-		"plain":           func(*Settings) {},
-		"unsafe":          func(s *Settings) { s.Classes[0].Repeat = Unsafe },
-		"keyed all":       func(s *Settings) { s.Classes[0].Repeat = Keyed },
-		"keyed zone":      func(s *Settings) { s.Classes[0].Repeat, s.Classes[0].Scope = Keyed, SameZone },
-		"keyed cell":      func(s *Settings) { s.Classes[0].Repeat, s.Classes[0].Scope = Keyed, SameCell },
-		"short window":    func(s *Settings) { s.Classes[0].Repeat, s.Classes[0].Window = Keyed, time.Second },
-		"in place":        func(s *Settings) { s.ReadInPlace = true },
-		"no mixed":        func(s *Settings) { s.Kinds[2].Role = Writer },
-		"only writers":    func(s *Settings) { s.Kinds[0].Role, s.ReadInPlace = Writer, true },
-		"only readers":    func(s *Settings) { s.Kinds[1].Role, s.Kinds[2].Role = Reader, Reader },
-		"no cancel":       func(s *Settings) { s.CanCancel = false },
-		"cancel ends":     func(s *Settings) { s.CancelStopsWork, s.Classes[0].Repeat = true, Unsafe },
-		"one attempt":     func(s *Settings) { s.MaxAttempts = 1 },
-		"one router":      func(s *Settings) { s.Siblings = 1 },
-		"tenants":         func(s *Settings) { s.Tenants = []Tenant{{"t", 5}} },
-		"list on request": func(s *Settings) { s.ListOnRequest = true },
-		"probes":          func(s *Settings) { s.CanProbe, s.Siblings = true, 12 },
-		"probes, unsafe":  func(s *Settings) { s.CanProbe, s.Siblings, s.Classes[0].Repeat = true, 12, Unsafe },
+		"plain":             func(*Settings) {},
+		"unsafe":            func(s *Settings) { s.Classes[0].Repeat = Unsafe },
+		"keyed all":         func(s *Settings) { s.Classes[0].Repeat = Keyed },
+		"keyed zone":        func(s *Settings) { s.Classes[0].Repeat, s.Classes[0].Scope = Keyed, SameZone },
+		"keyed cell":        func(s *Settings) { s.Classes[0].Repeat, s.Classes[0].Scope = Keyed, SameCell },
+		"short window":      func(s *Settings) { s.Classes[0].Repeat, s.Classes[0].Window = Keyed, time.Second },
+		"in place":          func(s *Settings) { s.ReadInPlace = true },
+		"no mixed":          func(s *Settings) { s.Kinds[2].Role = Writer },
+		"only writers":      func(s *Settings) { s.Kinds[0].Role, s.ReadInPlace = Writer, true },
+		"only readers":      func(s *Settings) { s.Kinds[1].Role, s.Kinds[2].Role = Reader, Reader },
+		"no cancel":         func(s *Settings) { s.CanCancel = false },
+		"cancel stops work": func(s *Settings) { s.CancelStopsWork, s.Classes[0].Repeat = true, Unsafe },
+		"one attempt":       func(s *Settings) { s.MaxAttempts = 1 },
+		"one router":        func(s *Settings) { s.Siblings = 1 },
+		"tenants":           func(s *Settings) { s.Tenants = []Tenant{{"t", 5}} },
+		"list on request":   func(s *Settings) { s.ListOnRequest = true },
+		"probes":            func(s *Settings) { s.CanProbe, s.Siblings = true, 12 },
+		"probes, unsafe":    func(s *Settings) { s.CanProbe, s.Siblings, s.Classes[0].Repeat = true, 12, Unsafe },
 		"probes, keyed": func(s *Settings) {
 			s.CanProbe, s.Siblings, s.Classes[0].Repeat, s.Classes[0].Scope = true, 12, Keyed, SameCell
 		},
-		"no memory known": func(s *Settings) { s.Kinds[1].MemoryTokens = 0 },
+		"unknown memory": func(s *Settings) { s.Kinds[1].MemoryTokens = 0 },
 	}
 	for name, vary := range variants {
 		t.Run(name, func(t *testing.T) {
