--- a/logic/router.go
+++ b/logic/router.go
@@ -27,26 +27,26 @@
 
 // Router decides for one router process. It is not safe for concurrent use.
 type Router struct {
-	set         Settings
-	seed        uint64
-	classes     map[string]*classState
-	tenants     map[string]*tenantState
-	servers     map[string]*server
-	order       []*server // in order of first listing
-	readers     pool
-	writers     pool // writers, and servers that do both
-	indexStale  bool // a list has arrived that the reader and writer pools do not reflect yet
-	indexedAt   time.Duration
-	prefixTable map[tableKey][]cacheEntry
-	requests    map[string]*request
-	bySeq       map[uint64]*request
-	open        []*request // in order of arrival
-	seq         uint64
-	now         time.Duration
-	out         []Action
-	ticking     bool
-	watching    bool
-	lastSweep   time.Duration
+	set           Settings
+	seed          uint64
+	classes       map[string]*classState
+	tenants       map[string]*tenantState
+	servers       map[string]*server
+	order         []*server // in order of first listing
+	readers       pool
+	writers       pool // writers, and servers that do both
+	indexStale    bool // a list has arrived that the reader and writer pools do not reflect yet
+	indexedAt     time.Duration
+	prefixTable   map[tableKey][]cacheEntry
+	requests      map[string]*request
+	bySeq         map[uint64]*request
+	open          []*request // in order of arrival
+	seq           uint64
+	now           time.Duration
+	out           []Action
+	tickScheduled bool
+	watchSent     bool
+	lastSweep     time.Duration
 	// meanPerToken is the learned read time per prompt token in seconds, over all readers.
 	meanPerToken   float64
 	retryBudget    float64
@@ -95,8 +95,8 @@
 // Handle processes one event at time now and appends the resulting actions to out.
 func (l *Router) Handle(now time.Duration, ev *Event, out []Action) []Action {
 	l.now, l.out = now, out
-	if l.set.ListOnRequest && !l.watching {
-		l.watching = true
+	if l.set.ListOnRequest && !l.watchSent {
+		l.watchSent = true
 		l.out = append(l.out, Action{Kind: Watch})
 	}
 	switch ev.Kind {
@@ -123,8 +123,8 @@
 	case TimerFired:
 		l.timer(ev.Tag)
 	}
-	if !l.ticking && len(l.requests) > 0 {
-		l.ticking = true
+	if !l.tickScheduled && len(l.requests) > 0 {
+		l.tickScheduled = true
 		l.out = append(l.out, Action{Kind: Wake, After: tickInterval, Tag: tagTick})
 	}
 	out, l.out = l.out, nil
@@ -134,7 +134,7 @@
 func (l *Router) timer(tag uint64) {
 	switch tag {
 	case tagTick:
-		l.ticking = false
+		l.tickScheduled = false
 		l.tick()
 	case tagWatch:
 		l.out = append(l.out, Action{Kind: Watch})
