--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -125,7 +125,7 @@
 
 // TestColdServerAndManyRouters checks that the load that hundreds of routers, which cannot see each
 // other, send together to a cold server stays within the limit, even if the server is the home of a
-// prefix that a quarter of all requests share (no site has a larger share, see `hot_key`). Readers
+// prefix that a quarter of all requests share (no site has a larger share, see hot_key in deploy/sites). Readers
 // have twice the capacity that the traffic needs, as they have at sites under usual load. It guards
 // against a minimum of one send per window from each router, which let all the traffic of the
 // server's keys through.
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -85,8 +85,8 @@
 	Tenants        []Tenant
 	OverQuotaWorth float64 // worth of requests beyond a tenant's quota, as a fraction
 	ReadInPlace    bool    // a writer without a state reads the prompt itself
-	CanCancel      bool    // the host can carry out Cancel
-	CanProbe       bool    // the host can carry out Probe
+	CanCancel      bool    // Cancel actions are allowed
+	CanProbe       bool    // Probe actions are allowed
 	ProbePrice     float64 // price of a probe, as a share of a request's worth
 	// CancelStopsWork means that an abandoned attempt is over. Otherwise its read may go on, as the
 	// close of the connection may not reach the server.
