--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -125,10 +125,10 @@
 
 // TestColdServerAndManyRouters checks that the load that hundreds of routers, which cannot see each
 // other, send together to a cold server stays within the limit, even if the server is the home of a
-// prefix that a quarter of all requests share (no site has a larger share, see hot_key in deploy/sites). Readers
-// have twice the capacity that the traffic needs, as they have at sites under usual load. It guards
-// against a minimum of one send per window from each router, which let all the traffic of the
-// server's keys through.
+// prefix that a quarter of all requests share (no site has a larger share, see hot_key in
+// deploy/sites). Readers have twice the capacity that the traffic needs, as they have at sites under
+// usual load. It guards against a minimum of one send per window from each router, which let all the
+// traffic of the server's keys through.
 func TestColdServerAndManyRouters(t *testing.T) {
 	for _, n := range []int{3, 80, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
