--- a/logic/placement.go
+++ b/logic/placement.go
@@ -9,7 +9,7 @@
 
 const (
 	balancingThreshold = 2.0 // from Algorithm 1: a match shorter than the longest by this factor counts as none
-	extraHomePenalty   = 4.0 // weight of the missing match's read time where all readers have queues
+	extraHomePenalty   = 4.0 // cost of a further home, in read times of the missing prefix, when all readers have queues
 	// A reader in another zone must be sooner by this many times the first-token target, multiplied
 	// by the price of another zone.
 	crossZonePenalty = 5.0
@@ -34,7 +34,9 @@
 		home := homes[0].server
 		previous, lossRatio := l.previousHome(r, candidates)
 		move := l.movesToNewServer(r, home, candidates.count, len(homes))
-		if previous != nil && (!move || unit(mix(r.Session+2)) < lossRatio) { // move only as many sessions off a listed reader as readers have gone for each new one
+		// Sessions whose previous home is still listed mostly stay there: the fewer readers have gone for
+		// each new one, the more of these sessions move.
+		if previous != nil && (!move || unit(mix(r.Session+2)) < lossRatio) {
 			home, move = previous, false
 		}
 		inSlowStart := func(s *server) bool { return l.inSlowStart(s) && !(s == home && move) }
