--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -9,49 +9,49 @@
 
 // request is one that was taken, from its arrival until its answer is given and no attempt is out.
 type request struct {
-	id         string
-	ask        logic.Request
-	received   time.Time
-	deadline   time.Time
-	class      *logic.Class
-	parcel     Payload
-	size       int
-	movable    bool
-	noted      IntentRecorder
-	ticket     *Ticket
-	late       bool        // it has waited for the core for too long to be decided
-	left       atomic.Bool // the client has gone; any goroutine may find that out
-	clientGone func() bool
-	answered   bool
-	answeredAt time.Duration
-	verdict    Verdict
-	sent       int
-	out        map[int]*attempt // by number
-	ran        bool             // an attempt that ended may have run
-	reached    bool             // an attempt that ended may have come to its replica
-	held       held             // at the first stage
-	loose      bool             // a read ended without a word on what it left behind
-	unheard    bool             // a read was given up, and goes on if its replica could not hear of that
-	ranSince   time.Time        // when the first attempt that may have run, or may be out yet, was sent
+	id              string
+	spec            logic.Request
+	received        time.Time
+	deadline        time.Time
+	class           *logic.Class
+	payload         Payload
+	size            int
+	resumable       bool
+	intents         IntentRecorder
+	ticket          *Ticket
+	waitedTooLong   bool        // it has waited for the core for too long to be decided
+	clientGone      atomic.Bool // the client has gone; any goroutine may find that out
+	checkClientGone func() bool
+	answered        bool
+	answeredAt      time.Duration
+	verdict         Verdict
+	sent            int
+	inFlight        map[int]*attempt // by number
+	mayHaveRun      bool             // an attempt that ended may have run
+	reachedReplica  bool             // an attempt that ended may have come to its replica
+	held            heldState        // at the first stage
+	orphaned        bool             // a read ended without a word on what it left behind
+	unresolved      bool             // a read was given up, and goes on if its replica could not hear of that
+	uncertainSince  time.Time        // when the first attempt that may have run, or may be out yet, was sent
 }
 
 const (
-	fullAfter = 200 * time.Millisecond // advice to a client for whom the table has no room
+	fullRetryAfter = 200 * time.Millisecond // advice to a client for whom the table has no room
 	// The module's own timer fires at the deadline. What it left unanswered is failed this much later, still
 	// inside the slack.
-	backstop = 10 * time.Millisecond
+	deadlineGrace = 10 * time.Millisecond
 )
 
 // admit enters a request into the table and lets the module decide. Turned away here is only what the module is
 // never told of: a request beyond the table's bound, and an id that is open already.
 func (d *Dispatcher) admit(r *request) {
-	d.Counts.taken(r)
+	d.Counts.countTaken(r)
 	if r.answered { // its client has left meanwhile
-		r.parcel = nil
+		r.payload = nil
 		return
 	}
 	for i := range d.set.Classes {
-		if d.set.Classes[i].Name == r.ask.Class {
+		if d.set.Classes[i].Name == r.spec.Class {
 			r.class = &d.set.Classes[i]
 		}
 	}
@@ -60,44 +60,44 @@
 		d.answer(r, Answer{Verdict: Failed, Reason: "unknown class"})
 	case d.requests[r.id] != nil:
 		d.answer(r, Answer{Verdict: Failed, Reason: "a request with this id is open"})
-	case d.ending:
-		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullAfter, Reason: "the program ends"})
-	case r.late && !r.ask.Resumed:
-		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullAfter, Reason: "too many requests wait to be decided"})
-	case len(d.requests) >= d.bounds.Requests || d.size+r.size > d.bounds.Bytes:
-		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullAfter, Reason: "too many requests are open"})
-	case d.licence != nil:
-		if err := d.licence.MayAdmit(Admission{r.class.Name, r.ask.Tenant, r.ask.Retried, r.class.Repeat == logic.Unsafe}); err != nil {
-			d.answer(r, Answer{Verdict: Refused, RetryAfter: comeBack(err), SettingsVersion: noMark, Reason: err.Error()})
+	case d.admissionStopped:
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullRetryAfter, Reason: "the program ends"})
+	case r.waitedTooLong && !r.spec.Resumed:
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullRetryAfter, Reason: "too many requests wait to be decided"})
+	case len(d.requests) >= d.bounds.Requests || d.openBytes+r.size > d.bounds.Bytes:
+		d.answer(r, Answer{Verdict: Refused, RetryAfter: fullRetryAfter, Reason: "too many requests are open"})
+	case d.lease != nil:
+		if err := d.lease.MayAdmit(Admission{r.class.Name, r.spec.Tenant, r.spec.Retried, r.class.Repeat == logic.Unsafe}); err != nil {
+			d.answer(r, Answer{Verdict: Refused, RetryAfter: retryAfterOf(err), SettingsVersion: noSettingsVersion, Reason: err.Error()})
 		}
 	}
 	if r.answered {
-		r.parcel = nil
+		r.payload = nil
 		return
 	}
-	r.out = map[int]*attempt{}
+	r.inFlight = map[int]*attempt{}
 	d.requests[r.id] = r
 	d.Phases.begin() // until it is forgotten: answered, with nothing out and nothing held
-	d.size += r.size
-	r.deadline = r.received.Add(r.ask.Remaining)
-	r.ask.Remaining = max(r.deadline.Sub(d.clock()), 0) // some of it may have gone by on the way here
-	d.after(r.ask.Remaining+backstop, func() { d.overtime(r) })
-	d.route(logic.Event{Kind: logic.Arrived, RequestID: r.id, Request: r.ask})
+	d.openBytes += r.size
+	r.deadline = r.received.Add(r.spec.Remaining)
+	r.spec.Remaining = max(r.deadline.Sub(d.clock()), 0) // some of it may have gone by on the way here
+	d.after(r.spec.Remaining+deadlineGrace, func() { d.deadlinePassed(r) })
+	d.route(logic.Event{Kind: logic.Arrived, RequestID: r.id, Request: r.spec})
 }
 
 // overtime answers a request that the module has not answered by its deadline.
-func (d *Dispatcher) overtime(r *request) {
+func (d *Dispatcher) deadlinePassed(r *request) {
 	if !r.answered {
 		d.giveUp(r, Answer{Verdict: Failed, Reason: "deadline"}, DeadlineExceeded)
 	}
 }
 
 // clientLeft tells whether a request's client has gone, as far as anybody can tell now.
-func (r *request) clientLeft() bool {
-	if !r.left.Load() && r.clientGone != nil && r.clientGone() {
-		r.left.Store(true)
+func (r *request) isClientGone() bool {
+	if !r.clientGone.Load() && r.checkClientGone != nil && r.checkClientGone() {
+		r.clientGone.Store(true)
 	}
-	return r.left.Load()
+	return r.clientGone.Load()
 }
 
 // giveUp answers a request over the module's head, which is told that it has gone.
@@ -105,5 +105,5 @@
 	d.answer(r, a)
 	d.cancelAll(r, cause)
 	d.route(logic.Event{Kind: logic.Departed, RequestID: r.id})
-	d.settle(r)
+	d.forgetIfDone(r)
 }
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -38,7 +38,7 @@
 }
 
 // result books how a request of a class ended.
-func (c *Counts) result(class string, v Verdict) {
+func (c *Counts) countResult(class string, v Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.classes == nil {
@@ -59,9 +59,9 @@
 	}
 }
 
-func (c *Counts) opened(by int) {
+func (c *Counts) addOpen(delta int) {
 	c.mu.Lock()
-	c.open += by
+	c.open += delta
 	c.mu.Unlock()
 }
 
@@ -85,7 +85,7 @@
 	Detail string    `json:"detail,omitempty"`
 }
 
-const recentLines = 200
+const maxRecent = 200
 
 func (c *Counts) update(f func(t *Totals)) {
 	c.mu.Lock()
@@ -96,44 +96,46 @@
 	f(&c.totals)
 }
 
-func (c *Counts) taken(*request) { c.update(func(t *Totals) { t.Taken++ }) }
+func (c *Counts) countTaken(*request) { c.update(func(t *Totals) { t.Taken++ }) }
 
 // sent books an attempt that goes out. Only the log has a line for it: its end has one in the ring too.
-func (c *Counts) sent(at *attempt) {
+func (c *Counts) countSent(at *attempt) {
 	c.update(func(t *Totals) { t.Attempts++ })
-	log.Printf("%s attempt %d sent to %s", at.r.id, at.n, at.server)
+	log.Printf("%s attempt %d sent to %s", at.r.id, at.number, at.server)
 }
 
-func (c *Counts) ended(o logic.Outcome) { c.update(func(t *Totals) { t.Outcomes[o.String()]++ }) }
-func (c *Counts) answered(r *request, a Answer) {
+func (c *Counts) countEnded(o logic.Outcome) { c.update(func(t *Totals) { t.Outcomes[o.String()]++ }) }
+func (c *Counts) recordAnswer(r *request, a Answer) {
 	c.update(func(t *Totals) { t.Verdicts[a.Verdict.String()]++ })
 	if r.class != nil && a.Verdict != Served { // that shows at the stream's end
-		c.result(r.class.Name, a.Verdict)
+		c.countResult(r.class.Name, a.Verdict)
 	}
 	detail := a.Reason
 	if a.Verdict != Served {
-		detail = fmt.Sprintf("%s; %d sent, %d out, client gone %v", a.Reason, r.sent, len(r.out), r.left.Load())
+		detail = fmt.Sprintf("%s; %d sent, %d out, client gone %v", a.Reason, r.sent, len(r.inFlight), r.clientGone.Load())
 	}
-	c.add(LogEntry{ID: r.id, Class: r.ask.Class, What: a.Verdict.String(), Took: took(r.received), Detail: detail})
+	c.add(LogEntry{ID: r.id, Class: r.spec.Class, What: a.Verdict.String(), Took: elapsedSince(r.received), Detail: detail})
 }
 
-func (c *Counts) note(r *request, at *attempt, out logic.Outcome, detail string) {
-	c.add(LogEntry{ID: r.id, Class: r.ask.Class, Server: at.server, What: out.String(), Took: took(at.sentAt), Detail: fmt.Sprintf("attempt %d %s", at.n, detail)})
+func (c *Counts) recordAttempt(r *request, at *attempt, out logic.Outcome, detail string) {
+	c.add(LogEntry{ID: r.id, Class: r.spec.Class, Server: at.server, What: out.String(), Took: elapsedSince(at.sentAt), Detail: fmt.Sprintf("attempt %d %s", at.number, detail)})
 }
 
-func took(since time.Time) string { return time.Since(since).Round(100 * time.Microsecond).String() }
+func elapsedSince(since time.Time) string {
+	return time.Since(since).Round(100 * time.Microsecond).String()
+}
 
 func (c *Counts) add(l LogEntry) {
 	l.At = time.Now()
 	log.Printf("%s %s %s %s %s %s", l.ID, l.Class, l.What, l.Took, l.Server, l.Detail)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.recent) < recentLines {
+	if len(c.recent) < maxRecent {
 		c.recent = append(c.recent, l)
 	} else {
 		c.recent[c.next] = l
 	}
-	c.next = (c.next + 1) % recentLines
+	c.next = (c.next + 1) % maxRecent
 }
 
 // Snapshot gives the totals and the last lines, the oldest first.
@@ -142,11 +144,11 @@
 	defer c.mu.Unlock()
 	t := c.totals
 	t.Verdicts, t.Outcomes = copyOf(t.Verdicts), copyOf(t.Outcomes)
-	var lines []LogEntry
-	if len(c.recent) == recentLines {
-		lines = append(lines, c.recent[c.next:]...)
+	var entries []LogEntry
+	if len(c.recent) == maxRecent {
+		entries = append(entries, c.recent[c.next:]...)
 	}
-	return t, append(lines, c.recent[:min(c.next, len(c.recent))]...)
+	return t, append(entries, c.recent[:min(c.next, len(c.recent))]...)
 }
 
 func copyOf(m map[string]int) map[string]int {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -119,21 +119,21 @@
 	done     chan struct{}
 
 	// What follows belongs to Run's goroutine.
-	startedAt time.Time // the core itself, by clock
-	starts    *startTimes
-	requests  map[string]*request
-	servers   map[string]*Server
-	surest    []string // addresses of the replicas, the surest to be there first; nil: to be made anew
-	drawSeed  maphash.Seed
-	alarms    alarms
-	actions   []logic.Action
-	events    []logic.Event // that answer actions at once
-	bounds    Bounds
-	size      int // of the open requests
-	licence   Lease
-	ending    bool // nothing more is taken
-	overload  overload
-	late      map[string]*lateReads // by the replica's address
+	startedAt        time.Time // the core itself, by clock
+	starts           *startTimes
+	requests         map[string]*request
+	servers          map[string]*Server
+	releaseRanking   []string // addresses of the replicas, the surest to be there first; nil: to be made anew
+	sampleSeed       maphash.Seed
+	timers           timerHeap
+	actions          []logic.Action
+	events           []logic.Event // that answer actions at once
+	bounds           Bounds
+	openBytes        int // of the open requests
+	lease            Lease
+	admissionStopped bool // nothing more is taken
+	overload         overload
+	abandoned        map[string]*abandonedReads // by the replica's address
 }
 
 // Bounds are those of the table of open requests.
@@ -143,7 +143,7 @@
 }
 
 // under gives the bounds that hold with some settings.
-func (b Bounds) under(set logic.Settings) Bounds {
+func (b Bounds) cappedBy(set logic.Settings) Bounds {
 	if set.MaxOpen > 0 {
 		b.Requests = min(b.Requests, set.MaxOpen)
 	}
@@ -158,19 +158,19 @@
 	}
 	d := &Dispatcher{Phases: newPhases(), Counts: &Counts{}, set: set, router: router, releaser: releaser,
 		clock: time.Now, inbox: newInbox(), done: make(chan struct{}),
-		late: map[string]*lateReads{}, requests: map[string]*request{}, servers: map[string]*Server{}, bounds: bounds.under(set)}
-	d.Delays = &Delays{began: time.Now(), waiting: d.inbox.waiting}
-	d.drawSeed = maphash.MakeSeed()
+		abandoned: map[string]*abandonedReads{}, requests: map[string]*request{}, servers: map[string]*Server{}, bounds: bounds.cappedBy(set)}
+	d.Delays = &Delays{windowStart: time.Now(), queued: d.inbox.queued}
+	d.sampleSeed = maphash.MakeSeed()
 	d.startedAt = d.clock()
 	d.starts = newStartTimes(wallClock, d.now())
-	d.takeList(known)
+	d.applyList(known)
 	return d, nil
 }
 
 // UpdateSettings puts other settings in force, or says which is wrong. Requests that are open keep their class. With a licence
 // they keep to the stricter rule on repeats.
-func (d *Dispatcher) UpdateSettings(set logic.Settings, bounds Bounds, licence Lease) error {
-	q := retuning{set, bounds, licence, make(chan error, 1)}
+func (d *Dispatcher) UpdateSettings(set logic.Settings, bounds Bounds, lease Lease) error {
+	q := settingsUpdate{set, bounds, lease, make(chan error, 1)}
 	d.post(q)
 	select {
 	case err := <-q.reply:
@@ -180,21 +180,21 @@
 	}
 }
 
-type retuning struct {
-	set     logic.Settings
-	bounds  Bounds
-	licence Lease
-	reply   chan error
+type settingsUpdate struct {
+	set    logic.Settings
+	bounds Bounds
+	lease  Lease
+	reply  chan error
 }
 
-func (q retuning) apply(d *Dispatcher) {
+func (q settingsUpdate) apply(d *Dispatcher) {
 	err := d.router.UpdateSettings(q.set)
 	if err == nil {
-		d.set, d.bounds, d.surest = q.set, q.bounds.under(q.set), nil
-		d.Phases.setAble(d.able())
-		if q.licence != nil {
-			d.SetLease(q.licence)
-			d.strictly()
+		d.set, d.bounds, d.releaseRanking = q.set, q.bounds.cappedBy(q.set), nil
+		d.Phases.setCanServe(d.canServe())
+		if q.lease != nil {
+			d.SetLease(q.lease)
+			d.applyStricterRepeats()
 		}
 	}
 	q.reply <- err
@@ -205,7 +205,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for !d.stopped() {
-		if !d.turn() {
+		if !d.iterate() {
 			d.await(timer)
 		}
 	}
@@ -215,12 +215,12 @@
 // await returns when something may have been posted, when the next timer is due, or at Stop.
 func (d *Dispatcher) await(timer *time.Timer) {
 	wait := time.Hour
-	if len(d.alarms) > 0 {
-		wait = time.Until(d.alarms[0].at)
+	if len(d.timers) > 0 {
+		wait = time.Until(d.timers[0].at)
 	}
 	timer.Reset(wait)
 	select {
-	case <-d.inbox.posted:
+	case <-d.inbox.wake:
 	case <-timer.C:
 	case <-d.done:
 	}
@@ -250,44 +250,44 @@
 func (d *Dispatcher) UpdateServers(u Update) { d.post(u) }
 
 func (u Update) apply(d *Dispatcher) {
-	d.starts.listTold(d.now())
-	d.takeList(u)
+	d.starts.listReceived(d.now())
+	d.applyList(u)
 }
 
 // alarm is a time at which something is to be done on the core's goroutine.
-type alarm struct {
+type timerEntry struct {
 	at time.Time
 	do func()
 }
 
-type alarms []alarm
+type timerHeap []timerEntry
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *alarms) Push(x any)        { *a = append(*a, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timerEntry)) }
+func (a *timerHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
-	old[len(old)-1] = alarm{}
+	old[len(old)-1] = timerEntry{}
 	*a = old[:len(old)-1]
 	return x
 }
 
 func (d *Dispatcher) after(wait time.Duration, do func()) {
-	heap.Push(&d.alarms, alarm{d.clock().Add(wait), do})
+	heap.Push(&d.timers, timerEntry{d.clock().Add(wait), do})
 }
 
 // ring does what is due, but no more than one turn may, and tells whether anything was.
-func (d *Dispatcher) ring() (busy bool) {
-	for range turnMost {
-		if len(d.alarms) == 0 || d.alarms[0].at.After(d.clock()) {
+func (d *Dispatcher) runTimers() (busy bool) {
+	for range maxPerIteration {
+		if len(d.timers) == 0 || d.timers[0].at.After(d.clock()) {
 			return busy
 		}
-		due, began := heap.Pop(&d.alarms).(alarm), time.Now()
+		due, began := heap.Pop(&d.timers).(timerEntry), time.Now()
 		due.do()
 		now := time.Now()
-		d.Delays.book(nil, began.Sub(due.at), now.Sub(began), now)
+		d.Delays.record(nil, began.Sub(due.at), now.Sub(began), now)
 		busy = true
 	}
 	return busy
--- a/internal/dispatch/book.go
+++ b/internal/dispatch/finish.go
@@ -15,81 +15,81 @@
 }
 
 // Ended is called by the transport when the attempt is over.
-func (at *attempt) Ended(res Result) { at.d.post(ending{at, res}) }
+func (at *attempt) Ended(res Result) { at.d.post(attemptEnd{at, res}) }
 
-type ending struct {
+type attemptEnd struct {
 	at  *attempt
 	res Result
 }
 
-func (e ending) apply(d *Dispatcher) { d.ended(e.at, e.res) }
+func (e attemptEnd) apply(d *Dispatcher) { d.finishAttempt(e.at, e.res) }
 
 // ended books an attempt's end.
-func (d *Dispatcher) ended(at *attempt, res Result) {
+func (d *Dispatcher) finishAttempt(at *attempt, res Result) {
 	r := at.r
-	delete(r.out, at.n)
+	delete(r.inFlight, at.number)
 	out := res.Outcome
 	if out == logic.ReadDone && at.role != logic.Reader {
 		out = logic.ServerError // only a reader can say that nothing but a read was done
 	}
 	d.checkEnd(at, out)
-	r.reached = r.reached || out != logic.NotSent && out != logic.ConnectFailed
+	r.reachedReplica = r.reachedReplica || out != logic.NotSent && out != logic.ConnectFailed
 	if !neverRan(out) {
-		if at.dropped && at.stream == nil {
+		if at.cancelled && at.stream == nil {
 			out = logic.Cancelled
 		}
-		if !r.unsure() {
-			r.ranSince = at.sentAt
+		if !r.uncertain() {
+			r.uncertainSince = at.sentAt
 		}
 		if at.role == logic.Reader {
-			r.loose = true
-			r.unheard = r.unheard || out == logic.Cancelled || out == logic.TimedOut
+			r.orphaned = true
+			r.unresolved = r.unresolved || out == logic.Cancelled || out == logic.TimedOut
 		} else {
-			r.ran = true
+			r.mayHaveRun = true
 		}
 	}
 	if at.stream != nil && out == logic.Delivered {
-		d.Counts.result(r.ask.Class, Served)
+		d.Counts.countResult(r.spec.Class, Served)
 	} else if at.stream != nil {
-		d.Counts.result(r.ask.Class, Failed)
+		d.Counts.countResult(r.spec.Class, Failed)
 	}
-	if at.end != nil {
-		at.end(out)
+	if at.endIntent != nil {
+		at.endIntent(out)
 	}
-	d.Counts.ended(out)
+	d.Counts.countEnded(out)
 	detail := res.Detail
 	if out == logic.ReadDone {
-		detail = fmt.Sprintf("%d of %d kept", res.Tokens, r.ask.PromptTokens)
+		detail = fmt.Sprintf("%d of %d kept", res.Tokens, r.spec.PromptTokens)
 	}
-	d.Counts.note(r, at, out, detail)
-	leftover := d.stateAfter(at, res, out)
+	d.Counts.recordAttempt(r, at, out, detail)
+	orphaned := d.updateHeld(at, res, out)
 	if res.ClientGone && !r.answered {
 		d.giveUp(r, Answer{Verdict: ClientLeft}, ClientGone)
 	}
 	if res.NoLease {
-		d.lapsed(r) // before the module tries elsewhere: there is no leave anywhere
+		d.giveUpWithoutLease(r) // before the module tries elsewhere: there is no leave anywhere
 	}
-	told := attemptBooked{r, logic.Event{Kind: logic.Ended, RequestID: r.id, Server: at.server, Attempt: at.n, Outcome: out,
+	settled := attemptSettled{r, logic.Event{Kind: logic.Ended, RequestID: r.id, Server: at.server, Attempt: at.number, Outcome: out,
 		Took: d.clock().Sub(at.sentAt), Tokens: res.Tokens, NoState: res.NoState}}
-	if leftover && !r.answered {
-		r.held.releasing = true
-		d.releaseThen(r, ReadUncertain, releaseFirst, func(bool) message { return told })
+	if orphaned && !r.answered {
+		r.held.releasePending = true
+		d.releaseThen(r, ReadUncertain, releaseWait, func(bool) message { return settled })
 		return
 	}
-	told.apply(d)
+	settled.apply(d)
 }
 
 // attemptBooked comes when the decision module may hear of an attempt's end: what it may have left is released, and another may be sent.
-type attemptBooked struct {
+type attemptSettled struct {
 	r  *request
 	ev logic.Event
 }
 
-func (b attemptBooked) apply(d *Dispatcher) {
-	b.r.held.releasing = false
+func (b attemptSettled) apply(d *Dispatcher) {
+	b.r.held.releasePending = false
 	b.ev.RequestEnded = b.r.answered
 	d.route(b.ev)
-	d.settle(b.r)
+	d.forgetIfDone(b.r)
 }
 
 // neverRan tells whether an outcome proves that the attempt had no effect.
@@ -112,14 +112,14 @@
 }
 
 // settle forgets a request that is answered and has no attempt out.
-func (d *Dispatcher) settle(r *request) {
+func (d *Dispatcher) forgetIfDone(r *request) {
 	if d.mayForget(r) {
 		delete(d.requests, r.id)
-		d.size -= r.size
-		r.parcel = nil // its timers still know the request for a while, and must not keep its body
+		d.openBytes -= r.size
+		r.payload = nil // its timers still know the request for a while, and must not keep its body
 		// Also behind an answer: the read may end on its replica after the fetch that let go of all the rest.
-		if r.loose {
-			d.releaseLeftover(r)
+		if r.orphaned {
+			d.releaseOrphaned(r)
 		}
 		d.Phases.end()
 	}
--- a/internal/dispatch/inbox_test.go
+++ b/internal/dispatch/inbox_test.go
@@ -10,19 +10,19 @@
 
 // Guards against the incident in large fleets: the end of a stream was passed on to the client only when a core that was behind had taken
 // the message of it, as its inbox was full.
-func TestStreamEndDoesNotWaitForACoreThatIsBehind(t *testing.T) {
-	d, _ := core(t, 9)
-	k, p := take(d, "a", "safe")
-	end(d, p, logic.ReadDone)
-	p.sent[1].tell.Began(&closer{})
-	drive(d)
+func TestStreamEndDoesNotWaitForSlowCore(t *testing.T) {
+	d, _ := newCore(t, 9)
+	k, p := submit(d, "a", "safe")
+	endAttempt(d, p, logic.ReadDone)
+	p.sent[1].observer.Began(&fakeStream{})
+	processAll(d)
 	answerOf(t, k)
 	ended := make(chan error, 1)
 	go func() {
 		for range 5000 { // nobody takes them
 			d.UpdateServers(Update{})
 		}
-		p.sent[1].tell.Ended(Result{Outcome: logic.Delivered})
+		p.sent[1].observer.Ended(Result{Outcome: logic.Delivered})
 		ended <- io.EOF
 	}()
 	select {
@@ -33,23 +33,23 @@
 }
 
 // step notes its name when it is taken.
-type step struct {
-	name  string
-	taken *[]string
+type recordingMessage struct {
+	name      string
+	processed *[]string
 }
 
-func (s step) apply(*Dispatcher) { *s.taken = append(*s.taken, s.name) }
+func (s recordingMessage) apply(*Dispatcher) { *s.processed = append(*s.processed, s.name) }
 
 // A core that has fallen behind first hears of requests that were taken, then does what is due, and then takes one new request.
-func TestOwedComesBeforeNewRequests(t *testing.T) {
-	d, _ := core(t, 9)
+func TestFollowUpsComeBeforeNewRequests(t *testing.T) {
+	d, _ := newCore(t, 9)
 	var taken []string
 	for _, id := range []string{"a", "b"} {
-		d.Submit(Request{ID: id, Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+		d.Submit(Request{ID: id, Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	}
-	d.after(0, func() { step{"timer", &taken}.apply(d) })
-	d.post(step{"owed", &taken})
-	d.turn()
+	d.after(0, func() { recordingMessage{"timer", &taken}.apply(d) })
+	d.post(recordingMessage{"owed", &taken})
+	d.iterate()
 	if len(taken) != 2 || taken[0] != "owed" || taken[1] != "timer" {
 		t.Errorf("taken %v", taken)
 	}
@@ -59,16 +59,16 @@
 }
 
 // Guards against the incident in large fleets: timers that were always due again kept the core from taking any message for seconds.
-func TestTimersThatAreAlwaysDueLeaveTheirTurnToMessages(t *testing.T) {
-	d, _ := core(t, 9)
+func TestDueTimersDoNotStarveMessages(t *testing.T) {
+	d, _ := newCore(t, 9)
 	var again func()
 	again = func() { d.after(0, again) }
 	again()
 	var taken []string
-	d.post(step{"owed", &taken})
-	d.Submit(Request{ID: "a", Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+	d.post(recordingMessage{"owed", &taken})
+	d.Submit(Request{ID: "a", Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	done := make(chan bool)
-	go func() { d.turn(); done <- true }()
+	go func() { d.iterate(); done <- true }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
@@ -80,22 +80,22 @@
 }
 
 // Messages that never stop leave their turn to timers.
-func TestMessagesLeaveTheirTurnToTimers(t *testing.T) {
-	d, _ := core(t, 9)
+func TestMessagesDoNotStarveTimers(t *testing.T) {
+	d, _ := newCore(t, 9)
 	var taken []string
-	for range 3 * turnMost {
-		d.post(step{"owed", &taken})
+	for range 3 * maxPerIteration {
+		d.post(recordingMessage{"owed", &taken})
 	}
-	d.after(0, func() { step{"timer", &taken}.apply(d) })
-	d.turn()
-	if len(taken) != turnMost+1 || taken[turnMost] != "timer" {
+	d.after(0, func() { recordingMessage{"timer", &taken}.apply(d) })
+	d.iterate()
+	if len(taken) != maxPerIteration+1 || taken[maxPerIteration] != "timer" {
 		t.Errorf("%d were taken in a turn", len(taken))
 	}
 }
 
 // A core that can't keep up refuses new requests that have waited too long, unsent; one that was held up for a moment catches up, and the
 // rest of a stream, which is no new request, is decided.
-func TestNewRequestsAreRefusedWhileTheCoreCanNotKeepUp(t *testing.T) {
+func TestNewRequestsAreRefusedUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		behind  time.Duration // for how long all new requests have waited
@@ -106,15 +106,15 @@
 		{"can't keep up", refuseSustained, false, true},
 		{"the rest of a stream", refuseSustained, true, false},
 	} {
-		d, _ := core(t, 9)
-		p := &parcel{}
+		d, _ := newCore(t, 9)
+		p := &fakePayload{}
 		k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second, Resumed: c.resumed}})
 		m, _ := d.inbox.nextArrival()
 		m.at = m.at.Add(-refuseAfter)
 		d.overload.since = time.Now().Add(-c.behind)
-		d.take(m)
+		d.process(m)
 		if !c.refused {
-			none(t, k)
+			noFurtherAnswer(t, k)
 			if len(p.sent) != 1 {
 				t.Errorf("%s: %d attempts", c.name, len(p.sent))
 			}
@@ -128,22 +128,22 @@
 
 // A client that leaves while its request still waits for a core that is behind is answered, nothing of it is sent, and another open request
 // with the same id goes on.
-func TestClientLeavesBeforeItsRequestIsTaken(t *testing.T) {
-	d, _ := core(t, 9)
-	first, p := take(d, "a", "safe")
-	again := &parcel{}
+func TestClientLeavesBeforeRequestIsAdmitted(t *testing.T) {
+	d, _ := newCore(t, 9)
+	first, p := submit(d, "a", "safe")
+	again := &fakePayload{}
 	second := d.Submit(Request{ID: "a", Received: time.Now(), Payload: again, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	second.Abandon()
-	d.turn()
+	d.iterate()
 	if a := answerOf(t, second); a.Verdict != ClientLeft {
 		t.Errorf("got %+v", a)
 	}
-	if none(t, first); p.cancelled != 0 || len(again.sent) != 0 {
+	if noFurtherAnswer(t, first); p.cancelled != 0 || len(again.sent) != 0 {
 		t.Errorf("%d attempts of the first were cancelled, %d of the second sent", p.cancelled, len(again.sent))
 	}
-	end(d, p, logic.ReadDone)
-	p.sent[1].tell.Began(&closer{})
-	drive(d)
+	endAttempt(d, p, logic.ReadDone)
+	p.sent[1].observer.Began(&fakeStream{})
+	processAll(d)
 	if a := answerOf(t, first); a.Verdict != Served {
 		t.Errorf("the first got %+v", a)
 	}
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -25,13 +25,13 @@
 	Out   int    `json:"out"` // attempts of ours that are there now
 }
 
-type inspection chan View
+type viewQuery chan View
 
 // Inspect asks the core for its state. It reports false after Stop.
-func (d *Dispatcher) Inspect() (View, bool) { return ask(d, make(inspection, 1)) }
+func (d *Dispatcher) Inspect() (View, bool) { return query(d, make(viewQuery, 1)) }
 
 // ask posts a question that is the channel for its answer. It reports false after Stop.
-func ask[T any, Q interface {
+func query[T any, Q interface {
 	~chan T
 	message
 }](d *Dispatcher, q Q) (answer T, ok bool) {
@@ -44,12 +44,12 @@
 	}
 }
 
-func (q inspection) apply(d *Dispatcher) {
+func (q viewQuery) apply(d *Dispatcher) {
 	v := View{Phase: d.Phases.Now().String(), Open: len(d.requests)}
 	v.Totals, v.Recent = d.Counts.Snapshot()
 	out := map[string]int{}
 	for _, r := range d.requests {
-		for _, at := range r.out {
+		for _, at := range r.inFlight {
 			out[at.server]++
 		}
 	}
@@ -60,12 +60,12 @@
 	q <- v
 }
 
-type counting chan Metrics
+type metricsQuery chan Metrics
 
 // Metrics asks the core for what operators want to know. It reports false after Stop.
-func (d *Dispatcher) Metrics() (Metrics, bool) { return ask(d, make(counting, 1)) }
+func (d *Dispatcher) Metrics() (Metrics, bool) { return query(d, make(metricsQuery, 1)) }
 
-func (q counting) apply(d *Dispatcher) {
+func (q metricsQuery) apply(d *Dispatcher) {
 	f := Metrics{Classes: map[string]ClassResults{}, Listed: len(d.servers), Ejected: d.router.Ejected(d.now())}
 	for _, c := range d.set.Classes {
 		f.Classes[c.Name] = ClassResults{}
@@ -73,7 +73,7 @@
 	c := d.Counts
 	f.Causes = c.Causes()
 	f.Delays, f.Delayed = d.Delays.Snapshot(time.Now())
-	f.Queued = d.Delays.waiting()
+	f.Queued = d.Delays.queued()
 	for _, r := range d.requests {
 		if r.held.addr != "" {
 			f.Held++
@@ -88,16 +88,16 @@
 	q <- f
 }
 
-type listing chan Update
+type listQuery chan Update
 
 // List asks the core for the list of replicas as it knows it. It gives none after Stop.
 func (d *Dispatcher) List() Update {
-	u, _ := ask(d, make(listing, 1))
+	u, _ := query(d, make(listQuery, 1))
 	u.Full = true
 	return u
 }
 
-func (q listing) apply(d *Dispatcher) {
+func (q listQuery) apply(d *Dispatcher) {
 	u := Update{Full: true}
 	for _, s := range d.servers {
 		u.Servers = append(u.Servers, *s)
--- a/internal/dispatch/noted.go
+++ b/internal/dispatch/intent.go
@@ -22,55 +22,55 @@
 }
 
 // notedAfter is the advice to a client whose instruction can't be noted now.
-const notedAfter = time.Second
+const intentRetryAfter = time.Second
 
 // note has an attempt wait until its intent is noted, then sends it. Only what could have an effect is noted.
-func (d *Dispatcher) note(at *attempt, to Target) {
-	if at.r.noted == nil || at.role == logic.Reader {
-		d.launch(at, to)
+func (d *Dispatcher) recordIntent(at *attempt, to Target) {
+	if at.r.intents == nil || at.role == logic.Reader {
+		d.transmit(at, to)
 		return
 	}
-	at.noting = true
-	at.r.noted.Begin(to.Until, func(end func(logic.Outcome), err error) { d.post(noted{at, to, end, err}) })
+	at.recordingIntent = true
+	at.r.intents.Begin(to.Until, func(end func(logic.Outcome), err error) { d.post(intentResult{at, to, end, err}) })
 }
 
-func (d *Dispatcher) launch(at *attempt, to Target) {
-	d.Counts.sent(at)
-	at.out = at.r.parcel.Send(to, at)
+func (d *Dispatcher) transmit(at *attempt, to Target) {
+	d.Counts.countSent(at)
+	at.transport = at.r.payload.Send(to, at)
 }
 
 // noted comes when an attempt's intent is noted, or is not.
-type noted struct {
+type intentResult struct {
 	at  *attempt
 	to  Target
 	end func(logic.Outcome)
 	err error
 }
 
-func (n noted) apply(d *Dispatcher) {
+func (n intentResult) apply(d *Dispatcher) {
 	at := n.at
-	at.noting, at.end = false, n.end
+	at.recordingIntent, at.endIntent = false, n.end
 	switch {
 	case n.err != nil:
-		delete(at.r.out, at.n)
-		d.unnoted(at.r, n.err)
-		d.ended(at, Result{Outcome: logic.NotSent, Detail: n.err.Error()})
-	case at.dropped || at.r.answered:
-		d.ended(at, Result{Outcome: logic.NotSent, Detail: "given up while it was noted"})
+		delete(at.r.inFlight, at.number)
+		d.intentFailed(at.r, n.err)
+		d.finishAttempt(at, Result{Outcome: logic.NotSent, Detail: n.err.Error()})
+	case at.cancelled || at.r.answered:
+		d.finishAttempt(at, Result{Outcome: logic.NotSent, Detail: "given up while it was noted"})
 	default:
-		d.launch(at, n.to)
+		d.transmit(at, n.to)
 	}
 }
 
 // unnoted gives up a request that must not be sent on.
-func (d *Dispatcher) unnoted(r *request, err error) {
+func (d *Dispatcher) intentFailed(r *request, err error) {
 	var ran MayHaveRun
 	switch {
 	case r.answered:
 	case errors.As(err, &ran) && ran.MayHaveRun():
-		r.ran = true
+		r.mayHaveRun = true
 		d.giveUp(r, Answer{Verdict: Failed, Reason: err.Error()}, NotRecorded)
 	default:
-		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: notedAfter, Reason: err.Error()}, NotRecorded)
+		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: intentRetryAfter, Reason: err.Error()}, NotRecorded)
 	}
 }
--- a/internal/dispatch/noted_test.go
+++ b/internal/dispatch/intent_test.go
@@ -9,16 +9,16 @@
 )
 
 // notes is a Noted whose answers a test gives.
-type notes struct {
-	began []func(end func(logic.Outcome), err error)
-	ends  []logic.Outcome
+type manualIntents struct {
+	pending []func(end func(logic.Outcome), err error)
+	ends    []logic.Outcome
 }
 
-func (n *notes) Begin(_ time.Time, then func(end func(logic.Outcome), err error)) {
-	n.began = append(n.began, then)
+func (n *manualIntents) Begin(_ time.Time, then func(end func(logic.Outcome), err error)) {
+	n.pending = append(n.pending, then)
 }
 
-func (n *notes) end(o logic.Outcome) { n.ends = append(n.ends, o) }
+func (n *manualIntents) end(o logic.Outcome) { n.ends = append(n.ends, o) }
 
 type ranBefore struct{ error }
 
@@ -26,7 +26,7 @@
 
 // Guards: nothing of an attempt leaves before its intent is noted; one that can't be noted is refused, as it never ran, and one of
 // which an earlier attempt may have run is not; a request that was given up meanwhile is not sent any more.
-func TestNothingLeavesBeforeItIsNoted(t *testing.T) {
+func TestNothingIsSentBeforeIntentIsRecorded(t *testing.T) {
 	noDisk, ran := errors.New("no disk"), ranBefore{errors.New("it ran")}
 	for name, x := range map[string]struct {
 		err     error
@@ -43,35 +43,35 @@
 		"left and has run": {ran, true, 1, ClientLeft, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, _ := core(t, 9)
-			n, p := &notes{}, &parcel{}
+			d, _ := newCore(t, 9)
+			n, p := &manualIntents{}, &fakePayload{}
 			k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, Intents: n,
 				Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
-			drive(d)
-			if len(n.began) > 0 {
+			processAll(d)
+			if len(n.pending) > 0 {
 				t.Error("a read is noted, which has no effect")
 			}
-			end(d, p, logic.ReadDone)
-			if len(n.began) != 1 || len(p.sent) != 1 {
-				t.Fatalf("%d intents, %d sends", len(n.began), len(p.sent))
+			endAttempt(d, p, logic.ReadDone)
+			if len(n.pending) != 1 || len(p.sent) != 1 {
+				t.Fatalf("%d intents, %d sends", len(n.pending), len(p.sent))
 			}
 			if x.leaves {
 				k.Abandon()
-				drive(d)
+				processAll(d)
 			}
 			var take func(logic.Outcome)
 			if x.err == nil {
 				take = n.end
 			}
-			n.began[0](take, x.err)
-			drive(d)
+			n.pending[0](take, x.err)
+			processAll(d)
 			if len(p.sent) != x.sent {
 				t.Fatalf("%d sends, wanted %d", len(p.sent), x.sent)
 			}
 			if x.sent > 1 {
-				p.sent[1].tell.Began(&closer{})
-				drive(d)
-				end(d, p, logic.Delivered)
+				p.sent[1].observer.Began(&fakeStream{})
+				processAll(d)
+				endAttempt(d, p, logic.Delivered)
 			}
 			if a := answerOf(t, k); a.Verdict != x.verdict || a.MayRun != x.mayRun || a.Verdict == Refused && a.RetryAfter == 0 {
 				t.Errorf("%+v", a)
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -11,7 +11,7 @@
 // keyedCore has one class whose repeats replicas throw away, within a scope and a window.
 func keyedCore(t *testing.T, scope logic.Scope, window time.Duration) *Dispatcher {
 	t.Helper()
-	d, _ := core(t, 9)
+	d, _ := newCore(t, 9)
 	set := d.set
 	set.Classes = []logic.Class{{Name: "keyed", Aim: time.Second, Deadline: 3 * time.Second, Repeat: logic.Keyed, Scope: scope, Window: window}}
 	if err := d.router.UpdateSettings(set); err != nil {
@@ -23,17 +23,20 @@
 
 // Guards: a request whose repeats only some replicas throw away was refused after it may have run, where the program or a deadline ended
 // it rather than the module. Its client would have repeated it anywhere.
-func TestRefusalOfWhatMayHaveRun(t *testing.T) {
+func TestRefusalOfKeyedRequestThatMayHaveRun(t *testing.T) {
 	for scope, want := range map[logic.Scope]Verdict{logic.AllServers: Refused, logic.SameZone: Failed, logic.SameCell: Failed} {
-		for name, ran := range map[string]func(*Dispatcher, *parcel){
-			"out":   func(d *Dispatcher, p *parcel) { end(d, p, logic.ReadDone); p.sent[1].tell.Written() },
-			"ended": func(d *Dispatcher, p *parcel) { end(d, p, logic.ReadDone); end(d, p, logic.ServerError) },
+		for name, ran := range map[string]func(*Dispatcher, *fakePayload){
+			"out": func(d *Dispatcher, p *fakePayload) { endAttempt(d, p, logic.ReadDone); p.sent[1].observer.Written() },
+			"ended": func(d *Dispatcher, p *fakePayload) {
+				endAttempt(d, p, logic.ReadDone)
+				endAttempt(d, p, logic.ServerError)
+			},
 		} {
 			d := keyedCore(t, scope, 5*time.Second)
-			k, p := take(d, "a", "keyed")
+			k, p := submit(d, "a", "keyed")
 			ran(d, p)
 			d.AnswerPending()
-			drive(d)
+			processAll(d)
 			if a := answerOf(t, k); a.Verdict != want {
 				t.Errorf("scope %v, %s: %v, want %v", scope, name, a.Verdict, want)
 			}
@@ -46,19 +49,19 @@
 func TestRepeatLeavesWithinItsWindow(t *testing.T) {
 	for _, window := range []time.Duration{time.Hour, 30 * time.Second} {
 		d := keyedCore(t, logic.AllServers, window)
-		_, p := take(d, "a", "keyed")
-		end(d, p, logic.ReadDone)
-		if err := p.sent[1].to.BeforeSend(); err != nil {
+		_, p := submit(d, "a", "keyed")
+		endAttempt(d, p, logic.ReadDone)
+		if err := p.sent[1].target.BeforeSend(); err != nil {
 			t.Errorf("the first: %v", err)
 		}
-		end(d, p, logic.ServerError) // it may have run
+		endAttempt(d, p, logic.ServerError) // it may have run
 		again := p.sent[len(p.sent)-1]
-		if len(p.sent) < 3 || again.to.BeforeSend() != nil {
+		if len(p.sent) < 3 || again.target.BeforeSend() != nil {
 			t.Fatalf("%d sends", len(p.sent))
 		}
 		r := d.requests["a"]
-		r.ranSince = r.ranSince.Add(-time.Minute)
-		err := d.leave(&attempt{d: d, r: r}, d.servers["w1"])()
+		r.uncertainSince = r.uncertainSince.Add(-time.Minute)
+		err := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])()
 		if errors.Is(err, ErrRepeatWindowClosed) != (window < time.Minute) {
 			t.Errorf("window %v, a minute later: %v", window, err)
 		}
--- a/internal/dispatch/licence.go
+++ b/internal/dispatch/lease.go
@@ -33,43 +33,43 @@
 
 // SetLease puts the core under a licence; before Run, or on its goroutine.
 func (d *Dispatcher) SetLease(l Lease) {
-	d.licence = l
-	d.Phases.under(l.Ready)
+	d.lease = l
+	d.Phases.setLeaseCheck(l.Ready)
 }
 
 // lapsedAfter is the advice to a client that is refused for want of leave: contact is found again in about that time, or
 // another dispatcher answers.
-const lapsedAfter = time.Second
+const noLeaseRetryAfter = time.Second
 
 // comeBack is when a client that finds no leave should come back, by the error if that says so.
-func comeBack(err error) time.Duration {
+func retryAfterOf(err error) time.Duration {
 	var says interface{ After() time.Duration }
 	if errors.As(err, &says) {
 		return says.After()
 	}
-	return lapsedAfter
+	return noLeaseRetryAfter
 }
 
 // noMark marks what was decided by no settings: there was no leave to act by any.
-const noMark = "none"
+const noSettingsVersion = "none"
 
 // lapsed gives up a request that may not be sent on for want of leave.
-func (d *Dispatcher) lapsed(r *request) {
-	if !r.answered && !r.away() {
-		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: lapsedAfter, SettingsVersion: noMark, Reason: "this dispatcher may not act: it has lost contact with the others"}, NoLease)
+func (d *Dispatcher) giveUpWithoutLease(r *request) {
+	if !r.answered && !r.maybeSent() {
+		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: noLeaseRetryAfter, SettingsVersion: noSettingsVersion, Reason: "this dispatcher may not act: it has lost contact with the others"}, NoLease)
 	}
 }
 
-func (d *Dispatcher) mark() string {
-	if d.licence == nil {
+func (d *Dispatcher) settingsVersion() string {
+	if d.lease == nil {
 		return ""
 	}
-	return d.licence.SettingsVersion()
+	return d.lease.SettingsVersion()
 }
 
 // strictly keeps the requests that are open to the stricter of the rules on repeats: those they came with, and those in
 // force from now on.
-func (d *Dispatcher) strictly() {
+func (d *Dispatcher) applyStricterRepeats() {
 	for _, r := range d.requests {
 		for _, c := range d.set.Classes {
 			if c.Name == r.class.Name && c.Repeat == logic.Unsafe && r.class.Repeat != logic.Unsafe {
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -30,12 +30,12 @@
 	endSlack    = 100 * time.Millisecond // an attempt that left so soon after its request's end could not know of it
 	heldSlack   = 300 * time.Millisecond // that the protocol adds to the time for which a state may be held
 	// heldUp is how long this process may be held up between a look at the clock and what follows from it.
-	heldUp = 150 * time.Millisecond
+	maxPause = 150 * time.Millisecond
 )
 
 // violated books a rule that did not hold.
-func (d *Dispatcher) violated(rule Cause, form string, args ...any) {
-	d.Counts.Count(RuleViolated, rule, fmt.Sprintf(form, args...))
+func (d *Dispatcher) recordViolation(rule Cause, format string, args ...any) {
+	d.Counts.Count(RuleViolated, rule, fmt.Sprintf(format, args...))
 }
 
 // maySend tells whether a request may go to a server at all.
@@ -50,7 +50,7 @@
 	if r.sent > d.set.MaxAttempts {
 		return false
 	}
-	return r.class.Repeat != logic.Unsafe && !(d.licence != nil && d.licence.AtMostOnce()) || len(r.out) == 0 && !r.unsure()
+	return r.class.Repeat != logic.Unsafe && !(d.lease != nil && d.lease.AtMostOnce()) || len(r.inFlight) == 0 && !r.uncertain()
 }
 
 // Why an attempt may not leave any more, though it was routed.
@@ -64,73 +64,73 @@
 // leave is what an attempt at a server asks before its first byte, whatever kind of send it is. A lease that was renewed since the
 // attempt was routed goes with a list that may be newer than the one it was routed by; as that list is acted on before the lease is
 // renewed, the lease is asked first. Where replicas throw repeats away they do so only for a time, which connecting takes from, and so does whatever holds this process up.
-func (d *Dispatcher) leave(at *attempt, s *Server) func() error {
+func (d *Dispatcher) beforeSend(at *attempt, s *Server) func() error {
 	r := at.r
-	lic, once, again := d.licence, r.class.Repeat == logic.Unsafe, r.unsure() || len(r.out) > 1 || r.ask.Resumed
+	lease, once, repeat := d.lease, r.class.Repeat == logic.Unsafe, r.uncertain() || len(r.inFlight) > 1 || r.spec.Resumed
 	var closes time.Time
-	if r.unsure() && r.class.Repeat == logic.Keyed {
-		closes = r.ranSince.Add(r.class.Window)
+	if r.uncertain() && r.class.Repeat == logic.Keyed {
+		closes = r.uncertainSince.Add(r.class.Window)
 	}
 	return func() error {
-		if lic != nil {
-			if err := lic.MaySend(once, again); err != nil {
+		if lease != nil {
+			if err := lease.MaySend(once, repeat); err != nil {
 				return errors.Join(ErrNoLease, err)
 			}
 		}
-		if r.clientLeft() {
+		if r.isClientGone() {
 			return ErrClientGone
 		}
 		if s.withdrawn.Load() {
 			return ErrWithdrawn
 		}
-		if !closes.IsZero() && !time.Now().Add(heldUp).Before(closes) {
+		if !closes.IsZero() && !time.Now().Add(maxPause).Before(closes) {
 			return ErrRepeatWindowClosed
 		}
-		at.left.set(d.now())
+		at.firstByte.set(d.now())
 		return nil
 	}
 }
 
 // refusable tells whether trying again is harmless: the request runs as often as it likes, all replicas throw its repeats away, or it is
 // proven that it has not run. What is out proves nothing yet, not even at a reader, nor does a read that was given up.
-func (r *request) refusable() bool {
+func (r *request) mayRefuse() bool {
 	if r.class == nil || r.class.Repeat == logic.Safe || r.class.Repeat == logic.Keyed && r.class.Scope == logic.AllServers {
 		return true
 	}
-	return !r.mayRun() && !r.away() && !r.unheard
+	return !r.mayRun() && !r.maybeSent() && !r.unresolved
 }
 
 // unsure tells whether an attempt that has ended may have run, or may be out yet.
-func (r *request) unsure() bool { return r.ran || r.unheard }
+func (r *request) uncertain() bool { return r.mayHaveRun || r.unresolved }
 
 // mayRun tells whether any attempt has run, or may have, or may yet. The rest of a stream is asked for after one ran.
 func (r *request) mayRun() bool {
-	if r.ask.Resumed {
+	if r.spec.Resumed {
 		return true
 	}
-	for _, at := range r.out {
-		if at.role != logic.Reader && !at.noting {
+	for _, at := range r.inFlight {
+		if at.role != logic.Reader && !at.recordingIntent {
 			return true
 		}
 	}
-	return r.ran
+	return r.mayHaveRun
 }
 
 // mayRelease tells whether what is held for an open request may be let go: what a read in progress will leave would go with it.
-func (r *request) mayRelease() bool { return r.held.addr != "" && !r.outAt(logic.Reader) }
+func (r *request) mayRelease() bool { return r.held.addr != "" && !r.hasAttemptAt(logic.Reader) }
 
 // mayHold tells whether a replica may hold something for a request: not where no attempt has come to one.
-func (r *request) mayHold() bool { return r.reached || r.held.addr != "" || r.away() }
+func (r *request) mayHold() bool { return r.reachedReplica || r.held.addr != "" || r.maybeSent() }
 
 // mayForget tells whether nothing is owed of a request any more.
 func (d *Dispatcher) mayForget(r *request) bool {
-	return r.answered && len(r.out) == 0 && !r.held.releasing && d.requests[r.id] == r
+	return r.answered && len(r.inFlight) == 0 && !r.held.releasePending && d.requests[r.id] == r
 }
 
 // away tells whether an attempt is out that has left, or may have.
-func (r *request) away() bool {
-	for _, at := range r.out {
-		if !at.noting {
+func (r *request) maybeSent() bool {
+	for _, at := range r.inFlight {
+		if !at.recordingIntent {
 			return true
 		}
 	}
@@ -138,37 +138,37 @@
 }
 
 // leftAt is when an attempt's first byte left, for the check at its end.
-type leftAt struct{ ns atomic.Int64 } // since the core was made; 0: not yet
+type firstByteTime struct{ ns atomic.Int64 } // since the core was made; 0: not yet
 
-func (l *leftAt) set(at time.Duration) { l.ns.Store(int64(max(at, 1))) }
+func (l *firstByteTime) set(at time.Duration) { l.ns.Store(int64(max(at, 1))) }
 
 // checkEnd holds what happened to an attempt against the rules.
 func (d *Dispatcher) checkEnd(at *attempt, out logic.Outcome) {
-	r, left := at.r, time.Duration(at.left.ns.Load())
-	if left > 0 && r.answered && left > r.answeredAt+endSlack {
-		d.violated(SentAfterEnd, "%s attempt %d at %s, %v after its end", r.id, at.n, at.server, left-r.answeredAt)
+	r, firstByte := at.r, time.Duration(at.firstByte.ns.Load())
+	if firstByte > 0 && r.answered && firstByte > r.answeredAt+endSlack {
+		d.recordViolation(SentAfterEnd, "%s attempt %d at %s, %v after its end", r.id, at.number, at.server, firstByte-r.answeredAt)
 	}
 	if r.class.Repeat != logic.Unsafe || neverRan(out) || at.role == logic.Reader {
 		return
 	}
-	if r.ran {
-		d.violated(RepeatedUnproven, "%s attempt %d at %s", r.id, at.n, at.server)
+	if r.mayHaveRun {
+		d.recordViolation(RepeatedUnproven, "%s attempt %d at %s", r.id, at.number, at.server)
 	}
 }
 
 // checkAnswer holds the time of a final answer against the rule.
 func (d *Dispatcher) checkAnswer(r *request) {
 	if late := d.clock().Sub(r.deadline); !r.deadline.IsZero() && late > answerSlack {
-		d.violated(AnsweredLate, "%s %v after its deadline", r.id, late)
+		d.recordViolation(AnsweredLate, "%s %v after its deadline", r.id, late)
 	}
 }
 
 // checkHeld looks, when a state must be gone, whether a fetch or a release was confirmed.
 func (d *Dispatcher) checkHeld(r *request) {
-	number := r.held.hold
+	stateID := r.held.stateID
 	d.after(d.set.ReleaseWithin+heldSlack, func() {
-		if r.held.hold == number && r.held.addr != "" && !r.outAt(logic.Reader) && d.requests[r.id] == r {
-			d.violated(HeldTooLong, "%s at %s", r.id, r.held.addr)
+		if r.held.stateID == stateID && r.held.addr != "" && !r.hasAttemptAt(logic.Reader) && d.requests[r.id] == r {
+			d.recordViolation(HeldTooLong, "%s at %s", r.id, r.held.addr)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 func (d *Dispatcher) checkExit() {
 	for _, r := range d.requests {
 		if !r.answered {
-			d.violated(UnansweredAtExit, "%s", r.id)
+			d.recordViolation(UnansweredAtExit, "%s", r.id)
 		}
 	}
 }
--- a/internal/dispatch/permit_test.go
+++ b/internal/dispatch/permit_test.go
@@ -13,52 +13,52 @@
 // What breaks a rule is found at run time, and what keeps to it is not.
 func TestViolationsAreCounted(t *testing.T) {
 	for _, breaks := range []bool{false, true} {
-		d, _, _ := clocked(t)
-		k, p := take(d, "late", "safe")
-		at := k.r.out[0]
+		d, _, _ := newClockedCore(t)
+		k, p := submit(d, "late", "safe")
+		at := k.r.inFlight[0]
 		if breaks {
 			k.r.deadline = d.clock().Add(-answerSlack - time.Millisecond)
 		}
-		d.overtime(k.r)
+		d.deadlinePassed(k.r)
 		if n := violations(d, AnsweredLate); (n > 0) != breaks {
 			t.Errorf("breaks %v: %d late answers", breaks, n)
 		}
-		at.left.set(k.r.answeredAt + endSlack)
+		at.firstByte.set(k.r.answeredAt + endSlack)
 		if breaks {
-			at.left.set(k.r.answeredAt + endSlack + time.Millisecond)
+			at.firstByte.set(k.r.answeredAt + endSlack + time.Millisecond)
 		}
-		p.sent[0].tell.Ended(Result{Outcome: logic.Cancelled})
-		drive(d)
+		p.sent[0].observer.Ended(Result{Outcome: logic.Cancelled})
+		processAll(d)
 		if n := violations(d, SentAfterEnd); (n > 0) != breaks {
 			t.Errorf("breaks %v: %d sent after the end", breaks, n)
 		}
 
-		d, _, pass := clocked(t)
-		rel := &withheld{}
+		d, _, advance := newClockedCore(t)
+		rel := &manualReleaser{}
 		d.releaser = rel
-		_, p = take(d, "held", "safe")
-		end(d, p, logic.ReadDone)
-		pass(250 * time.Millisecond)
-		rel.then[0](!breaks)
-		drive(d)
-		pass(d.set.ReleaseWithin + heldSlack)
+		_, p = submit(d, "held", "safe")
+		endAttempt(d, p, logic.ReadDone)
+		advance(250 * time.Millisecond)
+		rel.confirm[0](!breaks)
+		processAll(d)
+		advance(d.set.ReleaseWithin + heldSlack)
 		if n := violations(d, HeldTooLong); (n > 0) != breaks {
 			t.Errorf("breaks %v: %d held too long", breaks, n)
 		}
 
-		d, _ = core(t, 9)
-		k, p = take(d, "twice", "unsafe")
-		end(d, p, logic.ReadDone)
-		k.r.ran = breaks
-		end(d, p, logic.ConnectionLost)
+		d, _ = newCore(t, 9)
+		k, p = submit(d, "twice", "unsafe")
+		endAttempt(d, p, logic.ReadDone)
+		k.r.mayHaveRun = breaks
+		endAttempt(d, p, logic.ConnectionLost)
 		if n := violations(d, RepeatedUnproven); (n > 0) != breaks {
 			t.Errorf("breaks %v: %d repeated", breaks, n)
 		}
 
-		d, _ = core(t, 9)
-		k, _ = take(d, "open", "safe")
+		d, _ = newCore(t, 9)
+		k, _ = submit(d, "open", "safe")
 		if !breaks {
-			d.overtime(k.r)
+			d.deadlinePassed(k.r)
 		}
 		d.checkExit()
 		if n := violations(d, UnansweredAtExit); (n > 0) != breaks {
--- a/internal/dispatch/phase.go
+++ b/internal/dispatch/phase.go
@@ -24,13 +24,13 @@
 
 // Phases holds the program's phase and counts what must be answered before it may stop.
 type Phases struct {
-	mu   sync.Mutex
-	now  Phase
-	open int
-	away bool        // clients are sent away for a while: an operator empties the program
-	may  func() bool // leave to serve, where dispatchers agree on settings
-	able bool        // replicas are known that could serve a request between them
-	idle *sync.Cond
+	mu         sync.Mutex
+	now        Phase
+	open       int
+	diverting  bool        // clients are sent away for a while: an operator empties the program
+	leaseReady func() bool // leave to serve, where dispatchers agree on settings
+	canServe   bool        // replicas are known that could serve a request between them
+	idle       *sync.Cond
 }
 
 func newPhases() *Phases {
@@ -59,16 +59,16 @@
 }
 
 // SetDiverting sends clients away from now on, or takes them again. The phase stays: what comes all the same is served.
-func (p *Phases) SetDiverting(away bool) {
+func (p *Phases) SetDiverting(diverting bool) {
 	p.mu.Lock()
-	p.away = away
+	p.diverting = diverting
 	p.mu.Unlock()
 }
 
 // under makes leave to serve a condition for clients to come.
-func (p *Phases) under(may func() bool) {
+func (p *Phases) setLeaseCheck(ready func() bool) {
 	p.mu.Lock()
-	p.may = may
+	p.leaseReady = ready
 	p.mu.Unlock()
 }
 
@@ -76,12 +76,12 @@
 func (p *Phases) CanServe() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.able
+	return p.canServe
 }
 
-func (p *Phases) setAble(able bool) {
+func (p *Phases) setCanServe(canServe bool) {
 	p.mu.Lock()
-	p.able = able
+	p.canServe = canServe
 	p.mu.Unlock()
 }
 
@@ -89,14 +89,14 @@
 func (p *Phases) AcceptsClients() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now == Ready && p.able && !p.away && (p.may == nil || p.may())
+	return p.now == Ready && p.canServe && !p.diverting && (p.leaseReady == nil || p.leaseReady())
 }
 
 // KeepAlive tells whether clients may keep their connections after an answer.
 func (p *Phases) KeepAlive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now < Leaving && !p.away
+	return p.now < Leaving && !p.diverting
 }
 
 // begin and end count the requests that are owed an answer or whose stream runs.
--- a/internal/dispatch/probe_test.go
+++ b/internal/dispatch/probe_test.go
@@ -9,44 +9,44 @@
 )
 
 // probes notes who is asked; answer tells for one.
-type probes struct {
+type fakeProber struct {
 	asked []string
-	then  []func(logic.Outcome)
+	reply []func(logic.Outcome)
 }
 
-func (p *probes) Probe(addr string, then func(logic.Outcome)) {
-	p.asked, p.then = append(p.asked, addr), append(p.then, then)
+func (p *fakeProber) Probe(addr string, then func(logic.Outcome)) {
+	p.asked, p.reply = append(p.asked, addr), append(p.reply, then)
 }
 
 // Guards: the module's probes go to servers in service alone, and their answers come back to it; without a prober none is waited for.
 func TestProbesAreCarriedOut(t *testing.T) {
 	set := logic.Settings{Siblings: 300, MaxAttempts: 3, CanCancel: true, CanProbe: true, Classes: classes, ReleaseWithin: 500 * time.Millisecond,
 		RampTime: time.Second, FallTime: time.Second, FallMultiple: 2, Kinds: []logic.Kind{{Name: "r", Role: logic.Reader}, {Name: "w", Role: logic.Writer}}}
-	for _, prober := range []*probes{{}, nil} {
+	for _, prober := range []*fakeProber{{}, nil} {
 		list := Update{Full: true}
 		for _, s := range [][2]string{{"r1", "r"}, {"r2", "r"}, {"w1", "w"}} {
 			list.Servers = append(list.Servers, Server{Addr: s[0], ServerEntry: logic.ServerEntry{ID: s[0], Kind: s[1], Weight: 1}})
 		}
-		d, err := New(set, 1, list, &released{}, Bounds{9, 100})
+		d, err := New(set, 1, list, &fakeReleaser{}, Bounds{9, 100})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if prober != nil {
 			d.Prober = prober
 		}
-		_, p := take(d, "a", "safe")
+		_, p := submit(d, "a", "safe")
 		if prober == nil {
 			now := d.clock().Add(time.Second)
 			d.clock = func() time.Time { return now }
-			d.ring() // the wait for probes is over
+			d.runTimers() // the wait for probes is over
 		} else {
 			if len(p.sent) != 0 || len(prober.asked) != 2 {
 				t.Fatalf("%d sends, probes of %v", len(p.sent), prober.asked)
 			}
-			prober.then[0](logic.Delivered)
-			drive(d)
+			prober.reply[0](logic.Delivered)
+			processAll(d)
 		}
-		if len(p.sent) != 1 || prober != nil && p.sent[0].to.Server != prober.asked[0] {
+		if len(p.sent) != 1 || prober != nil && p.sent[0].target.Server != prober.asked[0] {
 			t.Errorf("%d sends", len(p.sent))
 		}
 		if prober == nil {
--- a/internal/dispatch/releaseorder.go
+++ b/internal/dispatch/releaseorder.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	releaseFixed = 16   // replicas that are asked for each release, in the same order: connections to them stand open
-	releaseDrawn = 16   // and so many more that differ from release to release, as all of the others may be down
-	drawStride   = 7919 // a prime above the size of any fleet: steps of it come to each replica once
+	releaseFixed   = 16   // replicas that are asked for each release, in the same order: connections to them stand open
+	releaseSampled = 16   // and so many more that differ from release to release, as all of the others may be down
+	sampleStride   = 7919 // a prime above the size of any fleet: steps of it come to each replica once
 )
 
 // releaseOrder gives the addresses of the replicas to ask for a release, in their order: the holder first, then those that are surest to be
 // there. The order of all is made anew only after a change of the list or of the settings.
 func (d *Dispatcher) releaseOrder(id, holder string) []string {
-	if d.surest == nil {
-		d.surest = d.surestFirst()
+	if d.releaseRanking == nil {
+		d.releaseRanking = d.rankForRelease()
 	}
-	addrs := make([]string, 0, 1+releaseFixed+releaseDrawn)
+	addrs := make([]string, 0, 1+releaseFixed+releaseSampled)
 	if holder != "" {
 		addrs = append(addrs, holder)
 	}
@@ -27,17 +27,17 @@
 			addrs = append(addrs, addr)
 		}
 	}
-	fixed := d.surest[:min(releaseFixed+releaseDrawn, len(d.surest))]
-	if len(d.surest) > releaseFixed+releaseDrawn {
+	fixed := d.releaseRanking[:min(releaseFixed+releaseSampled, len(d.releaseRanking))]
+	if len(d.releaseRanking) > releaseFixed+releaseSampled {
 		fixed = fixed[:releaseFixed]
 	}
 	for _, addr := range fixed {
 		add(addr)
 	}
-	if others := d.surest[len(fixed):]; len(others) > 0 {
-		start := int(maphash.String(d.drawSeed, id) % uint64(len(others)))
-		for i := range releaseDrawn {
-			add(others[(start+i*drawStride)%len(others)])
+	if others := d.releaseRanking[len(fixed):]; len(others) > 0 {
+		start := int(maphash.String(d.sampleSeed, id) % uint64(len(others)))
+		for i := range releaseSampled {
+			add(others[(start+i*sampleStride)%len(others)])
 		}
 	}
 	return addrs
@@ -45,31 +45,31 @@
 
 // surestFirst gives the addresses of all replicas: those in service and long started first, and of these one of each zone in turn, the own
 // one's first, so that a zone which is cut off costs one try and not all of them.
-func (d *Dispatcher) surestFirst() []string {
-	type place struct {
+func (d *Dispatcher) rankForRelease() []string {
+	type candidate struct {
 		*Server
-		turn int // among those of its zone
+		zoneRank int // among those of its zone
 	}
-	all := make([]place, 0, len(d.servers))
+	all := make([]candidate, 0, len(d.servers))
 	for _, s := range d.servers {
-		all = append(all, place{Server: s})
+		all = append(all, candidate{Server: s})
 	}
-	slices.SortFunc(all, func(a, b place) int {
+	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.Availability, b.Availability), cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID))
 	})
-	next := map[string]int{}
+	zoneSize := map[string]int{}
 	for i := range all {
-		all[i].turn = next[all[i].Zone]
-		next[all[i].Zone]++
+		all[i].zoneRank = zoneSize[all[i].Zone]
+		zoneSize[all[i].Zone]++
 	}
-	elsewhere := func(s *Server) int {
+	remoteZone := func(s *Server) int {
 		if s.Zone == d.set.Zone {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(all, func(a, b place) int {
-		return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(elsewhere(a.Server), elsewhere(b.Server)))
+	slices.SortStableFunc(all, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.zoneRank, b.zoneRank), cmp.Compare(remoteZone(a.Server), remoteZone(b.Server)))
 	})
 	addrs := make([]string, len(all))
 	for i, s := range all {
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -15,9 +15,9 @@
 	}
 	for i := 0; i < len(d.events); i++ {
 		actions := d.router.Handle(d.now(), &d.events[i], d.actions[:0])
-		held := d.holdingsOf(actions)
+		known := d.holdersOf(actions)
 		for _, a := range actions {
-			d.carryOut(a, held)
+			d.execute(a, known)
 		}
 		d.actions = actions
 	}
@@ -27,31 +27,31 @@
 
 // holdings are what may be held for the requests that are to be released. A request may be forgotten by the time of its release, as its final
 // answer comes first.
-type holdings map[string]holding
+type holders map[string]holder
 
 // holding is what is known of one request. The zero value is that of one that is unknown.
-type holding struct {
-	addr    string // of the replica that holds something; empty: not known
-	nothing bool   // no attempt has come to a replica, so nothing is held anywhere
+type holder struct {
+	addr        string // of the replica that holds something; empty: not known
+	nothingHeld bool   // no attempt has come to a replica, so nothing is held anywhere
 }
 
-func (d *Dispatcher) holdingsOf(actions []logic.Action) holdings {
-	var all holdings
+func (d *Dispatcher) holdersOf(actions []logic.Action) holders {
+	var all holders
 	for _, a := range actions {
 		if r := d.requests[a.RequestID]; a.Kind == logic.Release && r != nil {
 			if all == nil {
-				all = holdings{}
+				all = holders{}
 			}
-			all[a.RequestID] = holding{r.held.addr, !r.mayHold()}
+			all[a.RequestID] = holder{r.held.addr, !r.mayHold()}
 		}
 	}
 	return all
 }
 
 // refusedAfter is the advice to a refused client where the module gives none: without any it would come at once.
-const refusedAfter = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
-func (d *Dispatcher) carryOut(a logic.Action, held holdings) {
+func (d *Dispatcher) execute(a logic.Action, known holders) {
 	switch a.Kind {
 	case logic.Wake:
 		d.after(a.After, func() { d.route(logic.Event{Kind: logic.TimerFired, Tag: a.Tag}) })
@@ -62,7 +62,7 @@
 		d.probe(a.Server)
 		return
 	case logic.Release:
-		if h := held[a.RequestID]; !h.nothing { // a call would take a connection that others need
+		if h := known[a.RequestID]; !h.nothingHeld { // a call would take a connection that others need
 			d.release(a.RequestID, h.addr, RequestEnded)
 		}
 		return
@@ -75,15 +75,15 @@
 	case logic.Send:
 		d.send(r, a)
 	case logic.Cancel:
-		if at := r.out[a.Attempt]; at != nil {
+		if at := r.inFlight[a.Attempt]; at != nil {
 			at.cancel(Overdue)
 		}
 	case logic.Refuse:
 		d.answer(r, Answer{Verdict: Refused, RetryAfter: a.After, Reason: "no replica can serve it in time"})
-		d.settle(r)
+		d.forgetIfDone(r)
 	case logic.Fail:
 		d.answer(r, Answer{Verdict: Failed, Reason: "it may have run, and no answer came"})
-		d.settle(r)
+		d.forgetIfDone(r)
 	}
 }
 
@@ -95,16 +95,16 @@
 	}
 	a.MayRun = r.mayRun()
 	if a.SettingsVersion == "" {
-		a.SettingsVersion = d.mark()
+		a.SettingsVersion = d.settingsVersion()
 	}
-	if a.Verdict == Refused && !r.refusable() {
+	if a.Verdict == Refused && !r.mayRefuse() {
 		a.Verdict = Failed
 	}
 	if a.Verdict == Refused { // a refusal always says when to come back
-		a.RetryAfter = max(a.RetryAfter, refusedAfter)
+		a.RetryAfter = max(a.RetryAfter, minRetryAfter)
 	}
 	r.answered, r.verdict, r.answeredAt = true, a.Verdict, d.now()
 	d.checkAnswer(r)
-	d.Counts.answered(r, a)
+	d.Counts.recordAnswer(r, a)
 	r.ticket.answer <- a // there is room for the one answer
 }
--- a/internal/dispatch/retune_test.go
+++ b/internal/dispatch/settings_test.go
@@ -8,12 +8,12 @@
 )
 
 // retune puts settings in force that differ in what change does to the classes.
-func retune(t *testing.T, d *Dispatcher, change func(*logic.Settings)) {
+func updateSettings(t *testing.T, d *Dispatcher, change func(*logic.Settings)) {
 	t.Helper()
 	set := d.set
 	set.Classes = append([]logic.Class(nil), d.set.Classes...)
 	change(&set)
-	q := retuning{set, Bounds{9, 100}, nil, make(chan error, 1)}
+	q := settingsUpdate{set, Bounds{9, 100}, nil, make(chan error, 1)}
 	q.apply(d)
 	if err := <-q.reply; err != nil {
 		t.Fatal(err)
@@ -34,19 +34,19 @@
 		"a shorter deadline":            {"safe", func(s *logic.Settings) { s.Classes[0].Deadline = time.Millisecond }, true},
 		"no further attempts":           {"safe", func(s *logic.Settings) { s.MaxAttempts = 2 }, false},
 	} {
-		d, _, pass := clocked(t)
-		k, p := take(d, "a", c.class)
-		end(d, p, logic.ReadDone)
+		d, _, advance := newClockedCore(t)
+		k, p := submit(d, "a", c.class)
+		endAttempt(d, p, logic.ReadDone)
 		sent := len(p.sent)
-		retune(t, d, c.change)
-		pass(100 * time.Millisecond)
-		none(t, k) // its time goes on
-		end(d, p, logic.ConnectionLost)
+		updateSettings(t, d, c.change)
+		advance(100 * time.Millisecond)
+		noFurtherAnswer(t, k) // its time goes on
+		endAttempt(d, p, logic.ConnectionLost)
 		if again := len(p.sent) > sent; again != c.again {
 			t.Errorf("%s: a further attempt: %v", name, again)
 		}
 		if c.again {
-			none(t, k)
+			noFurtherAnswer(t, k)
 		} else if a := answerOf(t, k); a.Verdict == Served || a.Verdict == Refused && c.class == "unsafe" {
 			t.Errorf("%s: %v", name, a.Verdict)
 		}
@@ -57,13 +57,13 @@
 func TestOpenRequestsKeepTheirWindow(t *testing.T) {
 	for _, windows := range [][2]time.Duration{{30 * time.Second, time.Hour}, {time.Hour, 30 * time.Second}} {
 		d := keyedCore(t, logic.AllServers, windows[0])
-		_, p := take(d, "a", "keyed")
-		end(d, p, logic.ReadDone)
-		retune(t, d, func(s *logic.Settings) { s.Classes[0].Window = windows[1] })
-		end(d, p, logic.ServerError) // it may have run
+		_, p := submit(d, "a", "keyed")
+		endAttempt(d, p, logic.ReadDone)
+		updateSettings(t, d, func(s *logic.Settings) { s.Classes[0].Window = windows[1] })
+		endAttempt(d, p, logic.ServerError) // it may have run
 		r := d.requests["a"]
-		r.ranSince = r.ranSince.Add(-time.Minute)
-		if open := d.leave(&attempt{d: d, r: r}, d.servers["w1"])() == nil; open != (windows[0] > time.Minute) {
+		r.uncertainSince = r.uncertainSince.Add(-time.Minute)
+		if open := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])() == nil; open != (windows[0] > time.Minute) {
 			t.Errorf("windows %v: open a minute later: %v", windows, open)
 		}
 	}
--- a/internal/dispatch/instant_test.go
+++ b/internal/dispatch/simultaneous_test.go
@@ -9,22 +9,22 @@
 
 // The deadline and the first event of an answer come at one instant, in both orders: there is one answer, and a stream that comes second
 // is closed.
-func TestDeadlineAndAnswerAtOneInstant(t *testing.T) {
+func TestDeadlineAndAnswerAtSameInstant(t *testing.T) {
 	for _, deadlineFirst := range []bool{true, false} {
-		d, _ := core(t, 9)
+		d, _ := newCore(t, 9)
 		now := time.Now()
 		d.clock = func() time.Time { return now }
-		k, p := take(d, "a", "unsafe")
-		end(d, p, logic.ReadDone)
-		p.sent[1].tell.Written()
-		s := &closer{}
-		now = now.Add(2*time.Second + backstop)
+		k, p := submit(d, "a", "unsafe")
+		endAttempt(d, p, logic.ReadDone)
+		p.sent[1].observer.Written()
+		s := &fakeStream{}
+		now = now.Add(2*time.Second + deadlineGrace)
 		if deadlineFirst {
-			d.ring()
+			d.runTimers()
 		}
-		p.sent[1].tell.Began(s)
-		drive(d)
-		d.ring()
+		p.sent[1].observer.Began(s)
+		processAll(d)
+		d.runTimers()
 		want := Served
 		if deadlineFirst {
 			want = Failed
@@ -32,16 +32,16 @@
 		if a := answerOf(t, k); a.Verdict != want || (a.Verdict == Served) != (a.Stream != nil) {
 			t.Errorf("deadline first %v: %+v", deadlineFirst, a)
 		}
-		none(t, k)
-		if deadlineFirst && !s.closed() {
+		noFurtherAnswer(t, k)
+		if deadlineFirst && !s.waitClosed() {
 			t.Error("the stream that came second stays open")
 		}
 	}
 }
 
 // A client leaves while its request is parked, as no server can take it: no attempt begins after that, whoever comes back.
-func TestClientLeavesWhileItsRequestIsParked(t *testing.T) {
-	d, _ := core(t, 9)
+func TestClientLeavesWhileRequestIsParked(t *testing.T) {
+	d, _ := newCore(t, 9)
 	now := time.Now()
 	d.clock = func() time.Time { return now }
 	list := Update{Full: true}
@@ -49,16 +49,16 @@
 		list.Servers = append(list.Servers, Server{Addr: s.Addr, ServerEntry: s.ServerEntry})
 	}
 	Update{Full: true}.apply(d)
-	k, p := take(d, "a", "safe")
+	k, p := submit(d, "a", "safe")
 	if len(p.sent) != 0 {
 		t.Fatalf("%d sends where there is nobody", len(p.sent))
 	}
 	k.Abandon()
-	drive(d)
+	processAll(d)
 	list.apply(d)
 	for range 10 {
 		now = now.Add(50 * time.Millisecond)
-		d.ring()
+		d.runTimers()
 	}
 	if len(p.sent) != 0 {
 		t.Errorf("%d sends after the client left", len(p.sent))
@@ -70,15 +70,15 @@
 
 // The list takes a server back in the very step in which it withdraws another, and an id comes with a new address: what was routed to the
 // old one does not leave.
-func TestIDWithAnotherAddressIsWithdrawn(t *testing.T) {
-	d, _ := core(t, 9)
-	_, p := take(d, "a", "safe")
+func TestChangedAddressWithdrawsOldEntry(t *testing.T) {
+	d, _ := newCore(t, 9)
+	_, p := submit(d, "a", "safe")
 	first := p.sent[0]
-	if err := first.to.BeforeSend(); err != nil {
+	if err := first.target.BeforeSend(); err != nil {
 		t.Fatal(err)
 	}
 	Update{Servers: []Server{{Addr: "elsewhere", ServerEntry: logic.ServerEntry{ID: "r1", Kind: "r", Weight: 1}}}}.apply(d)
-	if err := first.to.BeforeSend(); err != ErrWithdrawn {
+	if err := first.target.BeforeSend(); err != ErrWithdrawn {
 		t.Errorf("to the address before: %v", err)
 	}
 	if s := d.servers["r1"]; s.Addr != "elsewhere" || s.withdrawn.Load() {
@@ -89,28 +89,28 @@
 // A client that repeats its request, under the same id, as soon as it is refused is a new one: it is refused again or served, and answered
 // once each time. While the first is open the second has failed, and the first goes on.
 func TestRepeatAsSoonAsRefused(t *testing.T) {
-	d, _ := core(t, 1)
-	open, p := take(d, "a", "safe")
+	d, _ := newCore(t, 1)
+	open, p := submit(d, "a", "safe")
 	for range 3 {
-		k, again := take(d, "b", "safe")
+		k, again := submit(d, "b", "safe")
 		if a := answerOf(t, k); a.Verdict != Refused || a.RetryAfter <= 0 || len(again.sent) != 0 {
 			t.Errorf("%+v after %d sends", a, len(again.sent))
 		}
-		none(t, k)
+		noFurtherAnswer(t, k)
 	}
-	same, again := take(d, "a", "safe")
+	same, again := submit(d, "a", "safe")
 	if a := answerOf(t, same); a.Verdict != Failed || len(again.sent) != 0 {
 		t.Errorf("the id of an open one: %+v", a)
 	}
-	none(t, open)
-	end(d, p, logic.ReadDone)
-	p.sent[1].tell.Began(&closer{})
-	end(d, p, logic.Delivered)
+	noFurtherAnswer(t, open)
+	endAttempt(d, p, logic.ReadDone)
+	p.sent[1].observer.Began(&fakeStream{})
+	endAttempt(d, p, logic.Delivered)
 	if a := answerOf(t, open); a.Verdict != Served {
 		t.Errorf("the open one: %v", a.Verdict)
 	}
-	k, again := take(d, "b", "safe")
-	if none(t, k); len(again.sent) != 1 {
+	k, again := submit(d, "b", "safe")
+	if noFurtherAnswer(t, k); len(again.sent) != 1 {
 		t.Errorf("with room again: %d sends", len(again.sent))
 	}
 }
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -20,7 +20,7 @@
 	// after the first list, and claims to be older than that, was dated by a clock that has been stepped.
 	discoveryLag = 20 * time.Second
 	// startKept is how long the start of a replica that has left the list is remembered, as it may be listed again.
-	startKept = 10 * time.Minute
+	startRetention = 10 * time.Minute
 )
 
 // startTimes turns the wall-clock times at which replicas started into the module's clock. Each is turned once, when it is first told, so
@@ -28,16 +28,16 @@
 type startTimes struct {
 	wall       func() time.Time
 	wallAtZero time.Time                 // what the wall clock would have shown at the module's zero, by its reading at the core's start
-	first      time.Duration             // when the first list came from discovery; 0: not yet
+	firstList  time.Duration             // when the first list came from discovery; 0: not yet
 	known      map[string]knownStartTime // by the replica's id
-	swept      time.Duration             // when what no list has named for long was forgotten last
+	lastSweep  time.Duration             // when what no list has named for long was forgotten last
 }
 
 // knownStartTime is the start of one replica's process.
 type knownStartTime struct {
-	listed  time.Time     // as the list says; zero: long ago
-	started time.Duration // by the module's clock; 0: long ago
-	told    time.Duration // when a list named it last
+	listed     time.Time     // as the list says; zero: long ago
+	started    time.Duration // by the module's clock; 0: long ago
+	lastListed time.Duration // when a list named it last
 }
 
 func newStartTimes(wall func() time.Time, now time.Duration) *startTimes {
@@ -51,7 +51,7 @@
 		known.listed = listed
 		known.started = s.convert(listed, now)
 	}
-	known.told = now
+	known.lastListed = now
 	s.known[id] = known
 	return known.started
 }
@@ -64,23 +64,23 @@
 	}
 	age := min(s.wall().Sub(listed), s.wallAtZero.Add(now).Sub(listed))
 	age = max(age, 0)
-	if s.first > 0 && age > now-s.first+discoveryLag {
+	if s.firstList > 0 && age > now-s.firstList+discoveryLag {
 		age = 0
 	}
 	return max(now-age, 0)
 }
 
 // listTold notes that discovery has told a list, and forgets replicas that none has named for long.
-func (s *startTimes) listTold(now time.Duration) {
-	if s.first == 0 {
-		s.first = now
+func (s *startTimes) listReceived(now time.Duration) {
+	if s.firstList == 0 {
+		s.firstList = now
 	}
-	if now-s.swept < startKept/10 {
+	if now-s.lastSweep < startRetention/10 {
 		return
 	}
-	s.swept = now
+	s.lastSweep = now
 	for id, known := range s.known {
-		if now-known.told > startKept {
+		if now-known.lastListed > startRetention {
 			delete(s.known, id)
 		}
 	}
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -16,9 +16,9 @@
 func (w *steppedWall) read() time.Time { return w.now.Round(0).Add(w.step) }
 
 // startsOf is a core whose clocks the test moves, with the replicas' start times read off a stepped wall clock.
-func startsOf(t *testing.T) (d *Dispatcher, wall *steppedWall, pass func(time.Duration)) {
+func newSteppedCore(t *testing.T) (d *Dispatcher, wall *steppedWall, advance func(time.Duration)) {
 	t.Helper()
-	d, _ = core(t, 9)
+	d, _ = newCore(t, 9)
 	now := d.startedAt
 	d.clock = func() time.Time { return now }
 	wall = &steppedWall{now: &now}
@@ -26,25 +26,25 @@
 	return d, wall, func(by time.Duration) { now = now.Add(by) }
 }
 
-func listing1(id string, boot time.Time) Update {
+func listOne(id string, boot time.Time) Update {
 	return Update{Servers: []Server{{Addr: id, LastBoot: boot, ServerEntry: logic.ServerEntry{ID: id, Kind: "r", Weight: 1}}}}
 }
 
 var wallSteps = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
 // Guards: the age of a replica is found once. A step of the wall clock after that neither warms nor cools it, whatever list names it again.
-func TestWallClockStepChangesNoKnownAge(t *testing.T) {
+func TestWallClockStepKeepsKnownAge(t *testing.T) {
 	for _, step := range wallSteps {
-		d, wall, pass := startsOf(t)
+		d, wall, advance := newSteppedCore(t)
 		boot := wall.read().Add(-4 * time.Second)
-		listing1("x", boot).apply(d)
+		listOne("x", boot).apply(d)
 		want := d.servers["x"].Started
 		if want != d.now()-4*time.Second {
 			t.Fatalf("started %v ago", d.now()-want)
 		}
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		wall.step = step
-		listing1("x", boot).apply(d)
+		listOne("x", boot).apply(d)
 		if got := d.servers["x"].Started; got != want {
 			t.Errorf("step %v: started at %v, then at %v", step, want, got)
 		}
@@ -53,14 +53,14 @@
 
 // Guards: a replica that is newly told of is never taken for older than it is, whatever the wall clock shows by then, and for no more than
 // the step younger.
-func TestNewReplicaIsNeverTakenForWarmer(t *testing.T) {
+func TestNewReplicaIsNeverDatedTooOld(t *testing.T) {
 	for _, step := range wallSteps {
-		d, wall, pass := startsOf(t)
-		listing1("x", time.Time{}).apply(d)
-		pass(time.Minute)
+		d, wall, advance := newSteppedCore(t)
+		listOne("x", time.Time{}).apply(d)
+		advance(time.Minute)
 		boot := wall.read().Add(-4 * time.Second) // by a clock that was not stepped
 		wall.step = step
-		listing1("y", boot).apply(d)
+		listOne("y", boot).apply(d)
 		age := d.now() - d.servers["y"].Started
 		if age > 4*time.Second || step >= 0 && age != 4*time.Second {
 			t.Errorf("step %v: a replica of 4 s is taken for %v old", step, age)
@@ -70,40 +70,40 @@
 
 // Guards: a start in the future, or longer ago than a replica that was not in the lists before can have run, is a just started one.
 func TestImplausibleStartCountsAsJustStarted(t *testing.T) {
-	d, wall, pass := startsOf(t)
-	listing1("x", time.Time{}).apply(d)
-	pass(5 * time.Second)
+	d, wall, advance := newSteppedCore(t)
+	listOne("x", time.Time{}).apply(d)
+	advance(5 * time.Second)
 	for id, boot := range map[string]time.Duration{"ahead": time.Hour, "old": -time.Hour} {
-		listing1(id, wall.read().Add(boot)).apply(d)
+		listOne(id, wall.read().Add(boot)).apply(d)
 		if age := d.now() - d.servers[id].Started; age != 0 {
 			t.Errorf("%s: taken for %v old", id, age)
 		}
 	}
-	listing1("long-ago", time.Time{}).apply(d)
+	listOne("long-ago", time.Time{}).apply(d)
 	if s := d.servers["long-ago"]; s.Started != 0 {
 		t.Errorf("a replica that started long ago has started at %v", s.Started)
 	}
 }
 
 // Guards: what was known before discovery answered keeps the age that its list tells, also where that is long.
-func TestFirstListsAreBelieved(t *testing.T) {
-	d, wall, _ := startsOf(t)
-	d.takeList(listing1("x", wall.read().Add(-time.Hour)))
+func TestFirstListsAreTrusted(t *testing.T) {
+	d, wall, _ := newSteppedCore(t)
+	d.applyList(listOne("x", wall.read().Add(-time.Hour)))
 	if age := d.now() - d.servers["x"].Started; age != time.Hour {
 		t.Errorf("taken for %v old", age)
 	}
-	d.takeList(listing1("y", wall.read().Add(-2*clockOrigin)))
+	d.applyList(listOne("y", wall.read().Add(-2*clockOrigin)))
 	if s := d.servers["y"]; s.Started != 0 {
 		t.Errorf("started at %v", s.Started)
 	}
 }
 
 // Guards: replicas that come and go for days leave nothing behind.
-func TestStartTimesAreForgotten(t *testing.T) {
-	d, wall, pass := startsOf(t)
+func TestStartTimesExpire(t *testing.T) {
+	d, wall, advance := newSteppedCore(t)
 	for range 50 {
-		listing1(wall.read().String(), wall.read()).apply(d)
-		pass(time.Minute)
+		listOne(wall.read().String(), wall.read()).apply(d)
+		advance(time.Minute)
 	}
 	if n := len(d.starts.known); n > 20 {
 		t.Errorf("%d starts are remembered", n)
@@ -112,17 +112,17 @@
 
 // Guards: the module's clock runs with the monotonic clock, and its moments come back as such.
 func TestModuleClockIsMonotonic(t *testing.T) {
-	d, wall, pass := startsOf(t)
+	d, wall, advance := newSteppedCore(t)
 	before := d.now()
 	wall.step = time.Hour
-	pass(time.Second)
+	advance(time.Second)
 	if d.now()-before != time.Second {
 		t.Errorf("%v went by in a second", d.now()-before)
 	}
 	if at := d.timeAt(d.now() + time.Second); at.Sub(d.clock()) != time.Second {
 		t.Errorf("a second ahead lies %v ahead", at.Sub(d.clock()))
 	}
-	real, _ := core(t, 9)
+	real, _ := newCore(t, 9)
 	if at := real.timeAt(real.now()); at.String() == at.Round(0).String() {
 		t.Error("a moment of the module's clock has no monotonic reading")
 	}
--- a/internal/dispatch/take.go
+++ b/internal/dispatch/submit.go
@@ -58,7 +58,7 @@
 // Abandon says that the client has gone. The answer still comes: Left, or what was decided before.
 // No attempt begins any more, also before the core has heard of it.
 func (t *Ticket) Abandon() {
-	t.r.left.Store(true)
+	t.r.clientGone.Store(true)
 	t.d.post(departure{t.r})
 }
 
@@ -66,7 +66,7 @@
 func (t *Ticket) Finish() {
 	close(t.finished)
 	t.d.Phases.end()
-	t.d.Counts.opened(-1)
+	t.d.Counts.addOpen(-1)
 }
 
 // Finished is closed by Finish.
@@ -75,10 +75,10 @@
 // Submit hands in a request.
 func (d *Dispatcher) Submit(q Request) *Ticket {
 	t := &Ticket{d: d, answer: make(chan Answer, 1), finished: make(chan struct{})}
-	t.r = &request{id: q.ID, ask: q.Spec, received: q.Received, parcel: q.Payload, size: q.Size, movable: q.Resumable, noted: q.Intents, ticket: t,
-		clientGone: q.ClientGone}
+	t.r = &request{id: q.ID, spec: q.Spec, received: q.Received, payload: q.Payload, size: q.Size, resumable: q.Resumable, intents: q.Intents, ticket: t,
+		checkClientGone: q.ClientGone}
 	d.Phases.begin()
-	d.Counts.opened(1)
+	d.Counts.addOpen(1)
 	d.post(arrival{t.r})
 	return t
 }
