--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -7,7 +7,8 @@
 	"standpulley/logic"
 )
 
-// request is one that was taken, from its arrival until its answer is given and no attempt is out.
+// request is an open request. It is kept from its submission until it is answered and has no
+// attempt in flight.
 type request struct {
 	id              string
 	spec            logic.Request
@@ -19,34 +20,35 @@
 	resumable       bool
 	intents         IntentRecorder
 	ticket          *Ticket
-	waitedTooLong   bool        // it has waited for the core for too long to be decided
-	clientGone      atomic.Bool // the client has gone; any goroutine may find that out
+	waitedTooLong   bool        // the request waited too long in the inbox and the core is overloaded
+	clientGone      atomic.Bool // the client has gone; may be set from any goroutine
 	checkClientGone func() bool
 	answered        bool
 	answeredAt      time.Duration
 	verdict         Verdict
 	sent            int
-	inFlight        map[int]*attempt // by number
-	mayHaveRun      bool             // an attempt that ended may have run
-	reachedReplica  bool             // an attempt that ended may have come to its replica
-	held            heldState        // at the first stage
-	orphaned        bool             // a read ended without a word on what it left behind
-	unresolved      bool             // a read was given up, and goes on if its replica could not hear of that
-	uncertainSince  time.Time        // when the first attempt that may have run, or may be out yet, was sent
+	inFlight        map[int]*attempt // attempts by number
+	mayHaveRun      bool             // an attempt that has ended may have run
+	reachedReplica  bool             // an attempt that has ended may have reached its replica
+	held            heldState        // state that a reader holds
+	orphaned        bool             // a read ended without reporting whether it left state behind
+	unresolved      bool             // a read was given up and may continue if its replica did not notice
+	uncertainSince  time.Time        // send time of the first attempt that may have run or may still be running
 }
 
 const (
-	fullRetryAfter = 200 * time.Millisecond // advice to a client for whom the table has no room
-	// The module's own timer fires at the deadline. What it left unanswered is failed this much later, still
-	// inside the slack.
+	fullRetryAfter = 200 * time.Millisecond // retry advice when the table of open requests has no room or the core is overloaded
+	// The timer of the decision module fires at the deadline. A request that it leaves unanswered
+	// is failed this much later, still within answerSlack.
 	deadlineGrace = 10 * time.Millisecond
 )
 
-// admit enters a request into the table and lets the module decide. Turned away here is only what the module is
-// never told of: a request beyond the table's bound, and an id that is open already.
+// admit enters a request into the table and passes it to the decision module. Requests that the
+// module never sees are rejected here, for instance when the table is full, when the class is
+// unknown or when a request with the same id is already open.
 func (d *Dispatcher) admit(r *request) {
 	d.Counts.countTaken(r)
-	if r.answered { // its client has left meanwhile
+	if r.answered { // the client left before the request was admitted
 		r.payload = nil
 		return
 	}
@@ -77,22 +79,23 @@
 	}
 	r.inFlight = map[int]*attempt{}
 	d.requests[r.id] = r
-	d.Phases.begin() // until it is forgotten: answered, with nothing out and nothing held
+	d.Phases.begin() // ended by forgetIfDone: the request is answered, has no attempt in flight and no release pending
 	d.openBytes += r.size
 	r.deadline = r.received.Add(r.spec.Remaining)
-	r.spec.Remaining = max(r.deadline.Sub(d.clock()), 0) // some of it may have gone by on the way here
+	r.spec.Remaining = max(r.deadline.Sub(d.clock()), 0) // part of the time may have passed before the request got here
 	d.after(r.spec.Remaining+deadlineGrace, func() { d.deadlinePassed(r) })
 	d.route(logic.Event{Kind: logic.Arrived, RequestID: r.id, Request: r.spec})
 }
 
-// overtime answers a request that the module has not answered by its deadline.
+// deadlinePassed fails a request that the decision module has not answered by its deadline.
 func (d *Dispatcher) deadlinePassed(r *request) {
 	if !r.answered {
 		d.giveUp(r, Answer{Verdict: Failed, Reason: "deadline"}, DeadlineExceeded)
 	}
 }
 
-// clientLeft tells whether a request's client has gone, as far as anybody can tell now.
+// isClientGone reports whether the client is known to have gone, checking the connection if
+// possible.
 func (r *request) isClientGone() bool {
 	if !r.clientGone.Load() && r.checkClientGone != nil && r.checkClientGone() {
 		r.clientGone.Store(true)
@@ -100,7 +103,8 @@
 	return r.clientGone.Load()
 }
 
-// giveUp answers a request over the module's head, which is told that it has gone.
+// giveUp answers a request without asking the decision module, and tells the module that the
+// request has gone.
 func (d *Dispatcher) giveUp(r *request, a Answer, cause Cause) {
 	d.answer(r, a)
 	d.cancelAll(r, cause)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,14 +1,15 @@
-// Package dispatch is the core of the dispatcher: requests, attempts and outcomes. It knows no wire.
+// Package dispatch is the core of the dispatcher. It owns requests, their attempts and the
+// outcomes, and does not depend on any wire protocol.
 //
-// One goroutine (Run) owns the decision module, the clock and the timers. Everybody else posts messages to it.
-// A request passes the stages take in, admit, route, send, relay and book, each in a file of its own:
+// One goroutine (Run) owns the decision module (package logic), the clock and the timers. All other
+// goroutines post messages to it. A request passes through these stages, each in a file of its own:
 //
-//	take.go   a front hands in a request and gets a Ticket for its one final answer
-//	admit.go  the request enters the table of open requests, or is turned away
-//	route.go  the module decides; its actions are carried out
-//	send.go   an attempt goes out, if the rules on repeats let it
-//	relay.go  an attempt's stream begins and is handed to the client
-//	book.go   an attempt ends, a client leaves: what is owed and held is settled
+//	submit.go  a front submits a request and gets a Ticket for its one final answer
+//	admit.go   the request enters the table of open requests or is rejected
+//	route.go   the decision module handles an event and its actions are executed
+//	send.go    an attempt is sent if the rules on repeats allow it
+//	relay.go   the stream of an attempt begins and is handed to the client
+//	finish.go  an attempt ends or a client leaves, and state and table entries are cleaned up
 package dispatch
 
 import (
@@ -20,96 +21,103 @@
 	"standpulley/logic"
 )
 
-// Server is one entry of the list of replicas with the address at which it is reached.
+// Server is an entry of the list of replicas together with the address of the replica.
 type Server struct {
 	logic.ServerEntry
 	Addr     string
-	LastBoot time.Time // when its process started, by the wall clock of who made the list; zero: long ago. The core derives Started.
+	LastBoot time.Time // process start by the wall clock of whoever made the list; zero: long ago. The core derives Started from it.
 
-	withdrawn *atomic.Bool // by a later list; the core's own
+	withdrawn *atomic.Bool // set when a later list removes, drains or moves the replica; managed by the core
 }
 
-// Update is the whole list of replicas, or what changed of it.
+// Update is a change to the list of replicas, or the complete list if Full is set.
 type Update struct {
-	Version int64 // of discovery's list; 0 where there is none
+	Version int64 // version of the list from discovery; 0 if it has none
 	Full    bool
 	Servers []Server
 }
 
-// Target is where an attempt goes and how long it may take.
+// Target is the destination and the time limit of an attempt.
 type Target struct {
 	Server          string
 	Addr            string
 	Until           time.Time
-	NoReuse         bool         // it would be lost on a connection whose other side is gone unseen
-	BeforeSend      func() error // asked right before the first byte; nil: it may leave
-	SettingsVersion string       // of the settings that it is sent by; empty where dispatchers do not agree on them
+	NoReuse         bool         // use a new connection: on an idle one whose peer has disappeared unnoticed the request may be lost, and it must not be repeated
+	BeforeSend      func() error // called right before the first byte is written; an error stops the attempt, nil means no check
+	SettingsVersion string       // version of the settings in force; empty if dispatchers do not agree on settings
 }
 
-// Payload is a request in the form of its wire; only it knows how to travel.
+// Payload is a request in the form of its wire protocol, which only the transport knows.
 type Payload interface {
-	// Send starts an attempt and returns at once. The attempt tells of itself through Report.
+	// Send starts an attempt and returns at once. The attempt reports its progress to the
+	// AttemptObserver.
 	Send(to Target, tell AttemptObserver) Attempt
 }
 
-// Attempt is one that is out.
+// Attempt is an attempt in flight.
 type Attempt interface {
-	// Cancel gives it up. It does not block; the attempt still reports that it ended.
+	// Cancel aborts the attempt without blocking. The attempt still reports its end.
 	Cancel()
 }
 
-// AttemptObserver is how an attempt tells of itself: Written and Began at most once, then Ended exactly once.
+// AttemptObserver receives the progress of an attempt: Written and Began at most once each, then
+// Ended exactly once.
 type AttemptObserver interface {
 	Written()
 	Began(Stream)
 	Ended(Result)
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt that ended without a stream, or whose stream has ended.
 type Result struct {
 	Outcome    logic.Outcome
-	Tokens     int64  // prompt tokens found kept, with ReadDone
-	NoState    bool   // with Full: there was no state to fetch; else: the attempt has taken it
-	NoLease    bool   // with NotSent: there was no leave to send
-	ClientGone bool   // with NotSent: the client had gone
-	Detail     string // for people
+	Tokens     int64  // with ReadDone: prompt tokens that were found in the cache of the reader
+	NoState    bool   // with Full: there was no state to fetch; otherwise: the attempt has consumed the state
+	NoLease    bool   // with NotSent: the dispatcher had no lease that allows sending
+	ClientGone bool   // with NotSent: the client had closed its connection
+	Detail     string // for operators, not parsed
 }
 
-// Stream is an answer that has begun. Whoever holds it reads to the end or closes it.
+// Stream is an answer that has begun. Its holder must read it to the end or close it.
 type Stream interface {
-	// Next gives the next bytes, valid until the call after. io.EOF tells that the stream is whole; any other
-	// error, that it is not.
+	// Next returns the next bytes, which are valid until the following call. It returns io.EOF at
+	// the end of a complete stream and any other error if the stream is incomplete.
 	Next() ([]byte, error)
 	Close()
 }
 
-// Releaser lets go of all that replicas hold for a request. It does not block. Replicas are asked in the order of their addresses.
+// Releaser makes replicas release everything that they hold for a request. It does not block.
+// Replicas are tried in the order of addrs.
 type Releaser interface {
 	Release(id string, addrs []string)
-	// ReleaseThen does the same and calls then once, from any goroutine: when a replica has confirmed it, or after a time.
+	// ReleaseThen does the same and calls then once, from any goroutine: with true once a replica
+	// has confirmed the release, or with false after the time within.
 	ReleaseThen(id string, addrs []string, within time.Duration, then func(confirmed bool))
-	// ReleaseAt asks one replica once, and calls then with whether it has answered, from any goroutine.
+	// ReleaseAt makes one call to one replica and then calls then, from any goroutine, with whether
+	// the replica answered.
 	ReleaseAt(id, addr string, then func(answered bool))
 }
 
-// Prober asks replicas whether they are well.
+// Prober sends health probes to replicas.
 type Prober interface {
-	// Probe asks the replica at addr and calls then once, from any goroutine, with Delivered or what went wrong. It does not block.
+	// Probe sends a probe to the replica at addr without blocking. It calls then once, from any
+	// goroutine, with Delivered or with the kind of failure.
 	Probe(addr string, then func(logic.Outcome))
 }
 
-// Clock tells the time. Only spans between its readings count.
+// Clock returns the current time. Only differences between its readings are used.
 type Clock func() time.Time
 
-// message is what is posted to the goroutine that owns the core.
+// message is posted to the goroutine that owns the core, which calls apply.
 type message interface{ apply(d *Dispatcher) }
 
-// Dispatcher is the core.
+// Dispatcher is the core: it owns the open requests and executes the actions of the decision
+// module.
 type Dispatcher struct {
 	Phases *Phases
 	Counts *Counts
 	Delays *Delays
-	Prober Prober // set before Run; nil: no replica answers probes
+	Prober Prober // set before Run; nil: probes count as unanswered
 
 	set      logic.Settings
 	router   *logic.Router
@@ -118,31 +126,31 @@
 	inbox    *inbox
 	done     chan struct{}
 
-	// What follows belongs to Run's goroutine.
-	startedAt        time.Time // the core itself, by clock
+	// The fields below belong to the goroutine of Run.
+	startedAt        time.Time // start of the core by clock
 	starts           *startTimes
 	requests         map[string]*request
 	servers          map[string]*Server
-	releaseRanking   []string // addresses of the replicas, the surest to be there first; nil: to be made anew
+	releaseRanking   []string // addresses of all replicas in order of preference for releases; nil: must be rebuilt
 	sampleSeed       maphash.Seed
 	timers           timerHeap
 	actions          []logic.Action
-	events           []logic.Event // that answer actions at once
+	events           []logic.Event // outcomes of actions that end at once, still to be routed
 	bounds           Bounds
-	openBytes        int // of the open requests
+	openBytes        int // sum of the payload sizes of the open requests
 	lease            Lease
-	admissionStopped bool // nothing more is taken
+	admissionStopped bool // all new requests are refused
 	overload         overload
-	abandoned        map[string]*abandonedReads // by the replica's address
+	abandoned        map[string]*abandonedReads // by address of the replica
 }
 
-// Bounds are those of the table of open requests.
+// Bounds are the limits of the table of open requests.
 type Bounds struct {
 	Requests int
-	Bytes    int // of their parcels together
+	Bytes    int // sum of the payload sizes
 }
 
-// under gives the bounds that hold with some settings.
+// cappedBy returns the bounds, with Requests limited to MaxOpen of the settings.
 func (b Bounds) cappedBy(set logic.Settings) Bounds {
 	if set.MaxOpen > 0 {
 		b.Requests = min(b.Requests, set.MaxOpen)
@@ -150,7 +158,7 @@
 	return b
 }
 
-// New makes a Dispatcher that knows the replicas of an initial list.
+// New returns a Dispatcher that starts with the replicas of an initial list.
 func New(set logic.Settings, seed uint64, known Update, releaser Releaser, bounds Bounds) (*Dispatcher, error) {
 	router, err := logic.New(set, seed)
 	if err != nil {
@@ -167,8 +175,9 @@
 	return d, nil
 }
 
-// UpdateSettings puts other settings in force, or says which is wrong. Requests that are open keep their class. With a licence
-// they keep to the stricter rule on repeats.
+// UpdateSettings puts new settings in force, or returns an error that names the invalid setting.
+// Open requests keep their class. If a lease is given, open requests follow the stricter of the old
+// and the new rule on repeats.
 func (d *Dispatcher) UpdateSettings(set logic.Settings, bounds Bounds, lease Lease) error {
 	q := settingsUpdate{set, bounds, lease, make(chan error, 1)}
 	d.post(q)
@@ -200,7 +209,7 @@
 	q.reply <- err
 }
 
-// Run owns the core until Stop.
+// Run runs the event loop of the core until Stop.
 func (d *Dispatcher) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -212,7 +221,7 @@
 	d.checkExit()
 }
 
-// await returns when something may have been posted, when the next timer is due, or at Stop.
+// await returns when a message may have been posted, when the next timer is due, or at Stop.
 func (d *Dispatcher) await(timer *time.Timer) {
 	wait := time.Hour
 	if len(d.timers) > 0 {
@@ -226,7 +235,7 @@
 	}
 }
 
-// stopped tells whether Stop was called.
+// stopped reports whether Stop was called.
 func (d *Dispatcher) stopped() bool {
 	select {
 	case <-d.done:
@@ -236,17 +245,17 @@
 	}
 }
 
-// Stop ends Run. Messages posted later are dropped.
+// Stop ends Run. Messages that are posted later are dropped.
 func (d *Dispatcher) Stop() { close(d.done) }
 
-// post hands a message to the core's goroutine. It does not block.
+// post queues a message for the core's goroutine without blocking.
 func (d *Dispatcher) post(m message) {
 	if !d.stopped() {
 		d.inbox.put(m)
 	}
 }
 
-// UpdateServers takes a list of replicas.
+// UpdateServers applies a change of the list of replicas.
 func (d *Dispatcher) UpdateServers(u Update) { d.post(u) }
 
 func (u Update) apply(d *Dispatcher) {
@@ -254,7 +263,7 @@
 	d.applyList(u)
 }
 
-// alarm is a time at which something is to be done on the core's goroutine.
+// timerEntry is a function to be run on the core's goroutine at a given time.
 type timerEntry struct {
 	at time.Time
 	do func()
@@ -278,7 +287,8 @@
 	heap.Push(&d.timers, timerEntry{d.clock().Add(wait), do})
 }
 
-// ring does what is due, but no more than one turn may, and tells whether anything was.
+// runTimers runs the timers that are due, at most maxPerIteration of them, and reports whether
+// there were any.
 func (d *Dispatcher) runTimers() (busy bool) {
 	for range maxPerIteration {
 		if len(d.timers) == 0 || d.timers[0].at.After(d.clock()) {
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -6,7 +6,7 @@
 	"standpulley/logic"
 )
 
-// Written is called by the transport when the attempt's last byte is written.
+// Written is called by the transport when the last byte of the attempt has been written.
 func (at *attempt) Written() {
 	c := at.d.Counts
 	c.mu.Lock()
@@ -14,7 +14,7 @@
 	c.mu.Unlock()
 }
 
-// Ended is called by the transport when the attempt is over.
+// Ended is called by the transport when the attempt has ended.
 func (at *attempt) Ended(res Result) { at.d.post(attemptEnd{at, res}) }
 
 type attemptEnd struct {
@@ -24,13 +24,14 @@
 
 func (e attemptEnd) apply(d *Dispatcher) { d.finishAttempt(e.at, e.res) }
 
-// ended books an attempt's end.
+// finishAttempt records the end of an attempt and passes it to the decision module, after releasing
+// state that the attempt may have left behind.
 func (d *Dispatcher) finishAttempt(at *attempt, res Result) {
 	r := at.r
 	delete(r.inFlight, at.number)
 	out := res.Outcome
 	if out == logic.ReadDone && at.role != logic.Reader {
-		out = logic.ServerError // only a reader can say that nothing but a read was done
+		out = logic.ServerError // only a reader can report that nothing but a read was done
 	}
 	d.checkEnd(at, out)
 	r.reachedReplica = r.reachedReplica || out != logic.NotSent && out != logic.ConnectFailed
@@ -67,7 +68,7 @@
 		d.giveUp(r, Answer{Verdict: ClientLeft}, ClientGone)
 	}
 	if res.NoLease {
-		d.giveUpWithoutLease(r) // before the module tries elsewhere: there is no leave anywhere
+		d.giveUpWithoutLease(r) // before the decision module tries another replica: without a lease nothing can be sent
 	}
 	settled := attemptSettled{r, logic.Event{Kind: logic.Ended, RequestID: r.id, Server: at.server, Attempt: at.number, Outcome: out,
 		Took: d.clock().Sub(at.sentAt), Tokens: res.Tokens, NoState: res.NoState}}
@@ -79,7 +80,8 @@
 	settled.apply(d)
 }
 
-// attemptBooked comes when the decision module may hear of an attempt's end: what it may have left is released, and another may be sent.
+// attemptSettled is posted when the state that an attempt may have left behind is released. The
+// decision module is then told about the end of the attempt and may send another one.
 type attemptSettled struct {
 	r  *request
 	ev logic.Event
@@ -92,32 +94,33 @@
 	d.forgetIfDone(b.r)
 }
 
-// neverRan tells whether an outcome proves that the attempt had no effect.
+// neverRan reports whether an outcome proves that the attempt had no effect.
 func neverRan(o logic.Outcome) bool {
 	return o == logic.Full || o == logic.ConnectFailed || o == logic.NotSent || o == logic.ReadDone
 }
 
 type departure struct{ r *request }
 
-// apply books a client that left before its answer.
+// apply answers a request whose client left before the answer.
 func (g departure) apply(d *Dispatcher) {
 	if g.r.answered {
 		return
 	}
-	if d.requests[g.r.id] != g.r { // its arrival still waits; another request with this id may be open
+	if d.requests[g.r.id] != g.r { // the arrival is still queued; another request with the same id may be open
 		d.answer(g.r, Answer{Verdict: ClientLeft})
 		return
 	}
 	d.giveUp(g.r, Answer{Verdict: ClientLeft}, ClientGone)
 }
 
-// settle forgets a request that is answered and has no attempt out.
+// forgetIfDone removes a request from the table once it is answered and has no attempt in flight.
 func (d *Dispatcher) forgetIfDone(r *request) {
 	if d.mayForget(r) {
 		delete(d.requests, r.id)
 		d.openBytes -= r.size
-		r.payload = nil // its timers still know the request for a while, and must not keep its body
-		// Also behind an answer: the read may end on its replica after the fetch that let go of all the rest.
+		r.payload = nil // timers still refer to the request for a while and must not keep its body in memory
+		// This is needed after an answer too: the read may end at its replica after the fetch that
+		// released everything else.
 		if r.orphaned {
 			d.releaseOrphaned(r)
 		}
@@ -125,8 +128,9 @@
 	}
 }
 
-// release has all let go that is held for a request. Any replica will do: first the one that holds it, if that is known, as it is well
-// or nothing is held there any more; then those that are surest to be there, in service and long started.
+// release makes a replica release everything that is held for a request. Any replica can do that.
+// The holder, if known, is tried first, because it is healthy or no longer holds anything. Then
+// come the replicas that are most likely to be up: those in service that started long ago.
 func (d *Dispatcher) release(id, holder string, cause Cause) {
 	d.countRelease(id, holder, cause)
 	d.releaser.Release(id, d.releaseOrder(id, holder))
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -9,43 +9,47 @@
 	"standpulley/logic"
 )
 
-// This file is the one place that decides whether something of a request may be done now: whether an attempt may be sent, may repeat an
-// earlier one and may still leave, whether an answer may say that trying again is harmless, whether what is held may be released, and
-// whether the request may be forgotten. What is decided here is decided by what is proven, never by what a call of this machine's own
-// seemed to achieve: bytes that were written have not arrived, a connection that was closed is not closed on the other side, and a time
-// that was read is past when it is acted on. At the end of each step the rules are checked again by what happened; what does not hold is
-// counted as RuleViolated and logged with the request.
-
-// The rules that are checked at run time.
+// This file is the only place that decides whether a step is allowed for a request: whether an
+// attempt may be sent, may repeat an earlier one and may still leave, whether an answer may say
+// that retrying is harmless, whether held state may be released, and whether the request may be
+// forgotten. These decisions rest on proof only, never on the apparent success of a local call:
+// written bytes may not have arrived, a connection closed here may still be open on the other side,
+// and a clock reading is already in the past when it is used. At the end of each step the rules are
+// checked again against what happened. A violation is counted as RuleViolated and logged with the
+// request.
+
+// Rules that are checked at run time.
 const (
-	AnsweredLate     Cause = "answered_late"      // the final answer came over half a second after the deadline
-	SentAfterEnd     Cause = "sent_after_end"     // an attempt's first byte left after its request had its answer
-	RepeatedUnproven Cause = "repeated_unproven"  // what must not run twice was sent again without proof
-	HeldTooLong      Cause = "held_too_long"      // a state was neither fetched nor released in its time
-	UnansweredAtExit Cause = "unanswered_at_exit" // the core stopped with a request that had no answer
+	AnsweredLate     Cause = "answered_late"      // the final answer came more than answerSlack (500 ms) after the deadline
+	SentAfterEnd     Cause = "sent_after_end"     // the first byte of an attempt was sent after its request was answered
+	RepeatedUnproven Cause = "repeated_unproven"  // a request that must not run twice was sent again without proof that it never ran
+	HeldTooLong      Cause = "held_too_long"      // state was neither fetched nor released in time
+	UnansweredAtExit Cause = "unanswered_at_exit" // the core stopped with an unanswered request
 )
 
 const (
-	answerSlack = 500 * time.Millisecond // after the deadline an answer only earns nothing; later it breaks a rule
-	endSlack    = 100 * time.Millisecond // an attempt that left so soon after its request's end could not know of it
-	heldSlack   = 300 * time.Millisecond // that the protocol adds to the time for which a state may be held
-	// heldUp is how long this process may be held up between a look at the clock and what follows from it.
+	answerSlack = 500 * time.Millisecond // an answer after the deadline only loses its value; one later than this breaks a rule
+	endSlack    = 100 * time.Millisecond // an attempt that is sent this soon after the end of its request could not have known about the end
+	heldSlack   = 300 * time.Millisecond // added by the protocol to the time for which state may be held
+	// maxPause is how long this process may be paused between a clock reading and the step that
+	// relies on it.
 	maxPause = 150 * time.Millisecond
 )
 
-// violated books a rule that did not hold.
+// recordViolation counts and logs a violation of a rule.
 func (d *Dispatcher) recordViolation(rule Cause, format string, args ...any) {
 	d.Counts.Count(RuleViolated, rule, fmt.Sprintf(format, args...))
 }
 
-// maySend tells whether a request may go to a server at all.
+// maySend reports whether a request may be sent to a server.
 func (d *Dispatcher) maySend(r *request, s *Server) bool {
 	return s != nil && s.Availability == logic.Ready && !r.answered && d.mayRepeat(r)
 }
 
-// mayRepeat holds the rule on repeats: a request that must not run twice goes out again only when every earlier
-// attempt is proven never to have run, and none is out. What was given up proves neither, at a reader either: the close of its connection
-// does not come to a machine that is cut off.
+// mayRepeat applies the rule on repeats: a request that must not run twice is sent again only if
+// every earlier attempt is proven never to have run and none is in flight. An attempt that was
+// given up gives no such proof, even at a reader, because the close of its connection does not
+// reach a machine that is cut off.
 func (d *Dispatcher) mayRepeat(r *request) bool {
 	if r.sent > d.set.MaxAttempts {
 		return false
@@ -53,7 +57,7 @@
 	return r.class.Repeat != logic.Unsafe && !(d.lease != nil && d.lease.AtMostOnce()) || len(r.inFlight) == 0 && !r.uncertain()
 }
 
-// Why an attempt may not leave any more, though it was routed.
+// Reasons why a routed attempt must not be sent any more.
 var (
 	ErrNoLease            = errors.New("there is no licence to send")
 	ErrWithdrawn          = errors.New("the server was withdrawn meanwhile")
@@ -61,9 +65,11 @@
 	ErrClientGone         = errors.New("the client has gone")
 )
 
-// leave is what an attempt at a server asks before its first byte, whatever kind of send it is. A lease that was renewed since the
-// attempt was routed goes with a list that may be newer than the one it was routed by; as that list is acted on before the lease is
-// renewed, the lease is asked first. Where replicas throw repeats away they do so only for a time, which connecting takes from, and so does whatever holds this process up.
+// beforeSend returns the check that an attempt makes before its first byte, whatever the
+// connection. The lease is checked first, then the list: a lease that was renewed since the attempt
+// was routed may come with a newer list, and that list is applied before the lease is renewed.
+// Replicas discard the repeats of a keyed request only within a time window, and both connecting
+// and pauses of this process use up part of it.
 func (d *Dispatcher) beforeSend(at *attempt, s *Server) func() error {
 	r := at.r
 	lease, once, repeat := d.lease, r.class.Repeat == logic.Unsafe, r.uncertain() || len(r.inFlight) > 1 || r.spec.Resumed
@@ -91,8 +97,9 @@
 	}
 }
 
-// refusable tells whether trying again is harmless: the request runs as often as it likes, all replicas throw its repeats away, or it is
-// proven that it has not run. What is out proves nothing yet, not even at a reader, nor does a read that was given up.
+// mayRefuse reports whether retrying the request is harmless: it may run any number of times, all
+// replicas discard its repeats, or it is proven not to have run. An attempt in flight proves
+// nothing yet, even at a reader, and neither does a read that was given up.
 func (r *request) mayRefuse() bool {
 	if r.class == nil || r.class.Repeat == logic.Safe || r.class.Repeat == logic.Keyed && r.class.Scope == logic.AllServers {
 		return true
@@ -100,10 +107,11 @@
 	return !r.mayRun() && !r.maybeSent() && !r.unresolved
 }
 
-// unsure tells whether an attempt that has ended may have run, or may be out yet.
+// uncertain reports whether an attempt that has ended may have run or may still be running.
 func (r *request) uncertain() bool { return r.mayHaveRun || r.unresolved }
 
-// mayRun tells whether any attempt has run, or may have, or may yet. The rest of a stream is asked for after one ran.
+// mayRun reports whether any attempt ran, may have run or may still run. The rest of a stream is
+// requested only after an attempt ran.
 func (r *request) mayRun() bool {
 	if r.spec.Resumed {
 		return true
@@ -116,18 +124,20 @@
 	return r.mayHaveRun
 }
 
-// mayRelease tells whether what is held for an open request may be let go: what a read in progress will leave would go with it.
+// mayRelease reports whether the state held for an open request may be released. It may not while a
+// read is in flight, because the state of that read would be released too.
 func (r *request) mayRelease() bool { return r.held.addr != "" && !r.hasAttemptAt(logic.Reader) }
 
-// mayHold tells whether a replica may hold something for a request: not where no attempt has come to one.
+// mayHold reports whether a replica may hold state for a request. None does if no attempt has
+// reached a replica.
 func (r *request) mayHold() bool { return r.reachedReplica || r.held.addr != "" || r.maybeSent() }
 
-// mayForget tells whether nothing is owed of a request any more.
+// mayForget reports whether nothing more needs to be done for a request.
 func (d *Dispatcher) mayForget(r *request) bool {
 	return r.answered && len(r.inFlight) == 0 && !r.held.releasePending && d.requests[r.id] == r
 }
 
-// away tells whether an attempt is out that has left, or may have.
+// maybeSent reports whether an attempt is in flight of which bytes may have been sent.
 func (r *request) maybeSent() bool {
 	for _, at := range r.inFlight {
 		if !at.recordingIntent {
@@ -137,12 +147,13 @@
 	return false
 }
 
-// leftAt is when an attempt's first byte left, for the check at its end.
-type firstByteTime struct{ ns atomic.Int64 } // since the core was made; 0: not yet
+// firstByteTime is the time at which the first byte of an attempt was sent, for the check at its
+// end.
+type firstByteTime struct{ ns atomic.Int64 } // by the module's clock; 0: not sent
 
 func (l *firstByteTime) set(at time.Duration) { l.ns.Store(int64(max(at, 1))) }
 
-// checkEnd holds what happened to an attempt against the rules.
+// checkEnd checks the rules on sending and repeating when an attempt ends.
 func (d *Dispatcher) checkEnd(at *attempt, out logic.Outcome) {
 	r, firstByte := at.r, time.Duration(at.firstByte.ns.Load())
 	if firstByte > 0 && r.answered && firstByte > r.answeredAt+endSlack {
@@ -156,14 +167,15 @@
 	}
 }
 
-// checkAnswer holds the time of a final answer against the rule.
+// checkAnswer checks the rule on the time of a final answer.
 func (d *Dispatcher) checkAnswer(r *request) {
 	if late := d.clock().Sub(r.deadline); !r.deadline.IsZero() && late > answerSlack {
 		d.recordViolation(AnsweredLate, "%s %v after its deadline", r.id, late)
 	}
 }
 
-// checkHeld looks, when a state must be gone, whether a fetch or a release was confirmed.
+// checkHeld checks, when the time for which state may be held is over, that a fetch or a release
+// was confirmed.
 func (d *Dispatcher) checkHeld(r *request) {
 	stateID := r.held.stateID
 	d.after(d.set.ReleaseWithin+heldSlack, func() {
@@ -173,7 +185,7 @@
 	})
 }
 
-// checkExit looks for requests without an answer as the core stops.
+// checkExit checks for unanswered requests when the core stops.
 func (d *Dispatcher) checkExit() {
 	for _, r := range d.requests {
 		if !r.answered {
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -7,11 +7,11 @@
 	"standpulley/logic"
 )
 
-// Began is called by the transport when the first event of an answer is there.
+// Began is called by the transport when the first event of an answer has arrived.
 func (at *attempt) Began(s Stream) { at.d.post(streamStart{at, s}) }
 
-// AnswerPending answers what is unanswered, as the program is about to be killed: it is refused, or fails where it may have
-// run. Streams go on.
+// AnswerPending answers all unanswered requests because the program is about to be killed: they are
+// refused, or failed if they may have run. Streams continue.
 func (d *Dispatcher) AnswerPending() { d.post(pendingAnswers{}) }
 
 type pendingAnswers struct{}
@@ -24,15 +24,18 @@
 	}
 }
 
-// StopAdmission refuses what comes from now on, before anything of it is sent: it could not be finished before the program is killed.
+// StopAdmission refuses all further requests before anything is sent for them, as they could not
+// finish before the program is killed.
 func (d *Dispatcher) StopAdmission() { d.post(admissionStop{}) }
 
 type admissionStop struct{}
 
 func (admissionStop) apply(d *Dispatcher) { d.admissionStopped = true }
 
-// CloseResumable ends the streams whose clients ask another dispatcher for the rest, as the program is about to be killed. They
-// are spread over a time, as all of their prompts are read anew. The youngest go first: the others may yet end.
+// CloseResumable closes the streams whose clients ask another dispatcher for the rest, because the
+// program is about to be killed. The closes are spread over the given time, as every prompt must be
+// read again. The youngest streams are closed first, because the older ones may still end on their
+// own.
 func (d *Dispatcher) CloseResumable(over time.Duration) { d.post(resumableClose(over)) }
 
 type resumableClose time.Duration
@@ -57,13 +60,14 @@
 	stream Stream
 }
 
-// apply hands the stream to the client: from now on the attempt is the client's, and nothing more goes out for
-// the request. Where another answer came first, or the attempt was given up, the stream is closed.
+// apply hands the stream to the client. From now on the attempt belongs to the client, and no
+// further attempt is sent for the request. If the request was answered before or the attempt was
+// given up, the stream is closed.
 func (b streamStart) apply(d *Dispatcher) {
 	at, r := b.at, b.at.r
 	if r.answered || at.cancelled {
 		at.cancelled = true
-		go b.stream.Close() // it posts its end, and nobody takes it while we wait
+		go b.stream.Close() // Close posts the end of the attempt, which this goroutine would have to process
 		return
 	}
 	at.stream, at.beganAt = b.stream, d.clock()
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -6,12 +6,12 @@
 	"standpulley/logic"
 )
 
-// route lets the module decide on an event and carries out what it says. Actions that have their outcome at once
-// make further events; they follow in their order.
+// route passes an event to the decision module and executes the resulting actions. Actions that end
+// at once add further events, which are handled in order.
 func (d *Dispatcher) route(ev logic.Event) {
 	d.events = append(d.events, ev)
 	if len(d.events) > 1 {
-		return // the loop below, further up the stack, takes it
+		return // the loop below, in a caller of this function, handles it
 	}
 	for i := 0; i < len(d.events); i++ {
 		actions := d.router.Handle(d.now(), &d.events[i], d.actions[:0])
@@ -25,14 +25,16 @@
 	d.events = d.events[:0]
 }
 
-// holdings are what may be held for the requests that are to be released. A request may be forgotten by the time of its release, as its final
-// answer comes first.
+// holders gives the holder of the state for each request to be released. It is built before the
+// actions are executed, because the final answer comes before the release and may remove the
+// request from the table.
 type holders map[string]holder
 
-// holding is what is known of one request. The zero value is that of one that is unknown.
+// holder tells which replica holds state for a request. The zero value stands for an unknown
+// request.
 type holder struct {
-	addr        string // of the replica that holds something; empty: not known
-	nothingHeld bool   // no attempt has come to a replica, so nothing is held anywhere
+	addr        string // address of the replica that holds state; empty: not known
+	nothingHeld bool   // no attempt has reached a replica, so no replica holds anything
 }
 
 func (d *Dispatcher) holdersOf(actions []logic.Action) holders {
@@ -48,7 +50,8 @@
 	return all
 }
 
-// refusedAfter is the advice to a refused client where the module gives none: without any it would come at once.
+// minRetryAfter is the retry advice if the decision module gives none or a shorter one: without it
+// clients would retry at once.
 const minRetryAfter = 100 * time.Millisecond
 
 func (d *Dispatcher) execute(a logic.Action, known holders) {
@@ -56,13 +59,13 @@
 	case logic.Wake:
 		d.after(a.After, func() { d.route(logic.Event{Kind: logic.TimerFired, Tag: a.Tag}) })
 		return
-	case logic.Watch: // discovery is watched all the time
+	case logic.Watch: // the core receives list changes all the time
 		return
 	case logic.Probe:
 		d.probe(a.Server)
 		return
 	case logic.Release:
-		if h := known[a.RequestID]; !h.nothingHeld { // a call would take a connection that others need
+		if h := known[a.RequestID]; !h.nothingHeld { // a needless call would take a connection that others need
 			d.release(a.RequestID, h.addr, RequestEnded)
 		}
 		return
@@ -87,8 +90,9 @@
 	}
 }
 
-// answer gives the one final answer; a second one is dropped. A refusal says that trying again is harmless, so
-// where that is not proven the answer is a failure, whatever the module decided.
+// answer delivers the final answer; later answers are dropped. A refusal promises that retrying is
+// harmless, so without proof of that the request fails instead, whatever the decision module
+// decided.
 func (d *Dispatcher) answer(r *request, a Answer) {
 	if r.answered {
 		return
@@ -100,11 +104,11 @@
 	if a.Verdict == Refused && !r.mayRefuse() {
 		a.Verdict = Failed
 	}
-	if a.Verdict == Refused { // a refusal always says when to come back
+	if a.Verdict == Refused { // a refusal always carries retry advice
 		a.RetryAfter = max(a.RetryAfter, minRetryAfter)
 	}
 	r.answered, r.verdict, r.answeredAt = true, a.Verdict, d.now()
 	d.checkAnswer(r)
 	d.Counts.recordAnswer(r, a)
-	r.ticket.answer <- a // there is room for the one answer
+	r.ticket.answer <- a // does not block: the channel has a buffer for the one answer
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -7,7 +7,8 @@
 	"standpulley/logic"
 )
 
-// attempt is one send of a request. Its transport reports to it from goroutines of its own.
+// attempt is one send of a request to a replica. Its transport reports to it from its own
+// goroutines.
 type attempt struct {
 	d               *Dispatcher
 	r               *request
@@ -16,17 +17,17 @@
 	addr            string
 	role            logic.Role
 	sentAt          time.Time
-	stateReleased   bool // the state that it was to fetch was let go meanwhile
+	stateReleased   bool // the state to be fetched was released in the meantime
 	firstByte       firstByteTime
 	transport       Attempt
-	stream          Stream // the client's, once it was handed over
+	stream          Stream // set once the stream has been handed to the client
 	beganAt         time.Time
 	cancelled       bool                // given up: its stream is no longer wanted
-	recordingIntent bool                // its intent is being noted, so nothing of it has left
-	endIntent       func(logic.Outcome) // takes how it ended, where it was noted
+	recordingIntent bool                // the intent is being recorded; nothing has been sent yet
+	endIntent       func(logic.Outcome) // takes the outcome of the attempt if its intent was recorded
 }
 
-// send makes an attempt, unless a rule forbids it: then it ends at once as not sent.
+// send starts an attempt. If a rule forbids it, the attempt ends at once with NotSent.
 func (d *Dispatcher) send(r *request, a logic.Action) {
 	at := &attempt{d: d, r: r, number: r.sent, server: a.Server, sentAt: d.clock()}
 	r.sent++
@@ -48,12 +49,12 @@
 		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: leave, SettingsVersion: d.settingsVersion()})
 }
 
-// cancel gives an attempt up, unless its stream belongs to the client already.
+// cancel gives an attempt up, unless its stream already belongs to the client.
 func (at *attempt) cancel(cause Cause) {
 	if at.stream == nil && !at.cancelled {
 		at.cancelled = true
 		at.d.Counts.Count(AttemptCancelled, cause, fmt.Sprintf("%s attempt %d at %s", at.r.id, at.number, at.server))
-		if at.transport != nil { // else its intent is being noted, and it will not leave
+		if at.transport != nil { // otherwise the intent is being recorded, and the attempt will not be sent
 			at.transport.Cancel()
 		}
 	}
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -6,18 +6,19 @@
 	"standpulley/logic"
 )
 
-// Request is what a front hands in.
+// Request is a request that a front submits.
 type Request struct {
 	ID        string
 	Spec      logic.Request
-	Received  time.Time // when its last byte came: its deadline counts from here
+	Received  time.Time // arrival of the last byte; the deadline counts from here
 	Payload   Payload
-	Size      int            // bytes of memory that the parcel holds
-	Intents   IntentRecorder // nil where nobody is to find its attempts
-	Resumable bool           // its client asks another dispatcher for the rest of a stream that ends early
+	Size      int            // memory of the payload in bytes
+	Intents   IntentRecorder // nil if the attempts need not be recorded
+	Resumable bool           // the client asks another dispatcher for the rest if the stream ends early
 
-	// ClientGone tells whether the client has ended its connection. It is asked right before the first byte of each attempt, from the
-	// attempt's goroutine; nil where nobody can tell.
+	// ClientGone reports whether the client has closed its connection. It is called right before
+	// the first byte of each attempt, from the goroutine of the attempt. It is nil if this cannot
+	// be checked.
 	ClientGone func() bool
 }
 
@@ -26,10 +27,10 @@
 
 // The verdicts.
 const (
-	Served     Verdict = iota // Stream is the answer
-	Refused                   // trying again is harmless
-	Failed                    // nothing is promised: it may have run
-	ClientLeft                // the client left before any of these; nobody is told
+	Served     Verdict = iota // the answer is in Stream
+	Refused                   // retrying is harmless
+	Failed                    // no promise: the request may have run
+	ClientLeft                // the client left before any other verdict; nothing is sent to it
 )
 
 func (v Verdict) String() string { return [...]string{"served", "refused", "failed", "left"}[v] }
@@ -37,14 +38,14 @@
 // Answer is the one final answer to a request.
 type Answer struct {
 	Verdict         Verdict
-	RetryAfter      time.Duration // with Refused: the client should not come back sooner
-	Reason          string        // for people
-	SettingsVersion string        // of the settings that decided
-	MayRun          bool          // an attempt has run, may have, or may yet
+	RetryAfter      time.Duration // with Refused: the client should not retry sooner
+	Reason          string        // for people, not parsed
+	SettingsVersion string        // version of the settings by which the request was decided
+	MayRun          bool          // an attempt ran, may have run or may still run
 	Stream          Stream        // with Served
 }
 
-// Ticket stands for a request that was taken. Exactly one Answer comes.
+// Ticket represents a submitted request. Exactly one Answer is delivered for it.
 type Ticket struct {
 	d        *Dispatcher
 	r        *request
@@ -52,27 +53,29 @@
 	finished chan struct{}
 }
 
-// Answer gives the channel on which the one final answer comes.
+// Answer returns the channel on which the one final answer is delivered.
 func (t *Ticket) Answer() <-chan Answer { return t.answer }
 
-// Abandon says that the client has gone. The answer still comes: Left, or what was decided before.
-// No attempt begins any more, also before the core has heard of it.
+// Abandon reports that the client has gone. An answer is still delivered: ClientLeft, or what was
+// decided before. No attempt starts after this call, even if the core has not yet processed the
+// message.
 func (t *Ticket) Abandon() {
 	t.r.clientGone.Store(true)
 	t.d.post(departure{t.r})
 }
 
-// Finish says that the front has passed the answer on, or could not. The caller owes it after every Answer.
+// Finish reports that the front has passed the answer on or has failed to. The front must call it
+// after every Answer.
 func (t *Ticket) Finish() {
 	close(t.finished)
 	t.d.Phases.end()
 	t.d.Counts.addOpen(-1)
 }
 
-// Finished is closed by Finish.
+// Finished returns a channel that is closed by Finish.
 func (t *Ticket) Finished() <-chan struct{} { return t.finished }
 
-// Submit hands in a request.
+// Submit hands a request to the core.
 func (d *Dispatcher) Submit(q Request) *Ticket {
 	t := &Ticket{d: d, answer: make(chan Answer, 1), finished: make(chan struct{})}
 	t.r = &request{id: q.ID, spec: q.Spec, received: q.Received, payload: q.Payload, size: q.Size, resumable: q.Resumable, intents: q.Intents, ticket: t,
