--- a/internal/dispatch/cause.go
+++ b/internal/dispatch/cause.go
@@ -5,39 +5,39 @@
 	"maps"
 )
 
-// Event is a kind of state transition that operators can count by its cause.
+// Event is a kind of state transition that is counted by cause for operators.
 type Event string
 
 // The events.
 const (
-	AttemptCancelled Event = "cancelled" // an attempt was given up by this program
-	StateReleased    Event = "released"  // replicas were asked to let go of what they hold
-	ClientClosed     Event = "closed"    // a client's connection was ended by this program
+	AttemptCancelled Event = "cancelled" // this program gave an attempt up
+	StateReleased    Event = "released"  // replicas were asked to release what they hold
+	ClientClosed     Event = "closed"    // this program closed a client's connection
 	RuleViolated     Event = "violated"  // an invariant did not hold at run time
 )
 
-// Cause says why an event happened. It is a word of metrics and of the log.
+// Cause is the reason of an event. It appears in metrics and in the log.
 type Cause string
 
-// Why an attempt was cancelled.
+// Causes of AttemptCancelled.
 const (
-	Overdue          Cause = "overdue"        // the decision module gave it up
+	Overdue          Cause = "overdue"        // the decision module gave the attempt up
 	LostRace         Cause = "lost_race"      // another attempt answered first
-	ClientGone       Cause = "client_gone"    // nobody waits for the answer
-	DeadlineExceeded Cause = "deadline"       // the request's time was over
+	ClientGone       Cause = "client_gone"    // the client has gone
+	DeadlineExceeded Cause = "deadline"       // the deadline of the request has passed
 	ProgramEnding    Cause = "program_ending" // the request was answered before SIGKILL could come
-	NoLease          Cause = "no_licence"     // this dispatcher may not act
-	NotRecorded      Cause = "not_recorded"   // its intent could not be noted
+	NoLease          Cause = "no_licence"     // this dispatcher has no lease
+	NotRecorded      Cause = "not_recorded"   // the intent could not be recorded
 )
 
-// Why replicas were asked to let go.
+// Causes of StateReleased.
 const (
 	FetchUnproven Cause = "fetch_unproven" // no answer proves that the state was fetched
-	ReadUncertain Cause = "read_uncertain" // a read ended without a word on what it left
+	ReadUncertain Cause = "read_uncertain" // a read ended without reporting whether it left state behind
 	RequestEnded  Cause = "request_ended"  // the decision module ended the request
 )
 
-// count books an event. It may be called from any goroutine.
+// count counts an event. It may be called from any goroutine.
 func (c *Counts) count(event Event, cause Cause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,13 +50,13 @@
 	c.causes[event][cause]++
 }
 
-// Count books an event with its line in the log. It may be called from any goroutine.
+// Count counts an event and logs it. It may be called from any goroutine.
 func (c *Counts) Count(event Event, cause Cause, subject string) {
 	c.count(event, cause)
 	log.Printf("%s %s: %s", subject, event, cause)
 }
 
-// Causes gives the events so far by their causes.
+// Causes returns the number of events so far by event and cause.
 func (c *Counts) Causes() map[Event]map[Cause]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatch/clientgone_test.go
+++ b/internal/dispatch/clientgone_test.go
@@ -8,11 +8,12 @@
 	"standpulley/logic"
 )
 
-// Guards: no attempt begins once the client has gone, at either stage, also while the core is too busy to hear of it: what it has posted
-// stays in the inbox here as the attempt comes to its first byte.
+// Guards: no attempt starts at either stage once the client has gone, even while the core is too
+// busy to process the message about it. Here that message stays in the inbox while the attempt
+// comes to its first byte.
 func TestNoAttemptStartsAfterClientIsGone(t *testing.T) {
 	for _, stage := range []logic.Role{logic.Reader, logic.Writer} {
-		for _, how := range []string{"its watch has noticed", "its connection shows it"} {
+		for _, how := range []string{"reported by the watch", "seen on the connection"} {
 			d, rel := newCore(t, 9)
 			gone := false
 			p := &fakePayload{}
@@ -24,23 +25,23 @@
 			}
 			at := p.sent[len(p.sent)-1]
 			if err := at.target.BeforeSend(); err != nil {
-				t.Fatalf("while the client is there: %v", err)
+				t.Fatalf("BeforeSend with the client connected: %v", err)
 			}
-			if gone = true; how == "its watch has noticed" {
+			if gone = true; how == "reported by the watch" {
 				gone = false
 				k.Abandon()
 			}
 			if err := at.target.BeforeSend(); !errors.Is(err, ErrClientGone) {
-				t.Errorf("stage %v, %s: %v", stage, how, err)
+				t.Errorf("stage %v, %s: BeforeSend returned %v", stage, how, err)
 			}
 			sends := len(p.sent)
 			at.observer.Ended(Result{Outcome: logic.NotSent, ClientGone: true})
 			processAll(d)
 			if a := answerOf(t, k); a.Verdict != ClientLeft || len(p.sent) != sends {
-				t.Errorf("stage %v, %s: %v, %d further sends", stage, how, a.Verdict, len(p.sent)-sends)
+				t.Errorf("stage %v, %s: verdict %v, %d further sends", stage, how, a.Verdict, len(p.sent)-sends)
 			}
 			if stage == logic.Writer && len(*rel) == 0 {
-				t.Errorf("%s: the read state is not released", how)
+				t.Errorf("%s: the state of the read was not released", how)
 			}
 		}
 	}
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -9,35 +9,36 @@
 	"standpulley/logic"
 )
 
-// Counts is the book: what has been taken, sent and answered. It may be read from any goroutine.
+// Counts counts submitted, sent and answered requests. It may be read from any goroutine.
 type Counts struct {
 	mu     sync.Mutex
 	totals Totals
-	recent []LogEntry // a ring of the last final answers
+	recent []LogEntry // ring of the last final answers and attempts
 	next   int
 
 	classes map[string]*ClassResults
-	open    int // requests that are owed an answer, or whose stream runs
+	open    int // requests that are unanswered or whose stream runs
 	written int // attempts whose last byte was written
 	causes  map[Event]map[Cause]int
 }
 
-// ClassResults are the requests of a class by how they ended. A stream has ended well only with its last chunk.
+// ClassResults are the requests of a class by result. A stream counts as served only after its last
+// chunk.
 type ClassResults struct{ Served, Refused, Failed int }
 
-// Metrics are what operators ask for, since the program's start.
+// Metrics are the figures for operators. Counters run since the start of the program.
 type Metrics struct {
 	Classes         map[string]ClassResults
 	Open, Written   int
-	Listed, Ejected int // replicas in the list, and those of them that are avoided now
-	Held            int // requests for which the first stage holds something, or may
+	Listed, Ejected int // replicas in the list, and how many of them are ejected now
+	Held            int // requests for which a reader holds state, or may hold it
 	Causes          map[Event]map[Cause]int
 	Delays          DelayMetrics
-	Delayed         int // messages and timers that waited for long for the core
-	Queued          int // messages that wait for it now
+	Delayed         int // messages and timers that waited for lagThreshold or longer
+	Queued          int // messages that wait for the core now
 }
 
-// result books how a request of a class ended.
+// countResult counts a result of a request of a class.
 func (c *Counts) countResult(class string, v Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +75,7 @@
 	Releases int            `json:"releases"`
 }
 
-// LogEntry is one final answer or attempt, for people.
+// LogEntry describes one final answer or attempt to operators.
 type LogEntry struct {
 	At     time.Time `json:"at"`
 	ID     string    `json:"id"`
@@ -98,7 +99,8 @@
 
 func (c *Counts) countTaken(*request) { c.update(func(t *Totals) { t.Taken++ }) }
 
-// sent books an attempt that goes out. Only the log has a line for it: its end has one in the ring too.
+// countSent counts an attempt that is sent. It is only logged: the ring gets an entry when the
+// attempt ends.
 func (c *Counts) countSent(at *attempt) {
 	c.update(func(t *Totals) { t.Attempts++ })
 	log.Printf("%s attempt %d sent to %s", at.r.id, at.number, at.server)
@@ -107,7 +109,7 @@
 func (c *Counts) countEnded(o logic.Outcome) { c.update(func(t *Totals) { t.Outcomes[o.String()]++ }) }
 func (c *Counts) recordAnswer(r *request, a Answer) {
 	c.update(func(t *Totals) { t.Verdicts[a.Verdict.String()]++ })
-	if r.class != nil && a.Verdict != Served { // that shows at the stream's end
+	if r.class != nil && a.Verdict != Served { // a served stream is counted at its end
 		c.countResult(r.class.Name, a.Verdict)
 	}
 	detail := a.Reason
@@ -138,7 +140,7 @@
 	c.next = (c.next + 1) % maxRecent
 }
 
-// Snapshot gives the totals and the last lines, the oldest first.
+// Snapshot returns the totals and the last entries, oldest first.
 func (c *Counts) Snapshot() (Totals, []LogEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatch/delay.go
+++ b/internal/dispatch/delay.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// behindFrom is the wait of a message or a timer from which the core counts as behind.
+// lagThreshold is the wait of a message or a timer from which the core counts as lagging.
 const lagThreshold = 100 * time.Millisecond
 
 // delayWindow is the time over which the longest waits are kept.
 const delayWindow = time.Second
 
-// Delays tells how far the core's goroutine is behind what is asked of it. Figures of a window are those of the last whole second.
+// Delays measures how far the core's goroutine lags behind. Snapshot gives the figures of the last
+// completed window.
 type Delays struct {
 	mu          sync.Mutex
-	current     DelayMetrics // of the window that runs
-	last        DelayMetrics // of the window before
-	windowStart time.Time    // of the window that runs
-	delayed     int          // messages and timers that waited for behindFrom or longer, since the start
-	queued      func() int   // messages that wait now
+	current     DelayMetrics // the current window
+	last        DelayMetrics // the previous window
+	windowStart time.Time    // start of the current window
+	delayed     int          // messages and timers that waited for lagThreshold or longer, since the start
+	queued      func() int   // returns the number of queued messages
 }
 
 // DelayMetrics are the longest waits and the longest step of a window.
 type DelayMetrics struct {
-	Message     time.Duration // that a message waited for the core
-	Timer       time.Duration // that a timer went off late
-	Step        time.Duration // that the core took for one message or timer
-	stepMessage message       // what that was; nil: a timer
+	Message     time.Duration // longest wait of a message
+	Timer       time.Duration // longest delay of a timer
+	Step        time.Duration // longest time that the core took for one message or timer
+	stepMessage message       // the message of that step; nil: a timer
 }
 
-// book books that a message waited, or a timer where it is nil, and what the core then took for it.
+// record records how long a message (or a timer if m is nil) waited, and how long the core took for
+// it.
 func (y *Delays) record(m message, wait, took time.Duration, now time.Time) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -50,16 +52,18 @@
 	}
 }
 
-// closeWindow begins another window, and logs one in which the core was behind. It needs mu.
+// closeWindow starts a new window, and logs the previous one if the core lagged. The caller must
+// hold mu.
 func (y *Delays) closeWindow(now time.Time) {
 	if f := y.current; max(f.Message, f.Timer) >= lagThreshold {
-		log.Printf("core: behind: messages waited up to %v, timers %v; the longest step, %T, took %v; %d messages wait", f.Message, f.Timer,
+		log.Printf("core: lagging: messages waited up to %v, timers up to %v; longest step %T took %v; %d messages queued", f.Message, f.Timer,
 			f.stepMessage, f.Step, y.queued())
 	}
 	y.last, y.current, y.windowStart = y.current, DelayMetrics{}, now
 }
 
-// Snapshot gives the figures of the last whole window, and how many messages and timers came late since the start.
+// Snapshot returns the figures of the last completed window, and how many messages and timers were
+// delayed since the start.
 func (y *Delays) Snapshot(now time.Time) (f DelayMetrics, delayed int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 	"standpulley/logic"
 )
 
-// parcel is one whose attempts do what the story says, when it says so.
+// fakePayload is a payload whose attempts are driven by the test.
 type fakePayload struct {
 	sent      []*fakeAttempt
 	cancelled int
@@ -36,7 +36,7 @@
 func (c *fakeStream) Next() ([]byte, error) { return nil, io.EOF }
 func (c *fakeStream) Close()                { c.closeCalled.Store(true) }
 
-// closed waits a moment for the end, which comes from a goroutine of its own.
+// waitClosed waits for the call of Close, which comes from a separate goroutine.
 func (c *fakeStream) waitClosed() bool {
 	for i := 0; i < 1000 && !c.closeCalled.Load(); i++ {
 		time.Sleep(time.Millisecond)
@@ -63,7 +63,8 @@
 	{Name: "unsafe", Aim: time.Second, Deadline: 3 * time.Second, Repeat: logic.Unsafe},
 }
 
-// core is one whose messages are applied by the test itself, one by one: there is no time and no goroutine in it.
+// newCore returns a core whose messages are applied by the test itself, one by one. It runs no
+// goroutine.
 func newCore(t *testing.T, maxOpen int) (*Dispatcher, *fakeReleaser) {
 	t.Helper()
 	set := logic.Settings{Siblings: 1, MaxAttempts: 3, CanCancel: true, MaxRetryAfter: time.Second, Classes: classes,
@@ -81,7 +82,7 @@
 	return d, rel
 }
 
-// drive applies what was posted.
+// processAll applies all queued messages.
 func processAll(d *Dispatcher) {
 	for {
 		m, ok := d.inbox.nextFollowUp()
@@ -103,7 +104,7 @@
 	return t, p
 }
 
-// end lets the last attempt of a parcel end.
+// endAttempt ends the last attempt of a payload.
 func endAttempt(d *Dispatcher, p *fakePayload, o logic.Outcome) {
 	p.sent[len(p.sent)-1].observer.Ended(Result{Outcome: o})
 	processAll(d)
@@ -124,7 +125,7 @@
 	t.Helper()
 	select {
 	case a := <-k.Answer():
-		t.Errorf("a further answer: %+v", a)
+		t.Errorf("unexpected answer: %+v", a)
 	default:
 	}
 }
@@ -139,43 +140,45 @@
 	if a := answerOf(t, k); a.Verdict != Served || a.Stream != s {
 		t.Errorf("got %+v", a)
 	}
-	d.deadlinePassed(k.r) // its deadline runs no longer
+	d.deadlinePassed(k.r) // the timer of the deadline has no effect after the answer
 	endAttempt(d, p, logic.ConnectionLost)
 	if noFurtherAnswer(t, k); len(p.sent) != 2 || s.closeCalled.Load() || len(d.requests) != 0 {
-		t.Errorf("%d sends, closed %v, %d kept", len(p.sent), s.closeCalled.Load(), len(d.requests))
+		t.Errorf("%d sends, stream closed %v, %d requests open", len(p.sent), s.closeCalled.Load(), len(d.requests))
 	}
-	if k.r.payload != nil { // timers know a request until its deadline: a flood of bodies would fill the memory
-		t.Error("the body is kept after the end")
+	if k.r.payload != nil { // timers refer to the request until its deadline: many bodies would fill the memory
+		t.Error("the payload is kept after the end of the request")
 	}
 }
 
-// Guards: a stream that begins after the final answer, or after its attempt was given up, reaches nobody.
+// Guards: a stream that begins after the final answer, or after its attempt was given up, is closed
+// and reaches nobody.
 func TestLateStreamIsClosed(t *testing.T) {
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "a", "safe")
 	endAttempt(d, p, logic.ReadDone)
 	d.deadlinePassed(k.r)
 	if a := answerOf(t, k); a.Verdict != Failed || p.cancelled != 1 {
-		t.Errorf("got %+v, %d cancelled", a, p.cancelled)
+		t.Errorf("got %+v, %d attempts cancelled", a, p.cancelled)
 	}
 	s := &fakeStream{}
 	p.sent[1].observer.Began(s)
 	endAttempt(d, p, logic.Cancelled)
 	if noFurtherAnswer(t, k); !s.waitClosed() || len(d.requests) != 0 {
-		t.Errorf("closed %v, %d kept", s.waitClosed(), len(d.requests))
+		t.Errorf("stream closed %v, %d requests open", s.waitClosed(), len(d.requests))
 	}
 }
 
-// Guards: whatever the module decides, an instruction is neither sent again nor refused once it may have run.
+// Guards: whatever the decision module decides, a request that must not run twice is neither sent
+// again nor refused once it may have run.
 func TestRepeatRule(t *testing.T) {
 	for _, o := range []logic.Outcome{logic.ConnectionLost, logic.TimedOut, logic.ServerError, logic.Cancelled} {
 		d, _ := newCore(t, 9)
 		k, p := submit(d, "a", "unsafe")
 		endAttempt(d, p, logic.ReadDone)
 		again := logic.Action{Kind: logic.Send, RequestID: "a", Server: "w2"}
-		d.execute(again, nil) // while the first is out
+		d.execute(again, nil) // while the first attempt is in flight
 		if len(p.sent) != 2 {
-			t.Errorf("%v: a second copy went out", o)
+			t.Errorf("%v: a second copy was sent", o)
 		}
 		r := k.r
 		p.sent[1].observer.Ended(Result{Outcome: o})
@@ -190,11 +193,12 @@
 	endAttempt(d, p, logic.ReadDone)
 	d.execute(logic.Action{Kind: logic.Refuse, RequestID: "b"}, nil)
 	if a := answerOf(t, k); a.Verdict != Failed {
-		t.Errorf("refused while an attempt is out: %+v", a)
+		t.Errorf("refused while an attempt is in flight: %+v", a)
 	}
 }
 
-// Guards: what proves that it never ran lets an instruction go on, and a reader's end is no effect.
+// Guards: a request that must not run twice is sent again after an outcome that proves that it
+// never ran. A broken read is not a run, so such a request may be refused.
 func TestRetryAfterProofThatAttemptNeverRan(t *testing.T) {
 	for _, o := range []logic.Outcome{logic.Full, logic.ConnectFailed, logic.NotSent} {
 		d, _ := newCore(t, 9)
@@ -211,42 +215,43 @@
 		endAttempt(d, p, logic.ConnectionLost)
 	}
 	if a := answerOf(t, k); a.Verdict != Refused || a.MayRun || a.RetryAfter <= 0 || len(*rel) == 0 {
-		t.Errorf("broken reads: %+v, released %v", a, *rel)
+		t.Errorf("after broken reads: %+v, released %v", a, *rel)
 	}
 }
 
-// Guards: a client that leaves while a read is out: the read is given up, and what it left is let go.
+// Guards: if a client leaves while a read is in flight, the read is given up and the state that it
+// left is released.
 func TestClientDisconnectDuringRead(t *testing.T) {
 	d, rel := newCore(t, 9)
 	k, p := submit(d, "a", "unsafe")
 	k.Abandon()
 	processAll(d)
 	if a := answerOf(t, k); a.Verdict != ClientLeft || a.MayRun || p.cancelled != 1 {
-		t.Errorf("got %+v, %d cancelled", a, p.cancelled)
+		t.Errorf("got %+v, %d attempts cancelled", a, p.cancelled)
 	}
 	endAttempt(d, p, logic.Cancelled)
 	if len(*rel) == 0 || len(d.requests) != 0 {
-		t.Errorf("released %v, %d kept", *rel, len(d.requests))
+		t.Errorf("released %v, %d requests open", *rel, len(d.requests))
 	}
 }
 
-// Guards: the table is bounded, and an id stands for one request at a time.
+// Guards: the table of open requests is bounded, and no two open requests have the same id.
 func TestAdmission(t *testing.T) {
 	d, _ := newCore(t, 1)
 	submit(d, "a", "safe")
 	if k, _ := submit(d, "a", "safe"); answerOf(t, k).Verdict != Failed {
-		t.Error("an id was taken twice")
+		t.Error("an id that is open was admitted again")
 	}
 	if k, p := submit(d, "b", "safe"); answerOf(t, k).Verdict != Refused || len(p.sent) != 0 {
-		t.Error("more than the table holds")
+		t.Error("a request was admitted beyond the bound of the table")
 	}
 	if k, _ := submit(d, "c", "other"); answerOf(t, k).Verdict != Failed {
-		t.Error("an unknown class was taken")
+		t.Error("a request of an unknown class was admitted")
 	}
 }
 
-// Guards: a client that asks for the rest of a stream had an attempt that ran, here or elsewhere. To refuse would be
-// to say that trying again is harmless.
+// Guards: a client that asks for the rest of a stream had an attempt that ran, here or at another
+// dispatcher. A refusal would wrongly promise that retrying is harmless.
 func TestResumedRequestIsNeverRefused(t *testing.T) {
 	d, _ := newCore(t, 1)
 	p := &fakePayload{}
@@ -257,17 +262,17 @@
 		t.Fatalf("%d sends", len(p.sent))
 	}
 	other := d.Submit(Request{ID: "b", Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "unsafe", Remaining: time.Second, Resumed: true}})
-	processAll(d)                                        // there is no room for it
-	d.route(logic.Event{Kind: logic.TimerFired, Tag: 3}) // the first request's deadline
-	for name, k := range map[string]*Ticket{"at its deadline": k, "without room": other} {
+	processAll(d)                                        // the table has no room for it
+	d.route(logic.Event{Kind: logic.TimerFired, Tag: 3}) // the deadline of the first request
+	for name, k := range map[string]*Ticket{"at its deadline": k, "table full": other} {
 		if a := answerOf(t, k); a.Verdict != Failed {
 			t.Errorf("%s: %v", name, a.Verdict)
 		}
 	}
 }
 
-// Guards: to refuse what must not run twice while an attempt is out breaks the rule on repeats, also while that is at
-// a reader.
+// Guards: a request that must not run twice is not refused while an attempt is in flight, even at a
+// reader. A refusal would break the rule on repeats.
 func TestNoRefusalWhileAttemptIsInFlight(t *testing.T) {
 	for class, want := range map[string]Verdict{"safe": Refused, "unsafe": Failed} {
 		d, _ := newCore(t, 9)
@@ -275,14 +280,14 @@
 		if len(p.sent) != 1 || p.sent[0].target.Server != "r1" {
 			t.Fatalf("%s: sent %+v", class, p.sent)
 		}
-		d.route(logic.Event{Kind: logic.TimerFired, Tag: 3}) // its deadline
+		d.route(logic.Event{Kind: logic.TimerFired, Tag: 3}) // the deadline
 		if a := answerOf(t, k); a.Verdict != want || a.MayRun {
 			t.Errorf("%s: %+v, want %v", class, a, want)
 		}
 	}
 }
 
-// Guards: a replica that was told to drain gets nothing new, whatever the module decides.
+// Guards: a draining replica gets no new attempt, whatever the decision module decides.
 func TestNoNewAttemptToDrainingReplica(t *testing.T) {
 	d, _ := newCore(t, 9)
 	_, p := submit(d, "a", "safe")
@@ -290,7 +295,7 @@
 	d.execute(logic.Action{Kind: logic.Send, RequestID: "a", Server: "w1"}, nil)
 	for _, f := range p.sent {
 		if f.target.Server == "w1" {
-			t.Error("it was sent")
+			t.Error("an attempt was sent to a draining replica")
 		}
 	}
 }
@@ -303,11 +308,11 @@
 	_, lines := c.Snapshot()
 	last := maxRecent + 2
 	if len(lines) != maxRecent || lines[len(lines)-1].ID != string(rune('a'+last%26)) || lines[0].ID != string(rune('a'+3)) {
-		t.Errorf("%d lines, %v to %v", len(lines), lines[0], lines[len(lines)-1])
+		t.Errorf("%d entries, %v to %v", len(lines), lines[0], lines[len(lines)-1])
 	}
 }
 
-// Guards: SIGKILL would find what is unanswered. It gets its answer before; a live stream is not cut.
+// Guards: unanswered requests get their answer before SIGKILL comes, and live streams are not cut.
 func TestAnswerPending(t *testing.T) {
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "streams", "safe")
@@ -321,18 +326,19 @@
 	d.AnswerPending()
 	processAll(d)
 	if a := answerOf(t, waiting); a.Verdict != Refused || a.RetryAfter == 0 {
-		t.Errorf("what never ran: %+v", a)
+		t.Errorf("request that never ran: %+v", a)
 	}
 	if a := answerOf(t, running); a.Verdict != Failed {
-		t.Errorf("what may run: %+v", a)
+		t.Errorf("request that may run: %+v", a)
 	}
 	if a := answerOf(t, k); a.Verdict != Served || s.closeCalled.Load() {
-		t.Errorf("the stream: %+v, closed %v", a, s.closeCalled.Load())
+		t.Errorf("streaming request: %+v, stream closed %v", a, s.closeCalled.Load())
 	}
 }
 
-// Guards: SIGKILL would cut streams when nobody is left for their clients to come to. Those whose clients ask for the
-// rest are moved before, one by one, the youngest first; the others go on.
+// Guards: SIGKILL would cut streams at a time when their clients may find no other dispatcher.
+// Streams whose clients ask another dispatcher for the rest are closed before that, one by one, the
+// youngest first. All other streams continue.
 func TestCloseResumable(t *testing.T) {
 	d, _ := newCore(t, 9)
 	now := time.Now()
@@ -344,7 +350,7 @@
 			Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
 		processAll(d)
 		endAttempt(d, p, logic.ReadDone)
-		if i < 3 { // the last one has not begun
+		if i < 3 { // the stream of the last one has not begun
 			p.sent[1].observer.Began(s)
 			processAll(d)
 		}
@@ -356,7 +362,7 @@
 	now = now.Add(500 * time.Millisecond)
 	d.runTimers()
 	if !streams[1].waitClosed() || streams[0].closeCalled.Load() {
-		t.Error("the younger one is not moved first")
+		t.Error("the younger stream is not closed first")
 	}
 	now = now.Add(600 * time.Millisecond)
 	d.runTimers()
@@ -365,7 +371,7 @@
 	}
 }
 
-// Guards: what a day of requests and replaced replicas leaves behind must not pile up.
+// Guards: requests and replaced replicas must not leave memory behind that adds up over a day.
 func TestHeapDoesNotGrow(t *testing.T) {
 	d, _ := newCore(t, 9)
 	now := time.Now()
@@ -402,9 +408,9 @@
 		heap = append(heap, round(n))
 	}
 	if grown := int64(heap[7]) - int64(heap[3]); grown > 100<<10 {
-		t.Errorf("%d bytes more after four further rounds: %v", grown, heap)
+		t.Errorf("heap grew by %d bytes in four further rounds: %v", grown, heap)
 	}
 	if len(d.requests) != 0 || d.openBytes != 0 || len(d.timers) > 100 {
-		t.Errorf("%d requests of %d bytes, %d alarms are kept", len(d.requests), d.openBytes, len(d.timers))
+		t.Errorf("%d requests of %d bytes and %d timers are kept", len(d.requests), d.openBytes, len(d.timers))
 	}
 }
--- a/internal/dispatch/held.go
+++ b/internal/dispatch/held.go
@@ -7,32 +7,37 @@
 	"standpulley/logic"
 )
 
-// held is what a replica of the first stage holds for a request, or may hold.
+// heldState is the state that a reader holds, or may hold, for a request.
 //
-// A write that succeeded does not prove that a fetch has arrived: an open connection may have fallen silent, and the machine takes the
-// bytes all the same. Only an answer of the second stage proves it. Until then what is held is let go in time, whatever was sent.
+// A successful write does not prove that a fetch has arrived: an open connection may be dead
+// without notice, and the kernel accepts the bytes all the same. Only an answer of the writer
+// proves the fetch. Until then the state is released in time, whatever was sent.
 //
-// A release touches no state for which an attempt waits at the second stage, but what a read in progress will leave is let go with the
-// rest. So nothing is released while a read is out, and a read is sent only when what an earlier one may have left has been released.
+// A release does not touch state for which an attempt waits at a writer, but it removes the state
+// that a read in progress is about to leave. So nothing is released while a read is in flight, and
+// a read is sent only after the state that an earlier one may have left was released.
 type heldState struct {
-	addr           string          // of the replica; empty: nothing is held
-	unresolved     map[string]bool // replicas at which a read was given up or broke, and may go on
-	timerID        int             // number of the timer in force
-	stateID        int             // number of the state, counted on when it is fetched or released
-	releasePending bool            // the end of an attempt waits until what it may have left is released
+	addr           string          // address of the reader; empty: no state is held
+	unresolved     map[string]bool // replicas at which a read was given up or broke and may continue
+	timerID        int             // number of the active release timer
+	stateID        int             // number of the state, incremented when it is read, fetched or released
+	releasePending bool            // the end of an attempt is held back until the state that it may have left is released
 }
 
 const (
-	// heldPart is the part of the time for which a state may be held after which it is let go. The rest is for the calls.
+	// heldFraction is the part of ReleaseWithin after which held state is released. The rest is for
+	// the release calls.
 	heldFraction = 0.5
-	// releaseFirst bounds how long a further attempt waits for a release: two replicas may be silent before one answers.
+	// releaseWait is the longest time that a further attempt waits for a release: two replicas may
+	// fail to respond before one answers.
 	releaseWait = 100 * time.Millisecond
-	// looseAgain is when a second call follows behind a request's end: a read may end on its replica just after the first came there.
+	// releaseRepeatDelay is when the release at the end of a request is repeated: a read may end at
+	// its replica just after the first call came there.
 	releaseRepeatDelay = 150 * time.Millisecond
 )
 
-// stateAfter books what the end of an attempt proves of the state at the first stage. It tells whether something may be held for which
-// nobody will come, as the request is to be read anew.
+// updateHeld updates the held state by what the end of an attempt proves. It reports whether state
+// may be held that nobody will fetch, because the request must be read again.
 func (d *Dispatcher) updateHeld(at *attempt, res Result, out logic.Outcome) (orphaned bool) {
 	h := &at.r.held
 	switch {
@@ -41,7 +46,7 @@
 		h.stateID++
 		d.checkHeld(at.r)
 		d.scheduleRelease(at.r, heldFraction)
-	case at.role == logic.Reader && !neverRan(out): // it may have ended well just as its connection was closed or broke
+	case at.role == logic.Reader && !neverRan(out): // it may have succeeded just as its connection was closed or broke
 		h.addr = at.addr
 		if h.unresolved == nil {
 			h.unresolved = map[string]bool{}
@@ -51,23 +56,24 @@
 	case at.role == logic.Reader || h.addr == "":
 	case res.NoState:
 		d.markFetched(at.r)
-	case out == logic.Full: // it came there, and has left the state where it was
+	case out == logic.Full: // the writer has rejected the fetch and left the state where it was
 		d.scheduleRelease(at.r, heldFraction)
-	case at.stateReleased && !neverRan(out): // it may have kept the state from being let go until now
+	case at.stateReleased && !neverRan(out): // it may have kept the state from being released until now
 		return true
 	}
 	return false
 }
 
-// fetched books a proof that the state was taken.
+// markFetched records a proof that the state was fetched.
 func (d *Dispatcher) markFetched(r *request) {
 	r.held.addr = ""
 	r.held.timerID++
 	r.held.stateID++
 }
 
-// releaseAfter lets go of what is held after a part of the time that the settings allow, unless the clock is set again before. It goes
-// on while an attempt to fetch it is out, whose server may vanish.
+// scheduleRelease releases the held state after a fraction of ReleaseWithin, unless a later call
+// replaces the timer before. While an attempt to fetch the state is in flight the release is
+// repeated, as the writer may disappear.
 func (d *Dispatcher) scheduleRelease(r *request, fraction float64) {
 	if d.set.ReleaseWithin == 0 {
 		return
@@ -86,16 +92,17 @@
 	})
 }
 
-// stateReleased comes when a replica has confirmed that it let go of what was held for an open request, or when none did in time.
+// stateReleased is posted when a replica has confirmed the release of the state of an open request,
+// or when none did so in time.
 type stateReleased struct {
 	r       *request
-	timerID int // that set off the call
-	stateID int // the state that was let go
+	timerID int // timer that caused the release
+	stateID int // state that was released
 
 	confirmed bool
 }
 
-// apply tells the decision module, unless something new is held since.
+// apply tells the decision module about the release, unless newer state is held by now.
 func (s stateReleased) apply(d *Dispatcher) {
 	if s.confirmed && s.r.held.stateID == s.stateID {
 		s.r.held.stateID++
@@ -109,13 +116,14 @@
 	d.route(logic.Event{Kind: logic.StateReleased, RequestID: s.r.id})
 }
 
-// releaseThen lets go of all that is held for a request, and posts a message once a replica has confirmed that, or after a time.
+// releaseThen releases everything that is held for a request, and posts a message once a replica
+// has confirmed that or the time has passed.
 func (d *Dispatcher) releaseThen(r *request, cause Cause, within time.Duration, then func(confirmed bool) message) {
 	d.countRelease(r.id, r.held.addr, cause)
 	d.releaser.ReleaseThen(r.id, d.releaseOrder(r.id, r.held.addr), within, func(confirmed bool) { d.post(then(confirmed)) })
 }
 
-// outAt tells whether an attempt at a server of a role is out.
+// hasAttemptAt reports whether an attempt at a server of the role is in flight.
 func (r *request) hasAttemptAt(role logic.Role) bool {
 	for _, at := range r.inFlight {
 		if at.role == role {
@@ -125,10 +133,11 @@
 	return false
 }
 
-// fetching tells whether an attempt at the second stage is out.
+// fetching reports whether an attempt at a writer is in flight.
 func (r *request) fetching() bool { return len(r.inFlight) > 0 && !r.hasAttemptAt(logic.Reader) }
 
-// releaseLeftover lets go of what a read may have left whose request is over, at once and a moment later. The program waits for both.
+// releaseOrphaned releases the state that a read may have left behind after its request ended, at
+// once and again after releaseRepeatDelay. The program stays open until both calls were made.
 func (d *Dispatcher) releaseOrphaned(r *request) {
 	release := func() { d.release(r.id, r.held.addr, ReadUncertain) }
 	release()
@@ -137,8 +146,9 @@
 	d.trackAbandonedReads(r)
 }
 
-// awaitLateReads sees to what reads leave that were given up and may end late, as their replica hangs or heard nothing of that. It begins
-// when no further read of the request is sent.
+// trackAbandonedReads takes care of the state of reads that were given up but may end late, because
+// their replica hangs or did not notice. It is called when no further read of the request will be
+// sent.
 func (d *Dispatcher) trackAbandonedReads(r *request) {
 	for addr := range r.held.unresolved {
 		l := d.abandoned[addr]
@@ -152,16 +162,18 @@
 	r.held.unresolved = nil
 }
 
-// lateReadsFor is for how long a replica that does not answer may go on with a read that was given up.
+// abandonedReadTTL is how long a replica that does not answer may continue a read that was given
+// up.
 const abandonedReadTTL = 5 * time.Second
 
-// lateReads are the reads that were given up at a replica which has not answered since.
+// abandonedReads are the reads that were given up at a replica that has not answered since.
 type abandonedReads struct {
 	addr string
-	ids  map[string]time.Time // requests, with until when they are of interest
+	ids  map[string]time.Time // requests, with the time until which each is tracked
 }
 
-// askLate asks the replica for the release of one of the requests. One that answers runs, and has seen all that was sent to it before.
+// pollAbandonedReads asks the replica to release one of the requests. A replica that answers is
+// running and has processed everything sent to it before.
 func (d *Dispatcher) pollAbandonedReads(l *abandonedReads) {
 	for id := range l.ids {
 		d.countRelease(id, l.addr, ReadUncertain)
@@ -171,14 +183,14 @@
 	delete(d.abandoned, l.addr)
 }
 
-// lateAsked comes when a replica has answered, or has not.
+// abandonedReadsReply is posted when a replica has answered such a call or has failed to.
 type abandonedReadsReply struct {
 	*abandonedReads
 	answered bool
 }
 
 func (l abandonedReadsReply) apply(d *Dispatcher) {
-	if l.answered { // what it took right before that may end a moment later
+	if l.answered { // a read that it accepted right before may end a moment later
 		delete(d.abandoned, l.addr)
 		for id := range l.ids {
 			d.after(releaseRepeatDelay, func() { d.release(id, l.addr, ReadUncertain) })
--- a/internal/dispatch/inbox.go
+++ b/internal/dispatch/inbox.go
@@ -5,20 +5,24 @@
 	"time"
 )
 
-// A turn of the core does what waits for it in the order in which a core that has fallen behind owes it:
+// An iteration of the core handles queued work in the following order, so that a lagging core does
+// the most urgent work first:
 //
-//  1. messages that tell of requests which were taken: attempts that began or ended, clients that left, releases that were confirmed,
-//     and lists. A timer must not judge by a state that such a message has already changed.
-//  2. timers that are due: releases of what is held, deadlines, attempts that take too long.
-//  3. one new request. Nothing of it has been sent, so it alone may be refused for want of time.
+//  1. Messages about accepted requests (attempts that began or ended, clients that left, confirmed
+//     releases) and list updates. A timer must not decide on state that such a message has changed.
+//  2. Timers that are due: releases of held state, deadlines, overdue attempts.
+//  3. One new request. Nothing has been sent for it, so only new requests may be refused for lack of
+//     time.
 //
-// No part may keep the next from its turn, so each is bounded.
-const maxPerIteration = 32 // messages, and timers, of one turn
+// Each part is bounded so that it cannot starve the next one.
+const maxPerIteration = 32 // messages, and also timers, in one iteration
 
-// inbox holds what was posted to the core. Posting never blocks: whoever ends an attempt passes its stream's end on to the client, and
-// must not wait for a core that is behind. What can be posted is bounded by the connections of clients and by the attempts that are out.
+// inbox holds the messages posted to the core. Posting never blocks, because the goroutine that
+// ends an attempt also passes the end of the stream on to the client and must not wait for a
+// lagging core. The number of messages is bounded by the client connections and the attempts in
+// flight.
 type inbox struct {
-	wake chan struct{} // holds a token when something may wait
+	wake chan struct{} // holds a token when messages may be queued
 
 	mu        sync.Mutex
 	followUps queue
@@ -27,7 +31,7 @@
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
-// put takes a message in.
+// put queues a message.
 func (b *inbox) put(m message) {
 	b.mu.Lock()
 	if _, isNew := m.(arrival); isNew {
@@ -42,37 +46,37 @@
 	}
 }
 
-// nextOwed gives the message that has waited the longest of those that are no new requests.
+// nextFollowUp removes and returns the oldest message that is not a new request.
 func (b *inbox) nextFollowUp() (queuedMessage, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.followUps.pop()
 }
 
-// nextArrival gives the new request that has waited the longest.
+// nextArrival removes and returns the oldest new request.
 func (b *inbox) nextArrival() (queuedMessage, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.arrivals.pop()
 }
 
-// waiting counts the messages.
+// queued returns the number of queued messages.
 func (b *inbox) queued() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.followUps.len() + b.arrivals.len()
 }
 
-// posted is a message with the time at which it was handed in.
+// queuedMessage is a message with the time at which it was posted.
 type queuedMessage struct {
 	message
 	at time.Time
 }
 
-// queueKept is the length up to which an empty queue keeps its memory.
+// maxKeptCapacity is the largest capacity that an empty queue keeps.
 const maxKeptCapacity = 1024
 
-// queue is first in, first out. Its memory follows what waits.
+// queue is a FIFO queue. It frees memory as messages are removed.
 type queue struct {
 	items []queuedMessage
 	head  int
@@ -100,7 +104,7 @@
 	return m, true
 }
 
-// turn does what waits for the core, and tells whether anything did.
+// iterate runs one iteration of the core and reports whether there was any work.
 func (d *Dispatcher) iterate() (busy bool) {
 	for range maxPerIteration {
 		m, ok := d.inbox.nextFollowUp()
@@ -118,7 +122,7 @@
 	return busy
 }
 
-// take applies a message and books how long it had waited and what it took.
+// process applies a message, and records how long it had waited and how long it took.
 func (d *Dispatcher) process(m queuedMessage) {
 	began := time.Now()
 	if a, isNew := m.message.(arrival); isNew {
@@ -130,18 +134,20 @@
 }
 
 const (
-	// refuseAfter is the wait of a new request from which it may be refused unseen.
+	// refuseAfter is the wait from which a new request may be refused before it is decided.
 	refuseAfter = 250 * time.Millisecond
-	// refuseSustained is for how long all new requests must have waited for behindFrom or longer: a core that was held up once catches up.
+	// refuseSustained is how long all new requests must have waited for lagThreshold or longer
+	// before any is refused: a core that was delayed once catches up by itself.
 	refuseSustained = 250 * time.Millisecond
 )
 
-// overload tells a core that can't keep up from one that was held up for a moment.
+// overload distinguishes a core that is permanently too slow from one that was delayed for a
+// moment.
 type overload struct {
-	since time.Time // when new requests began to wait for behindFrom or longer; zero: the last one did not
+	since time.Time // when new requests began to wait for lagThreshold or longer; zero: the last one did not
 }
 
-// late books the wait of a new request, and tells whether it is to be refused.
+// mustRefuse records the wait of a new request and reports whether it must be refused.
 func (o *overload) mustRefuse(wait time.Duration, now time.Time) bool {
 	if wait < lagThreshold {
 		o.since = time.Time{}
--- a/internal/dispatch/inbox_test.go
+++ b/internal/dispatch/inbox_test.go
@@ -8,8 +8,8 @@
 	"standpulley/logic"
 )
 
-// Guards against the incident in large fleets: the end of a stream was passed on to the client only when a core that was behind had taken
-// the message of it, as its inbox was full.
+// Guards against a fault seen in large fleets: the end of a stream was passed on to the client only
+// after a lagging core had taken the message about it, because the inbox was full.
 func TestStreamEndDoesNotWaitForSlowCore(t *testing.T) {
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "a", "safe")
@@ -19,7 +19,7 @@
 	answerOf(t, k)
 	ended := make(chan error, 1)
 	go func() {
-		for range 5000 { // nobody takes them
+		for range 5000 { // no goroutine processes them
 			d.UpdateServers(Update{})
 		}
 		p.sent[1].observer.Ended(Result{Outcome: logic.Delivered})
@@ -28,11 +28,11 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the end of a stream waits for the core")
+		t.Error("reporting the end of a stream blocks until the core processes it")
 	}
 }
 
-// step notes its name when it is taken.
+// recordingMessage records its name when it is processed.
 type recordingMessage struct {
 	name      string
 	processed *[]string
@@ -40,7 +40,8 @@
 
 func (s recordingMessage) apply(*Dispatcher) { *s.processed = append(*s.processed, s.name) }
 
-// A core that has fallen behind first hears of requests that were taken, then does what is due, and then takes one new request.
+// A lagging core first processes messages about accepted requests, then due timers, and then one
+// new request.
 func TestFollowUpsComeBeforeNewRequests(t *testing.T) {
 	d, _ := newCore(t, 9)
 	var taken []string
@@ -51,14 +52,15 @@
 	d.post(recordingMessage{"owed", &taken})
 	d.iterate()
 	if len(taken) != 2 || taken[0] != "owed" || taken[1] != "timer" {
-		t.Errorf("taken %v", taken)
+		t.Errorf("processed %v", taken)
 	}
 	if len(d.requests) != 1 || d.requests["a"] == nil {
-		t.Errorf("%d new requests were taken in a turn", len(d.requests))
+		t.Errorf("%d new requests were admitted in one iteration", len(d.requests))
 	}
 }
 
-// Guards against the incident in large fleets: timers that were always due again kept the core from taking any message for seconds.
+// Guards against a fault seen in large fleets: timers that were always due again kept the core from
+// processing messages for seconds.
 func TestDueTimersDoNotStarveMessages(t *testing.T) {
 	d, _ := newCore(t, 9)
 	var again func()
@@ -72,14 +74,14 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the timers do not end")
+		t.Fatal("the iteration does not end")
 	}
 	if len(taken) != 1 || d.requests["a"] == nil {
-		t.Errorf("taken %v, new request %v", taken, d.requests["a"] != nil)
+		t.Errorf("processed %v, new request admitted %v", taken, d.requests["a"] != nil)
 	}
 }
 
-// Messages that never stop leave their turn to timers.
+// An endless flow of messages does not keep timers from running.
 func TestMessagesDoNotStarveTimers(t *testing.T) {
 	d, _ := newCore(t, 9)
 	var taken []string
@@ -89,22 +91,23 @@
 	d.after(0, func() { recordingMessage{"timer", &taken}.apply(d) })
 	d.iterate()
 	if len(taken) != maxPerIteration+1 || taken[maxPerIteration] != "timer" {
-		t.Errorf("%d were taken in a turn", len(taken))
+		t.Errorf("%d messages and timers were processed in one iteration", len(taken))
 	}
 }
 
-// A core that can't keep up refuses new requests that have waited too long, unsent; one that was held up for a moment catches up, and the
-// rest of a stream, which is no new request, is decided.
+// A core that cannot keep up refuses new requests that have waited too long, without sending
+// anything. A core that was blocked for a moment catches up instead. A request for the rest of a
+// stream is not refused.
 func TestNewRequestsAreRefusedUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		behind  time.Duration // for how long all new requests have waited
+		behind  time.Duration // how long all new requests have had to wait
 		resumed bool
 		refused bool
 	}{
-		{"held up once", 0, false, false},
+		{"blocked once", 0, false, false},
 		{"can't keep up", refuseSustained, false, true},
-		{"the rest of a stream", refuseSustained, true, false},
+		{"resumed request", refuseSustained, true, false},
 	} {
 		d, _ := newCore(t, 9)
 		p := &fakePayload{}
@@ -126,8 +129,8 @@
 	}
 }
 
-// A client that leaves while its request still waits for a core that is behind is answered, nothing of it is sent, and another open request
-// with the same id goes on.
+// If a client leaves while its request still waits for a lagging core, it gets its answer, nothing
+// is sent for it, and another open request with the same id is not affected.
 func TestClientLeavesBeforeRequestIsAdmitted(t *testing.T) {
 	d, _ := newCore(t, 9)
 	first, p := submit(d, "a", "safe")
@@ -139,12 +142,12 @@
 		t.Errorf("got %+v", a)
 	}
 	if noFurtherAnswer(t, first); p.cancelled != 0 || len(again.sent) != 0 {
-		t.Errorf("%d attempts of the first were cancelled, %d of the second sent", p.cancelled, len(again.sent))
+		t.Errorf("%d attempts of the first request were cancelled, %d of the second were sent", p.cancelled, len(again.sent))
 	}
 	endAttempt(d, p, logic.ReadDone)
 	p.sent[1].observer.Began(&fakeStream{})
 	processAll(d)
 	if a := answerOf(t, first); a.Verdict != Served {
-		t.Errorf("the first got %+v", a)
+		t.Errorf("the first request got %+v", a)
 	}
 }
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// View is the core's present state, for people.
+// View is the current state of the core, for operators.
 type View struct {
 	Phase   string       `json:"phase"`
 	Open    int          `json:"open"`
@@ -14,7 +14,7 @@
 	Recent  []LogEntry   `json:"recent"`
 }
 
-// ServerView is one listed replica.
+// ServerView describes a listed replica.
 type ServerView struct {
 	ID    string `json:"id"`
 	Addr  string `json:"addr"`
@@ -22,15 +22,16 @@
 	Zone  string `json:"zone"`
 	Cell  int64  `json:"cell"`
 	State string `json:"state"`
-	Out   int    `json:"out"` // attempts of ours that are there now
+	Out   int    `json:"out"` // attempts of this dispatcher in flight at the replica
 }
 
 type viewQuery chan View
 
-// Inspect asks the core for its state. It reports false after Stop.
+// Inspect returns the state of the core. It reports false after Stop.
 func (d *Dispatcher) Inspect() (View, bool) { return query(d, make(viewQuery, 1)) }
 
-// ask posts a question that is the channel for its answer. It reports false after Stop.
+// query posts a message that is also the channel for its answer, and waits for the answer. It
+// reports false after Stop.
 func query[T any, Q interface {
 	~chan T
 	message
@@ -62,7 +63,7 @@
 
 type metricsQuery chan Metrics
 
-// Metrics asks the core for what operators want to know. It reports false after Stop.
+// Metrics returns the figures for operators. It reports false after Stop.
 func (d *Dispatcher) Metrics() (Metrics, bool) { return query(d, make(metricsQuery, 1)) }
 
 func (q metricsQuery) apply(d *Dispatcher) {
@@ -90,7 +91,7 @@
 
 type listQuery chan Update
 
-// List asks the core for the list of replicas as it knows it. It gives none after Stop.
+// List returns the list of replicas as the core knows it. After Stop it returns no replicas.
 func (d *Dispatcher) List() Update {
 	u, _ := query(d, make(listQuery, 1))
 	u.Full = true
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -7,24 +7,28 @@
 	"standpulley/logic"
 )
 
-// IntentRecorder is a request that must not run twice, of which others must find that it may have run. The intent to send an attempt is
-// noted where they look, before its first byte leaves.
+// IntentRecorder records the intents to send attempts of a request that must not run twice, so that
+// others can find out that it may have run. An intent is recorded before the first byte of the
+// attempt is sent.
 type IntentRecorder interface {
-	// Begin notes an intent and calls then once, from any goroutine: with what takes the attempt's end, or with why it must not
-	// be sent. It does not block.
+	// Begin records an intent without blocking. It then calls then once, from any goroutine: with a
+	// function that takes the outcome of the attempt, or with the reason why the attempt must not
+	// be sent.
 	Begin(until time.Time, then func(end func(logic.Outcome), err error))
 }
 
-// MayHaveRun is an error of Begin where an earlier one has run or may have: no refusal, as trying again is of no use.
+// MayHaveRun is an error of Begin that tells that an earlier attempt ran or may have run. The
+// request is then failed and not refused, as retrying would be of no use.
 type MayHaveRun interface {
 	error
 	MayHaveRun() bool
 }
 
-// notedAfter is the advice to a client whose instruction can't be noted now.
+// intentRetryAfter is the retry advice to a client whose intent cannot be recorded now.
 const intentRetryAfter = time.Second
 
-// note has an attempt wait until its intent is noted, then sends it. Only what could have an effect is noted.
+// recordIntent records the intent of an attempt and then sends it. Reads have no effect and are
+// sent without a record.
 func (d *Dispatcher) recordIntent(at *attempt, to Target) {
 	if at.r.intents == nil || at.role == logic.Reader {
 		d.transmit(at, to)
@@ -39,7 +43,7 @@
 	at.transport = at.r.payload.Send(to, at)
 }
 
-// noted comes when an attempt's intent is noted, or is not.
+// intentResult is posted when the intent of an attempt was recorded or could not be recorded.
 type intentResult struct {
 	at  *attempt
 	to  Target
@@ -62,7 +66,7 @@
 	}
 }
 
-// unnoted gives up a request that must not be sent on.
+// intentFailed answers a request whose intent could not be recorded.
 func (d *Dispatcher) intentFailed(r *request, err error) {
 	var ran MayHaveRun
 	switch {
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -8,7 +8,7 @@
 	"standpulley/logic"
 )
 
-// notes is a Noted whose answers a test gives.
+// manualIntents is an IntentRecorder whose results are given by the test.
 type manualIntents struct {
 	pending []func(end func(logic.Outcome), err error)
 	ends    []logic.Outcome
@@ -24,23 +24,24 @@
 
 func (ranBefore) MayHaveRun() bool { return true }
 
-// Guards: nothing of an attempt leaves before its intent is noted; one that can't be noted is refused, as it never ran, and one of
-// which an earlier attempt may have run is not; a request that was given up meanwhile is not sent any more.
+// Guards: nothing of an attempt is sent before its intent is recorded. A request whose intent
+// cannot be recorded is refused, as it never ran. It fails if an earlier attempt may have run. A
+// request that was given up in the meantime is not sent.
 func TestNothingIsSentBeforeIntentIsRecorded(t *testing.T) {
-	noDisk, ran := errors.New("no disk"), ranBefore{errors.New("it ran")}
+	noDisk, ran := errors.New("disk failure"), ranBefore{errors.New("already ran")}
 	for name, x := range map[string]struct {
 		err     error
 		leaves  bool
-		sent    int // with the read
+		sent    int // including the read
 		verdict Verdict
 		mayRun  bool
 	}{
-		"noted":            {nil, false, 2, Served, true},
-		"can't be noted":   {noDisk, false, 1, Refused, false},
-		"ran before":       {ran, false, 1, Failed, true},
-		"client has left":  {nil, true, 1, ClientLeft, false},
-		"left and unnoted": {noDisk, true, 1, ClientLeft, false},
-		"left and has run": {ran, true, 1, ClientLeft, false},
+		"recorded":                        {nil, false, 2, Served, true},
+		"cannot be recorded":              {noDisk, false, 1, Refused, false},
+		"ran before":                      {ran, false, 1, Failed, true},
+		"client left":                     {nil, true, 1, ClientLeft, false},
+		"client left, cannot be recorded": {noDisk, true, 1, ClientLeft, false},
+		"client left, ran before":         {ran, true, 1, ClientLeft, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, _ := newCore(t, 9)
@@ -49,7 +50,7 @@
 				Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10}})
 			processAll(d)
 			if len(n.pending) > 0 {
-				t.Error("a read is noted, which has no effect")
+				t.Error("an intent was recorded for a read, which has no effect")
 			}
 			endAttempt(d, p, logic.ReadDone)
 			if len(n.pending) != 1 || len(p.sent) != 1 {
@@ -81,10 +82,10 @@
 				want = logic.NotSent
 			}
 			if x.err == nil && (len(n.ends) != 1 || n.ends[0] != want) {
-				t.Errorf("ends %v", n.ends)
+				t.Errorf("outcomes %v", n.ends)
 			}
 			if len(d.requests) > 0 {
-				t.Error("the request is kept after its end")
+				t.Error("the request is kept in the table after its end")
 			}
 		})
 	}
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -8,7 +8,8 @@
 	"standpulley/logic"
 )
 
-// keyedCore has one class whose repeats replicas throw away, within a scope and a window.
+// keyedCore returns a core with one class whose repeats replicas discard, within a scope and a time
+// window.
 func keyedCore(t *testing.T, scope logic.Scope, window time.Duration) *Dispatcher {
 	t.Helper()
 	d, _ := newCore(t, 9)
@@ -21,8 +22,9 @@
 	return d
 }
 
-// Guards: a request whose repeats only some replicas throw away was refused after it may have run, where the program or a deadline ended
-// it rather than the module. Its client would have repeated it anywhere.
+// Guards: a request whose repeats only some replicas discard was refused after it may have run, if
+// the end of the program or a deadline ended it and not the decision module. Its client would have
+// repeated it at any replica.
 func TestRefusalOfKeyedRequestThatMayHaveRun(t *testing.T) {
 	for scope, want := range map[logic.Scope]Verdict{logic.AllServers: Refused, logic.SameZone: Failed, logic.SameCell: Failed} {
 		for name, ran := range map[string]func(*Dispatcher, *fakePayload){
@@ -44,17 +46,18 @@
 	}
 }
 
-// Guards: the module decides within the window, and connecting takes a part of it. What may have run leaves again only while the window
-// is open; the first time it always may.
+// Guards: the decision module checks the time window, but connecting uses up part of it. A request
+// that may have run is sent again only while the window is open. The first attempt may always be
+// sent.
 func TestRepeatLeavesWithinItsWindow(t *testing.T) {
 	for _, window := range []time.Duration{time.Hour, 30 * time.Second} {
 		d := keyedCore(t, logic.AllServers, window)
 		_, p := submit(d, "a", "keyed")
 		endAttempt(d, p, logic.ReadDone)
 		if err := p.sent[1].target.BeforeSend(); err != nil {
-			t.Errorf("the first: %v", err)
+			t.Errorf("first attempt: %v", err)
 		}
-		endAttempt(d, p, logic.ServerError) // it may have run
+		endAttempt(d, p, logic.ServerError) // may have run
 		again := p.sent[len(p.sent)-1]
 		if len(p.sent) < 3 || again.target.BeforeSend() != nil {
 			t.Fatalf("%d sends", len(p.sent))
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -7,41 +7,45 @@
 	"standpulley/logic"
 )
 
-// Lease is leave to act by the settings in force, where dispatchers agree on them. It may run out at any moment, so it
-// is asked where something is taken and once more right before the first byte of an attempt leaves. It is read from any
-// goroutine. Without one (nil) the core always has leave.
+// Lease is the permission to act by the settings in force, where dispatchers agree on settings. As
+// it may expire at any moment, it is checked when a request is admitted and again right before the
+// first byte of an attempt is sent. Its methods may be called from any goroutine. A nil Lease means
+// that the core may always act.
 type Lease interface {
-	// MayAdmit says why a new request may not be taken.
+	// MayAdmit returns an error if a new request must not be admitted.
 	MayAdmit(q Admission) error
-	// MaySend says why an attempt may not leave now. Again is that an earlier one of its request may have run.
+	// MaySend returns an error if an attempt must not be sent now. The argument once tells that the
+	// class must not run twice, and again that an earlier attempt of the request may have run.
 	MaySend(once, again bool) error
-	// AtMostOnce tells whether every class must be treated as one that may run only once.
+	// AtMostOnce reports whether every class must be treated as one that must not run twice.
 	AtMostOnce() bool
-	// Ready tells whether clients may come.
+	// Ready reports whether new clients should come.
 	Ready() bool
-	// SettingsVersion names the settings, for who hears of what was done by them.
+	// SettingsVersion returns the version of the settings, which is passed on to clients and
+	// replicas.
 	SettingsVersion() string
 }
 
-// Admission is what is to be taken.
+// Admission describes a request that is to be admitted.
 type Admission struct {
 	Class      string
 	Tenant     string
-	Retry      bool // its client has tried before
-	AtMostOnce bool // its class must not run twice
+	Retry      bool // the client has tried before
+	AtMostOnce bool // the class must not run twice
 }
 
-// SetLease puts the core under a licence; before Run, or on its goroutine.
+// SetLease makes the core act under a lease. It must be called before Run or on the core's
+// goroutine.
 func (d *Dispatcher) SetLease(l Lease) {
 	d.lease = l
 	d.Phases.setLeaseCheck(l.Ready)
 }
 
-// lapsedAfter is the advice to a client that is refused for want of leave: contact is found again in about that time, or
-// another dispatcher answers.
+// noLeaseRetryAfter is the retry advice to a client that is refused for lack of a lease: after
+// about that time contact with the other dispatchers is restored, or another dispatcher answers.
 const noLeaseRetryAfter = time.Second
 
-// comeBack is when a client that finds no leave should come back, by the error if that says so.
+// retryAfterOf returns the retry advice that an error carries, or else noLeaseRetryAfter.
 func retryAfterOf(err error) time.Duration {
 	var says interface{ After() time.Duration }
 	if errors.As(err, &says) {
@@ -50,10 +54,10 @@
 	return noLeaseRetryAfter
 }
 
-// noMark marks what was decided by no settings: there was no leave to act by any.
+// noSettingsVersion is given as the version where no settings applied, because there was no lease.
 const noSettingsVersion = "none"
 
-// lapsed gives up a request that may not be sent on for want of leave.
+// giveUpWithoutLease refuses a request that must not be sent for lack of a lease.
 func (d *Dispatcher) giveUpWithoutLease(r *request) {
 	if !r.answered && !r.maybeSent() {
 		d.giveUp(r, Answer{Verdict: Refused, RetryAfter: noLeaseRetryAfter, SettingsVersion: noSettingsVersion, Reason: "this dispatcher may not act: it has lost contact with the others"}, NoLease)
@@ -67,8 +71,8 @@
 	return d.lease.SettingsVersion()
 }
 
-// strictly keeps the requests that are open to the stricter of the rules on repeats: those they came with, and those in
-// force from now on.
+// applyStricterRepeats makes open requests follow the stricter of two rules on repeats: the one
+// they were admitted under and the one now in force.
 func (d *Dispatcher) applyStricterRepeats() {
 	for _, r := range d.requests {
 		for _, c := range d.set.Classes {
--- a/internal/dispatch/lease_test.go
+++ b/internal/dispatch/lease_test.go
@@ -8,11 +8,11 @@
 	"standpulley/logic"
 )
 
-// leave is a licence of a story.
+// fakeLease is a lease whose answers are set by the test.
 type fakeLease struct {
 	admitErr, sendErr error
 	atMostOnce        bool
-	repeats           []bool // whether an earlier attempt may have run, each time that leave to send was asked
+	repeats           []bool // for each call of MaySend, whether an earlier attempt may have run
 }
 
 func (l *fakeLease) MayAdmit(Admission) error { return l.admitErr }
@@ -26,24 +26,24 @@
 
 var errNoLease = errors.New("gone")
 
-// Guards: without leave nothing is taken and nothing leaves; what was taken hears so at once, a refusal where it can't have
-// run and a failure where it may.
+// Guards: without a lease no request is admitted and no attempt is sent. An admitted request gets
+// its answer at once: a refusal if it cannot have run, a failure if it may have.
 func TestWithoutLease(t *testing.T) {
 	d, _ := newCore(t, 9)
 	lic := &fakeLease{}
 	d.SetLease(lic)
 	if err := d.Phases.Enter(Ready); err != nil || !d.Phases.AcceptsClients() {
-		t.Fatal(err, "clients may not come though there is leave")
+		t.Fatal(err, "clients are not accepted though there is a lease")
 	}
 	k, p := submit(d, "a", "unsafe")
 	if to := p.sent[0].target; to.SettingsVersion != "7-abcd" || to.BeforeSend() != nil || lic.repeats[0] {
-		t.Errorf("%+v, asked %v", to, lic.repeats)
+		t.Errorf("%+v, MaySend calls %v", to, lic.repeats)
 	}
 	lic.admitErr, lic.sendErr = errNoLease, errNoLease
 	if p.sent[0].target.BeforeSend() == nil || d.Phases.AcceptsClients() {
-		t.Error("an attempt leaves without leave, or clients may come")
+		t.Error("without a lease an attempt may be sent or clients are accepted")
 	}
-	// The attempt found no leave at its first byte: it never ran.
+	// The attempt had no lease at its first byte, so it never ran.
 	p.sent[0].observer.Ended(Result{Outcome: logic.NotSent, NoLease: true})
 	processAll(d)
 	if a := answerOf(t, k); a.Verdict != Refused || a.RetryAfter < noLeaseRetryAfter || a.SettingsVersion != noSettingsVersion {
@@ -51,9 +51,9 @@
 	}
 	k, p = submit(d, "b", "safe")
 	if a := answerOf(t, k); a.Verdict != Refused || a.SettingsVersion != noSettingsVersion || len(p.sent) > 0 {
-		t.Errorf("taken without leave: %+v, %d sent", a, len(p.sent))
+		t.Errorf("admitted without a lease: %+v, %d sent", a, len(p.sent))
 	}
-	// One that may have run at a writer fails.
+	// A request that may have run at a writer fails.
 	lic.admitErr, lic.sendErr = nil, nil
 	k, p = submit(d, "c", "unsafe")
 	endAttempt(d, p, logic.ReadDone)
@@ -64,8 +64,9 @@
 	}
 }
 
-// Guards: under a licence that allows each request one run only, no class is sent again without proof; and a request that
-// is open when its class becomes one that must not run twice keeps to that.
+// Guards: under a lease that allows each request only one run, no class is sent again without proof
+// that it never ran. An open request whose class changes to one that must not run twice follows the
+// new rule.
 func TestStricterRepeats(t *testing.T) {
 	d, _ := newCore(t, 9)
 	lic := &fakeLease{}
@@ -74,7 +75,7 @@
 	endAttempt(d, p, logic.ReadDone)
 	before := len(p.sent)
 	lic.atMostOnce = true
-	endAttempt(d, p, logic.ServerError) // it may have run
+	endAttempt(d, p, logic.ServerError) // may have run
 	if len(p.sent) != before {
 		t.Errorf("sent again: %d attempts", len(p.sent))
 	}
@@ -95,15 +96,17 @@
 	}
 }
 
-// Guards: an attempt does not leave once its server was withdrawn, though it was routed before and was still connecting, or its process
-// was stopped: neither under a lease that was renewed with the later list, nor without one. It is sent elsewhere at once, as it never ran.
+// Guards: an attempt is not sent once its server was withdrawn, even if it was routed before and
+// was still connecting, or if this process was stopped for a while. This holds under a lease that
+// was renewed with the later list, and without a lease. The request is sent to another server at
+// once, as it never ran.
 func TestNoAttemptToWithdrawnServers(t *testing.T) {
 	for name, list := range map[string]func(at Server) Update{
 		"drained":                  func(at Server) Update { at.Availability = logic.Draining; return Update{Servers: []Server{at}} },
 		"gone":                     func(at Server) Update { at.Availability = logic.Gone; return Update{Servers: []Server{at}} },
 		"moved":                    func(at Server) Update { at.Addr = "elsewhere"; return Update{Servers: []Server{at}} },
-		"left out of a whole list": func(at Server) Update { return Update{Full: true} },
-		"":                         func(at Server) Update { at.Weight++; return Update{Servers: []Server{at}} }, // still there
+		"missing from a full list": func(at Server) Update { return Update{Full: true} },
+		"":                         func(at Server) Update { at.Weight++; return Update{Servers: []Server{at}} }, // still listed
 	} {
 		d, _ := newCore(t, 9)
 		if name != "gone" {
@@ -122,13 +125,13 @@
 		before := len(p.sent)
 		endAttempt(d, p, logic.NotSent)
 		if len(p.sent) != before+1 || p.sent[before].target.Server == to.Server || p.sent[before].target.BeforeSend() != nil {
-			t.Errorf("%d attempts after %d", len(p.sent), before)
+			t.Errorf("%d attempts, %d before", len(p.sent), before)
 		}
 		back := *d.servers[to.Server]
 		back.Availability = logic.Ready
 		Update{Servers: []Server{back}}.apply(d)
 		if d.servers[to.Server].withdrawn.Load() || to.BeforeSend() == nil {
-			t.Error("one that is back takes nothing, or takes what was routed before")
+			t.Error("a server that is back gets no attempts, or gets those routed before")
 		}
 	}
 }
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -7,7 +7,7 @@
 	"standpulley/logic"
 )
 
-// takeList puts a list in force.
+// applyList applies a change of the list of replicas, or a complete list.
 func (d *Dispatcher) applyList(u Update) {
 	ev, before := logic.Event{Kind: logic.ListChanged, Servers: make([]logic.ServerEntry, 0, len(u.Servers))}, d.servers
 	d.releaseRanking = nil
@@ -33,13 +33,13 @@
 			}
 		}
 	}
-	log.Printf("list: version %d, whole %v, names %d replicas, %d of them new or changed; %d are known", u.Version, u.Full, len(u.Servers), changed,
+	log.Printf("list: version %d, full %v: %d replicas listed, %d of them new or changed; %d replicas known", u.Version, u.Full, len(u.Servers), changed,
 		len(d.servers))
 	d.Phases.setCanServe(d.canServe())
 	d.route(ev)
 }
 
-// list puts an entry in force in the place of the one before, which may be nil.
+// applyEntry puts an entry in force in place of the previous one, which may be nil.
 func (d *Dispatcher) applyEntry(s Server, previous *Server) {
 	if previous != nil && previous.Availability == logic.Ready && s.Availability == logic.Ready && previous.Addr == s.Addr {
 		s.withdrawn = previous.withdrawn
@@ -56,20 +56,22 @@
 	}
 }
 
-// logChangesMost is how many changes of one list have a line of the log: more would push other lines out of its buffer.
+// maxLoggedChanges is how many changes of one list are logged: more would push other lines out of
+// the log's buffer.
 const maxLoggedChanges = 200
 
-// logChange logs a replica that a list changes, the nth of it.
+// logChange logs the nth replica that a list changes.
 func logChange(s Server, n int) {
 	switch {
 	case n <= maxLoggedChanges:
 		log.Printf("list: %s %s %s zone %s cell %d is %v", s.ID, s.Kind, s.Addr, s.Zone, s.Cell, s.Availability)
 	case n == maxLoggedChanges+1:
-		log.Print("list: further changes of this list have no line")
+		log.Print("list: further changes of this list are not logged")
 	}
 }
 
-// able tells whether the replicas in service could serve a request between them: one that does it whole, or a reader and a writer.
+// canServe reports whether the replicas in service can serve a request between them: one that does
+// both stages, or a reader and a writer.
 func (d *Dispatcher) canServe() bool {
 	var reads, writes bool
 	for _, s := range d.servers {
@@ -86,7 +88,7 @@
 	return false
 }
 
-// roleOf finds a server's role by its kind.
+// roleOf returns the role of a server by its kind.
 func (d *Dispatcher) roleOf(s *Server) (role logic.Role) {
 	for _, k := range d.set.Kinds {
 		if k.Name == s.Kind {
--- a/internal/dispatch/permit_test.go
+++ b/internal/dispatch/permit_test.go
@@ -7,10 +7,10 @@
 	"standpulley/logic"
 )
 
-// violations counts what was found at run time of one rule.
+// violations returns the number of violations of a rule.
 func violations(d *Dispatcher, rule Cause) int { return d.Counts.Causes()[RuleViolated][rule] }
 
-// What breaks a rule is found at run time, and what keeps to it is not.
+// Violations of each rule are counted at run time, and steps that follow the rules are not.
 func TestViolationsAreCounted(t *testing.T) {
 	for _, breaks := range []bool{false, true} {
 		d, _, _ := newClockedCore(t)
@@ -21,7 +21,7 @@
 		}
 		d.deadlinePassed(k.r)
 		if n := violations(d, AnsweredLate); (n > 0) != breaks {
-			t.Errorf("breaks %v: %d late answers", breaks, n)
+			t.Errorf("violation %v: %d late answers", breaks, n)
 		}
 		at.firstByte.set(k.r.answeredAt + endSlack)
 		if breaks {
@@ -30,7 +30,7 @@
 		p.sent[0].observer.Ended(Result{Outcome: logic.Cancelled})
 		processAll(d)
 		if n := violations(d, SentAfterEnd); (n > 0) != breaks {
-			t.Errorf("breaks %v: %d sent after the end", breaks, n)
+			t.Errorf("violation %v: %d sent after the end", breaks, n)
 		}
 
 		d, _, advance := newClockedCore(t)
@@ -43,7 +43,7 @@
 		processAll(d)
 		advance(d.set.ReleaseWithin + heldSlack)
 		if n := violations(d, HeldTooLong); (n > 0) != breaks {
-			t.Errorf("breaks %v: %d held too long", breaks, n)
+			t.Errorf("violation %v: %d held too long", breaks, n)
 		}
 
 		d, _ = newCore(t, 9)
@@ -52,7 +52,7 @@
 		k.r.mayHaveRun = breaks
 		endAttempt(d, p, logic.ConnectionLost)
 		if n := violations(d, RepeatedUnproven); (n > 0) != breaks {
-			t.Errorf("breaks %v: %d repeated", breaks, n)
+			t.Errorf("violation %v: %d repeated", breaks, n)
 		}
 
 		d, _ = newCore(t, 9)
@@ -62,7 +62,7 @@
 		}
 		d.checkExit()
 		if n := violations(d, UnansweredAtExit); (n > 0) != breaks {
-			t.Errorf("breaks %v: %d unanswered at the exit", breaks, n)
+			t.Errorf("violation %v: %d unanswered at exit", breaks, n)
 		}
 	}
 }
--- a/internal/dispatch/phase.go
+++ b/internal/dispatch/phase.go
@@ -9,12 +9,12 @@
 // Phase is a state of the program between its start and its exit.
 type Phase uint8
 
-// The phases, in their order. None is entered twice.
+// The phases in their order. No phase is entered twice.
 const (
 	Starting Phase = iota // not yet open to clients
 	Ready                 // serving
-	Draining              // told to stop: what comes on connections that are open is still served
-	Leaving               // what was taken is finished, connections are not kept
+	Draining              // told to stop; requests on open connections are still served
+	Leaving               // accepted requests are finished; connections are not kept
 	Stopped               // nothing is open any more
 )
 
@@ -22,14 +22,15 @@
 	return [...]string{"starting", "ready", "draining", "leaving", "stopped"}[p]
 }
 
-// Phases holds the program's phase and counts what must be answered before it may stop.
+// Phases holds the phase of the program and counts the open requests, which must end before it may
+// stop.
 type Phases struct {
 	mu         sync.Mutex
 	now        Phase
 	open       int
-	diverting  bool        // clients are sent away for a while: an operator empties the program
-	leaseReady func() bool // leave to serve, where dispatchers agree on settings
-	canServe   bool        // replicas are known that could serve a request between them
+	diverting  bool        // clients are told to go elsewhere while an operator drains the program
+	leaseReady func() bool // whether the lease allows serving; nil if dispatchers do not agree on settings
+	canServe   bool        // the known replicas can serve a request between them
 	idle       *sync.Cond
 }
 
@@ -39,14 +40,14 @@
 	return p
 }
 
-// Now is the present phase.
+// Now returns the current phase.
 func (p *Phases) Now() Phase {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.now
 }
 
-// Enter goes on to a later phase; going back is an error.
+// Enter moves on to a later phase. Going back is an error.
 func (p *Phases) Enter(next Phase) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,21 +59,22 @@
 	return nil
 }
 
-// SetDiverting sends clients away from now on, or takes them again. The phase stays: what comes all the same is served.
+// SetDiverting starts or stops telling clients to go elsewhere. The phase does not change, and
+// requests that still arrive are served.
 func (p *Phases) SetDiverting(diverting bool) {
 	p.mu.Lock()
 	p.diverting = diverting
 	p.mu.Unlock()
 }
 
-// under makes leave to serve a condition for clients to come.
+// setLeaseCheck makes a valid lease a condition of AcceptsClients.
 func (p *Phases) setLeaseCheck(ready func() bool) {
 	p.mu.Lock()
 	p.leaseReady = ready
 	p.mu.Unlock()
 }
 
-// CanServe tells whether replicas are known that could serve a request between them.
+// CanServe reports whether the known replicas can serve a request between them.
 func (p *Phases) CanServe() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,21 +87,23 @@
 	p.mu.Unlock()
 }
 
-// AcceptsClients tells whether clients may come: not to a program that could serve none of them.
+// AcceptsClients reports whether new clients should come. They should not come to a program that
+// could not serve them.
 func (p *Phases) AcceptsClients() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.now == Ready && p.canServe && !p.diverting && (p.leaseReady == nil || p.leaseReady())
 }
 
-// KeepAlive tells whether clients may keep their connections after an answer.
+// KeepAlive reports whether clients may keep their connections after an answer.
 func (p *Phases) KeepAlive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.now < Leaving && !p.diverting
 }
 
-// begin and end count the requests that are owed an answer or whose stream runs.
+// begin and end count the open requests: those without an answer, with a stream that runs or with
+// state to be released.
 func (p *Phases) begin() {
 	p.mu.Lock()
 	p.open++
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -6,7 +6,8 @@
 	"standpulley/logic"
 )
 
-// probe asks a server in service whether it is well; any other has not answered at once.
+// probe probes a server in service. For any other server, or without a Prober, the probe fails at
+// once with NotSent.
 func (d *Dispatcher) probe(id string) {
 	s := d.servers[id]
 	if s == nil || s.Availability != logic.Ready || d.Prober == nil {
@@ -17,7 +18,7 @@
 	d.Prober.Probe(s.Addr, func(out logic.Outcome) { d.post(probeAnswer{id, sentAt, out}) })
 }
 
-// probeAnswer comes when a probe is over.
+// probeAnswer is posted when a probe has ended.
 type probeAnswer struct {
 	server string
 	sentAt time.Time
--- a/internal/dispatch/probe_test.go
+++ b/internal/dispatch/probe_test.go
@@ -8,7 +8,7 @@
 	"standpulley/logic"
 )
 
-// probes notes who is asked; answer tells for one.
+// fakeProber records which addresses are probed. The test gives the answers.
 type fakeProber struct {
 	asked []string
 	reply []func(logic.Outcome)
@@ -18,7 +18,8 @@
 	p.asked, p.reply = append(p.asked, addr), append(p.reply, then)
 }
 
-// Guards: the module's probes go to servers in service alone, and their answers come back to it; without a prober none is waited for.
+// Guards: probes are sent only to servers in service, and their answers reach the decision module.
+// Without a prober a request is sent after a while without waiting for answers.
 func TestProbesAreCarriedOut(t *testing.T) {
 	set := logic.Settings{Siblings: 300, MaxAttempts: 3, CanCancel: true, CanProbe: true, Classes: classes, ReleaseWithin: 500 * time.Millisecond,
 		RampTime: time.Second, FallTime: time.Second, FallMultiple: 2, Kinds: []logic.Kind{{Name: "r", Role: logic.Reader}, {Name: "w", Role: logic.Writer}}}
@@ -38,10 +39,10 @@
 		if prober == nil {
 			now := d.clock().Add(time.Second)
 			d.clock = func() time.Time { return now }
-			d.runTimers() // the wait for probes is over
+			d.runTimers() // the time to wait for probe answers is over
 		} else {
 			if len(p.sent) != 0 || len(prober.asked) != 2 {
-				t.Fatalf("%d sends, probes of %v", len(p.sent), prober.asked)
+				t.Fatalf("%d sends, probed %v", len(p.sent), prober.asked)
 			}
 			prober.reply[0](logic.Delivered)
 			processAll(d)
@@ -57,7 +58,7 @@
 		d.probe("r2")
 		d.probe("unknown")
 		if len(prober.asked) != before || slices.Contains(prober.asked[before:], "r2") {
-			t.Errorf("probes of %v", prober.asked)
+			t.Errorf("probed %v", prober.asked)
 		}
 	}
 }
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -9,7 +9,8 @@
 	"standpulley/logic"
 )
 
-// clocked is a core whose clock the test moves; advance lets time go by, and what is due is done.
+// newClockedCore returns a core whose clock the test moves. The function advance moves the clock
+// and runs the timers that are due.
 func newClockedCore(t *testing.T) (d *Dispatcher, rel *fakeReleaser, advance func(time.Duration)) {
 	t.Helper()
 	d, rel = newCore(t, 9)
@@ -21,8 +22,8 @@
 	}
 }
 
-// Guards: a zone that is cut off, whose replicas let calls run into their time, costs a release one try, so that what is held is let
-// go in time.
+// Guards: a zone that is cut off, whose replicas let every call time out, costs a release only one
+// try, so that held state is released in time.
 func TestReleaseOrderAlternatesZones(t *testing.T) {
 	d, _ := newCore(t, 9)
 	d.set.Zone = "own"
@@ -38,8 +39,9 @@
 	}
 }
 
-// Guards against the incident in large fleets: each release sorted all replicas anew, some milliseconds of the core's time. The order stands
-// until a list or the settings change, and a release has a bounded number of replicas to try, in part others than the next release.
+// Guards against a fault seen in large fleets: each release sorted all replicas again, which took
+// the core some milliseconds. The ranking is kept until a list or the settings change. A release
+// tries a bounded number of replicas, and part of them differ from release to release.
 func TestReleaseOrderIsCachedInLargeFleet(t *testing.T) {
 	d, _ := newCore(t, 9)
 	list := Update{Full: true}
@@ -64,7 +66,7 @@
 		seen[addr] = true
 	}
 	if d.releaseOrder("3", ""); &d.releaseRanking[0] != made {
-		t.Error("the order is made anew for a release")
+		t.Error("the ranking was rebuilt for a release")
 	}
 	Update{Servers: []Server{{Addr: "r0000", ServerEntry: logic.ServerEntry{ID: "r0000", Kind: "r", Availability: logic.Gone}}}}.apply(d)
 	if got := d.releaseOrder("4", ""); got[0] == "r0000" {
@@ -72,8 +74,9 @@
 	}
 }
 
-// Guards: what a read has left is let go in time while the attempt to fetch it can't connect, and also where its bytes have left: an open
-// connection may have fallen silent, and then they come to nobody. Once the writer has answered, the state was taken.
+// Guards: the state that a read has left is released in time while the attempt to fetch it cannot
+// connect, and also after its bytes were sent: an open connection may be dead without notice, and
+// then the bytes reach nobody. Once the writer has answered, the state was fetched.
 func TestHeldStateIsReleasedUntilFetchIsProven(t *testing.T) {
 	for name, c := range map[string]struct {
 		fetch    func(d *Dispatcher, p *fakePayload)
@@ -94,15 +97,16 @@
 			t.Fatalf("%d sends", len(p.sent))
 		}
 		c.fetch(d, p)
-		advance(300 * time.Millisecond) // of the 500 that a state may be held
+		advance(300 * time.Millisecond) // of the 500 ms for which state may be held
 		if released := len(*rel) > 0; released != c.released {
 			t.Errorf("%s: released %v", name, *rel)
 		}
 	}
 }
 
-// Guards: a writer that vanishes while an attempt waits there leaves the state behind, and no error shows. What is held is let go time and
-// again for as long as the attempt is out, and at once when it ends without proof; the request is read anew after that.
+// Guards: if a writer disappears while an attempt waits there, the state is left behind and no
+// error is seen. The release is repeated for as long as the attempt is in flight, and made at once
+// if the attempt ends without proof of a fetch. After that the prompt is read again.
 func TestHeldStateIsReleasedAgainWhileFetchIsInFlight(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	_, p := submit(d, "a", "safe")
@@ -114,18 +118,19 @@
 	}
 	advance(500 * time.Millisecond)
 	if len(*rel) != 2 {
-		t.Errorf("released %v while the fetch is out", *rel)
+		t.Errorf("released %v while the fetch is in flight", *rel)
 	}
 	endAttempt(d, p, logic.TimedOut)
 	if len(*rel) != 3 {
-		t.Errorf("released %v as the fetch has ended", *rel)
+		t.Errorf("released %v after the fetch has ended", *rel)
 	}
 	if len(p.sent) != 3 || p.sent[2].target.Server != "r1" {
-		t.Errorf("%d sends, the last %+v: it is to be read anew", len(p.sent), p.sent[len(p.sent)-1].target)
+		t.Errorf("%d sends, the last to %+v; want another read", len(p.sent), p.sent[len(p.sent)-1].target)
 	}
 }
 
-// Guards: retries that fail at once, in a row, began the time anew each, so that a state was held for the sum of them.
+// Guards: a series of retries that each failed at once restarted the release timer each time, so
+// that state was held for the sum of their times.
 func TestFastFailingRetriesDoNotDelayRelease(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	_, p := submit(d, "a", "safe")
@@ -143,7 +148,8 @@
 	}
 }
 
-// A writer that turns the fetch away has heard of it: the time that a state may be held counts from its answer.
+// A writer that rejects the fetch proves that it received it. The time for which state may be held
+// restarts with that answer.
 func TestStateIsKeptAfterWriterRejectsFetch(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	_, p := submit(d, "a", "safe")
@@ -163,8 +169,9 @@
 	}
 }
 
-// Guards: what a read may have left, whose connection broke just as it ended, was let go only with the request. While further attempts
-// can't connect, nobody comes for it.
+// Guards: the state that a read may have left, whose connection broke just as it ended, was
+// released only at the end of the request. Nobody fetches that state while further attempts cannot
+// connect.
 func TestStateOfBrokenReadIsReleasedInTime(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	k, p := submit(d, "a", "safe")
@@ -172,15 +179,16 @@
 	if len(p.sent) != 2 {
 		t.Fatalf("%d sends", len(p.sent))
 	}
-	advance(300 * time.Millisecond) // of the 500 that a state may be held; the second read is connecting all the while
+	advance(300 * time.Millisecond) // of the 500 ms for which state may be held; the second read is still connecting
 	if len(*rel) == 0 {
 		t.Error("nothing was released")
 	}
 	noFurtherAnswer(t, k)
 }
 
-// Guards: what a read left, whose connection had broken, was let go only where its request was not served. It may end on its replica after
-// another read was fetched and answered, which lets go of what is there by then.
+// Guards: the state of a read whose connection had broken was released only if the request was not
+// served. The read may end at its replica after the state of another read was fetched and answered,
+// and that fetch releases only what is there by then.
 func TestStateOfBrokenReadIsReleasedAfterAnswer(t *testing.T) {
 	for _, broken := range []bool{true, false} {
 		d, rel, advance := newClockedCore(t)
@@ -202,7 +210,7 @@
 	}
 }
 
-// withheld is a releaser whose confirmations the test gives.
+// manualReleaser is a releaser whose confirmations are given by the test.
 type manualReleaser struct {
 	ids     []string
 	confirm []func(bool)
@@ -218,9 +226,9 @@
 	w.ids, w.confirm = append(w.ids, id), append(w.confirm, then)
 }
 
-// Guards: a second read whose bytes had left counted as one that had arrived, and kept what the first had left from being let go. So a
-// request is read anew only when that is confirmed. What a read in progress will leave would be let go with the rest: while one is out
-// nothing is released.
+// Guards: a second read whose bytes were sent counted as arrived, and kept the state of the first
+// read from being released. So the prompt is read again only after that release is confirmed. While
+// a read is in flight nothing is released, because its own state would be released too.
 func TestRereadWaitsForReleaseAfterBrokenRead(t *testing.T) {
 	for _, o := range []logic.Outcome{logic.ConnectionLost, logic.TimedOut, logic.Cancelled} {
 		d, _, advance := newClockedCore(t)
@@ -238,13 +246,15 @@
 		}
 		p.sent[1].observer.Written()
 		if advance(time.Second); len(rel.ids) != 1 {
-			t.Errorf("%v: released %v while a read is out", o, rel.ids)
+			t.Errorf("%v: released %v while a read is in flight", o, rel.ids)
 		}
 	}
 }
 
-// Guards: a fetch that ends without proof, after its state was let go, may have kept it from that until then. The request is read anew
-// once that is released too; a client that leaves meanwhile gets its answer at once, and the program is not idle before the end.
+// Guards: a fetch that ends without proof after its state was released may have kept the state from
+// being released. The prompt is read again only once that state is released too. A client that
+// leaves meanwhile gets its answer at once, and the program is not idle until the release is
+// confirmed.
 func TestRereadWaitsForReleaseAfterFailedFetch(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		d, _, advance := newClockedCore(t)
@@ -263,19 +273,20 @@
 			k.Abandon()
 			processAll(d)
 			if a := answerOf(t, k); a.Verdict != ClientLeft || len(d.requests) != 1 {
-				t.Errorf("%v, %d requests are known", a.Verdict, len(d.requests))
+				t.Errorf("%v, %d requests open", a.Verdict, len(d.requests))
 			}
 		}
 		rel.confirm[1](true)
 		processAll(d)
 		if leaves && (len(p.sent) != 2 || len(d.requests) != 0) || !leaves && (len(p.sent) != 3 || p.sent[2].target.Server != "r1") {
-			t.Errorf("client has left %v: %d sends, %d requests are known", leaves, len(p.sent), len(d.requests))
+			t.Errorf("client has left %v: %d sends, %d requests open", leaves, len(p.sent), len(d.requests))
 		}
 	}
 }
 
-// Guards: a read that was given up may go on where its replica hangs or hears nothing of that, and end seconds later. Nobody let go of what
-// it left then. Its replica is asked until it answers, behind an answer too; one that has answered is asked once more.
+// Guards: a read that was given up may continue if its replica hangs or does not notice, and end
+// seconds later. Its state was then never released. The replica is now polled until it answers,
+// even after the request was answered, and once it has answered it is asked once more.
 func TestStateOfAbandonedReadIsReleased(t *testing.T) {
 	for _, served := range []bool{false, true} {
 		d, _, advance := newClockedCore(t)
@@ -296,9 +307,9 @@
 		}
 		rel.confirm = nil
 		advance(releaseRepeatDelay)
-		for range 3 { // it hangs
+		for range 3 { // the replica hangs
 			if len(rel.confirm) != 1 {
-				t.Fatalf("served %v: %d calls wait", served, len(rel.confirm))
+				t.Fatalf("served %v: %d calls pending", served, len(rel.confirm))
 			}
 			then := rel.confirm[0]
 			rel.confirm = nil
@@ -310,15 +321,16 @@
 		rel.confirm[0](true)
 		processAll(d)
 		if advance(releaseRepeatDelay); len(rel.ids) != before+1 {
-			t.Errorf("served %v: %d calls after it has answered", served, len(rel.ids)-before)
+			t.Errorf("served %v: %d calls after the replica has answered", served, len(rel.ids)-before)
 		}
 		if advance(10 * time.Second); len(rel.ids) != before+1 {
-			t.Errorf("served %v: it goes on", served)
+			t.Errorf("served %v: the calls continue", served)
 		}
 	}
 }
 
-// Guards: the replica that holds a state was not asked first where the request was refused right before: it was forgotten by then.
+// Guards: the holder of the state was not asked first if the request was refused right before,
+// because the request had already been removed from the table.
 func TestReleaseOfRefusedRequestAsksHolderFirst(t *testing.T) {
 	d, _ := newCore(t, 9)
 	asked := &recordingReleaser{}
@@ -328,12 +340,12 @@
 	endAttempt(d, p, logic.Full)
 	endAttempt(d, p, logic.Full)
 	if len(p.sent) != 3 || len(d.requests) != 0 || len(asked.addrs) == 0 || asked.addrs[0] != "r1" {
-		t.Errorf("%d sends, %d requests are known, asked %v", len(p.sent), len(d.requests), asked.addrs)
+		t.Errorf("%d sends, %d requests open, asked %v", len(p.sent), len(d.requests), asked.addrs)
 	}
 }
 
-// Guards: the program ended while what was held had still to be let go: at the end of an attempt whose client had its answer already, and
-// once more a moment after that.
+// Guards: the program exited while held state still had to be released: at the end of an attempt
+// whose client already had its answer, and once more a moment later.
 func TestNotIdleWhileStateIsHeld(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	idle := func() bool { d.Phases.mu.Lock(); defer d.Phases.mu.Unlock(); return d.Phases.open == 0 }
@@ -345,7 +357,7 @@
 	}
 	k.Finish()
 	if idle() {
-		t.Error("idle while a read is out")
+		t.Error("idle while a read is in flight")
 	}
 	endAttempt(d, p, logic.Cancelled)
 	first := len(*rel)
@@ -358,7 +370,7 @@
 	}
 }
 
-// A release asks the reader that holds the state before all others, also when it is no longer listed.
+// A release asks the reader that holds the state first, even if the reader is no longer listed.
 func TestReleaseAsksHolderFirst(t *testing.T) {
 	d, _ := newCore(t, 9)
 	asked := &recordingReleaser{}
@@ -390,8 +402,9 @@
 	then(true)
 }
 
-// Guards: a request of which nothing came to any replica, as every connection was in use, had its release called for all the same. Those calls
-// took the connections that releases of what was held waited for.
+// Guards: a release was called even for a request that had reached no replica because every
+// connection was in use. Those calls took the connections that the releases of held state were
+// waiting for.
 func TestNoReleaseForRequestThatReachedNoReplica(t *testing.T) {
 	for _, c := range []struct {
 		outcome logic.Outcome
@@ -402,7 +415,7 @@
 		for len(d.requests) > 0 && len(p.sent) < 9 {
 			before := len(p.sent)
 			endAttempt(d, p, c.outcome)
-			if len(p.sent) == before { // it waits for another replica
+			if len(p.sent) == before { // the request waits for another replica
 				d.giveUp(k.r, Answer{Verdict: Refused}, DeadlineExceeded)
 			}
 		}
--- a/internal/dispatch/releaseorder.go
+++ b/internal/dispatch/releaseorder.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	releaseFixed   = 16   // replicas that are asked for each release, in the same order: connections to them stand open
-	releaseSampled = 16   // and so many more that differ from release to release, as all of the others may be down
-	sampleStride   = 7919 // a prime above the size of any fleet: steps of it come to each replica once
+	releaseFixed   = 16   // replicas that are tried for every release in the same order, so that connections to them stay open
+	releaseSampled = 16   // further replicas, chosen by request id, as all of the fixed ones may be down
+	sampleStride   = 7919 // a prime above the size of any fleet, so that steps of it reach every replica once
 )
 
-// releaseOrder gives the addresses of the replicas to ask for a release, in their order: the holder first, then those that are surest to be
-// there. The order of all is made anew only after a change of the list or of the settings.
+// releaseOrder returns the addresses of the replicas to try for a release, in order: the holder
+// first, then those that are most likely to be up. The ranking of all replicas is rebuilt only
+// after a change of the list or the settings.
 func (d *Dispatcher) releaseOrder(id, holder string) []string {
 	if d.releaseRanking == nil {
 		d.releaseRanking = d.rankForRelease()
@@ -43,12 +44,13 @@
 	return addrs
 }
 
-// surestFirst gives the addresses of all replicas: those in service and long started first, and of these one of each zone in turn, the own
-// one's first, so that a zone which is cut off costs one try and not all of them.
+// rankForRelease returns the addresses of all replicas, those in service that started long ago
+// first. Among these the zones alternate, beginning with this dispatcher's own zone, so that a zone
+// that is cut off costs one try and not as many as it has replicas.
 func (d *Dispatcher) rankForRelease() []string {
 	type candidate struct {
 		*Server
-		zoneRank int // among those of its zone
+		zoneRank int // position among the replicas of its zone
 	}
 	all := make([]candidate, 0, len(d.servers))
 	for _, s := range d.servers {
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -7,7 +7,7 @@
 	"standpulley/logic"
 )
 
-// retune puts settings in force that differ in what change does to the classes.
+// updateSettings puts settings in force in which change has altered the classes or limits.
 func updateSettings(t *testing.T, d *Dispatcher, change func(*logic.Settings)) {
 	t.Helper()
 	set := d.set
@@ -20,19 +20,19 @@
 	}
 }
 
-// A request that is open keeps the effect, the window and the deadline of its class as it came, whatever a new configuration says of the
-// class, also where that no longer has it. Limits hold from now on.
+// An open request keeps the rule on repeats, the window and the deadline of its class as it was at
+// admission, even if new settings change or remove the class. Limits apply at once.
 func TestOpenRequestsKeepTheirClass(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		change func(*logic.Settings)
-		again  bool // a further attempt after one at a writer that may have run
+		again  bool // whether an attempt follows one at a writer that may have run
 	}{
-		"at most once becomes harmless": {"unsafe", func(s *logic.Settings) { s.Classes[1].Repeat = logic.Safe }, false},
-		"harmless becomes at most once": {"safe", func(s *logic.Settings) { s.Classes[0].Repeat = logic.Unsafe }, true},
-		"the class is gone":             {"unsafe", func(s *logic.Settings) { s.Classes = s.Classes[:1] }, false},
-		"a shorter deadline":            {"safe", func(s *logic.Settings) { s.Classes[0].Deadline = time.Millisecond }, true},
-		"no further attempts":           {"safe", func(s *logic.Settings) { s.MaxAttempts = 2 }, false},
+		"unsafe becomes safe": {"unsafe", func(s *logic.Settings) { s.Classes[1].Repeat = logic.Safe }, false},
+		"safe becomes unsafe": {"safe", func(s *logic.Settings) { s.Classes[0].Repeat = logic.Unsafe }, true},
+		"class removed":       {"unsafe", func(s *logic.Settings) { s.Classes = s.Classes[:1] }, false},
+		"shorter deadline":    {"safe", func(s *logic.Settings) { s.Classes[0].Deadline = time.Millisecond }, true},
+		"fewer attempts":      {"safe", func(s *logic.Settings) { s.MaxAttempts = 2 }, false},
 	} {
 		d, _, advance := newClockedCore(t)
 		k, p := submit(d, "a", c.class)
@@ -40,10 +40,10 @@
 		sent := len(p.sent)
 		updateSettings(t, d, c.change)
 		advance(100 * time.Millisecond)
-		noFurtherAnswer(t, k) // its time goes on
+		noFurtherAnswer(t, k) // its time has not run out
 		endAttempt(d, p, logic.ConnectionLost)
 		if again := len(p.sent) > sent; again != c.again {
-			t.Errorf("%s: a further attempt: %v", name, again)
+			t.Errorf("%s: further attempt %v", name, again)
 		}
 		if c.again {
 			noFurtherAnswer(t, k)
@@ -53,14 +53,15 @@
 	}
 }
 
-// The window for repeats of a request that is open is the one that it came under, longer or shorter than the one in force since.
+// An open request keeps the time window for repeats under which it was admitted, whether it is
+// longer or shorter than the new one.
 func TestOpenRequestsKeepTheirWindow(t *testing.T) {
 	for _, windows := range [][2]time.Duration{{30 * time.Second, time.Hour}, {time.Hour, 30 * time.Second}} {
 		d := keyedCore(t, logic.AllServers, windows[0])
 		_, p := submit(d, "a", "keyed")
 		endAttempt(d, p, logic.ReadDone)
 		updateSettings(t, d, func(s *logic.Settings) { s.Classes[0].Window = windows[1] })
-		endAttempt(d, p, logic.ServerError) // it may have run
+		endAttempt(d, p, logic.ServerError) // may have run
 		r := d.requests["a"]
 		r.uncertainSince = r.uncertainSince.Add(-time.Minute)
 		if open := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])() == nil; open != (windows[0] > time.Minute) {
--- a/internal/dispatch/simultaneous_test.go
+++ b/internal/dispatch/simultaneous_test.go
@@ -7,8 +7,8 @@
 	"standpulley/logic"
 )
 
-// The deadline and the first event of an answer come at one instant, in both orders: there is one answer, and a stream that comes second
-// is closed.
+// The deadline and the first event of an answer come at the same instant, in either order. There is
+// one answer, and a stream that comes second is closed.
 func TestDeadlineAndAnswerAtSameInstant(t *testing.T) {
 	for _, deadlineFirst := range []bool{true, false} {
 		d, _ := newCore(t, 9)
@@ -34,12 +34,13 @@
 		}
 		noFurtherAnswer(t, k)
 		if deadlineFirst && !s.waitClosed() {
-			t.Error("the stream that came second stays open")
+			t.Error("the late stream stays open")
 		}
 	}
 }
 
-// A client leaves while its request is parked, as no server can take it: no attempt begins after that, whoever comes back.
+// A client leaves while its request is parked because no server can take it. No attempt starts
+// after that, even when servers return.
 func TestClientLeavesWhileRequestIsParked(t *testing.T) {
 	d, _ := newCore(t, 9)
 	now := time.Now()
@@ -51,7 +52,7 @@
 	Update{Full: true}.apply(d)
 	k, p := submit(d, "a", "safe")
 	if len(p.sent) != 0 {
-		t.Fatalf("%d sends where there is nobody", len(p.sent))
+		t.Fatalf("%d sends without servers", len(p.sent))
 	}
 	k.Abandon()
 	processAll(d)
@@ -68,8 +69,8 @@
 	}
 }
 
-// The list takes a server back in the very step in which it withdraws another, and an id comes with a new address: what was routed to the
-// old one does not leave.
+// A list update replaces the address of a listed server. An attempt that was routed to the old
+// address is not sent.
 func TestChangedAddressWithdrawsOldEntry(t *testing.T) {
 	d, _ := newCore(t, 9)
 	_, p := submit(d, "a", "safe")
@@ -79,15 +80,16 @@
 	}
 	Update{Servers: []Server{{Addr: "elsewhere", ServerEntry: logic.ServerEntry{ID: "r1", Kind: "r", Weight: 1}}}}.apply(d)
 	if err := first.target.BeforeSend(); err != ErrWithdrawn {
-		t.Errorf("to the address before: %v", err)
+		t.Errorf("to the old address: %v", err)
 	}
 	if s := d.servers["r1"]; s.Addr != "elsewhere" || s.withdrawn.Load() {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A client that repeats its request, under the same id, as soon as it is refused is a new one: it is refused again or served, and answered
-// once each time. While the first is open the second has failed, and the first goes on.
+// A client that repeats a refused request at once, under the same id, makes a new request. It is
+// refused again or served, and answered once each time. While the first request with an id is open
+// the second one fails, and the first continues.
 func TestRepeatAsSoonAsRefused(t *testing.T) {
 	d, _ := newCore(t, 1)
 	open, p := submit(d, "a", "safe")
@@ -100,17 +102,17 @@
 	}
 	same, again := submit(d, "a", "safe")
 	if a := answerOf(t, same); a.Verdict != Failed || len(again.sent) != 0 {
-		t.Errorf("the id of an open one: %+v", a)
+		t.Errorf("second request with an open id: %+v", a)
 	}
 	noFurtherAnswer(t, open)
 	endAttempt(d, p, logic.ReadDone)
 	p.sent[1].observer.Began(&fakeStream{})
 	endAttempt(d, p, logic.Delivered)
 	if a := answerOf(t, open); a.Verdict != Served {
-		t.Errorf("the open one: %v", a.Verdict)
+		t.Errorf("open request: %v", a.Verdict)
 	}
 	k, again := submit(d, "b", "safe")
 	if noFurtherAnswer(t, k); len(again.sent) != 1 {
-		t.Errorf("with room again: %d sends", len(again.sent))
+		t.Errorf("after there was room again: %d sends", len(again.sent))
 	}
 }
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -2,49 +2,53 @@
 
 import "time"
 
-// The module's clock is monotonic: it counts from the core's start, and a step of the machine's wall clock does not move it. It begins
-// at clockOrigin, so that replicas that started before the core have times above zero, which means "long ago" to the module.
+// The clock of the decision module is monotonic. It counts from the start of the core, and a step
+// of the wall clock does not change it. It begins at clockOrigin so that replicas that started
+// before the core have times above zero; zero means "long ago" to the module.
 const clockOrigin = 24 * time.Hour
 
-// wallClock reads the machine's wall clock alone, which may be stepped.
+// wallClock returns the wall clock without a monotonic reading. It may be stepped.
 func wallClock() time.Time { return time.Now().Round(0) }
 
-// now is the module's clock.
+// now returns the time by the clock of the decision module.
 func (d *Dispatcher) now() time.Duration { return clockOrigin + d.clock().Sub(d.startedAt) }
 
-// timeAt gives the moment at which the module's clock shows a time.
+// timeAt converts a time of the module's clock.
 func (d *Dispatcher) timeAt(at time.Duration) time.Time { return d.startedAt.Add(at - clockOrigin) }
 
 const (
-	// discoveryLag is the longest that a list may take from a replica's start to the dispatcher. A replica that is newly told of long
-	// after the first list, and claims to be older than that, was dated by a clock that has been stepped.
+	// discoveryLag is the longest time that a list may take to reach the dispatcher after the start
+	// of a replica. If a replica that is first listed long after the first list claims to be older
+	// than that, its start was dated by a clock that was stepped.
 	discoveryLag = 20 * time.Second
-	// startKept is how long the start of a replica that has left the list is remembered, as it may be listed again.
+	// startRetention is how long the start of a replica that has left the list is remembered,
+	// because it may be listed again.
 	startRetention = 10 * time.Minute
 )
 
-// startTimes turns the wall-clock times at which replicas started into the module's clock. Each is turned once, when it is first told, so
-// that a later step of the wall clock changes no age. Where the wall clock can't be right, the replica counts as just started.
+// startTimes converts the wall-clock start times of replicas to the module's clock. Each is
+// converted once, when it is first listed, so that a later step of the wall clock does not change
+// the age of a replica. If the wall-clock time cannot be right, the replica counts as just started.
 type startTimes struct {
 	wall       func() time.Time
-	wallAtZero time.Time                 // what the wall clock would have shown at the module's zero, by its reading at the core's start
+	wallAtZero time.Time                 // wall clock at time zero of the module's clock, computed at the start of the core
 	firstList  time.Duration             // when the first list came from discovery; 0: not yet
-	known      map[string]knownStartTime // by the replica's id
-	lastSweep  time.Duration             // when what no list has named for long was forgotten last
+	known      map[string]knownStartTime // by replica id
+	lastSweep  time.Duration             // when entries that had not been listed for long were last removed
 }
 
-// knownStartTime is the start of one replica's process.
+// knownStartTime is the start time of the process of one replica.
 type knownStartTime struct {
-	listed     time.Time     // as the list says; zero: long ago
+	listed     time.Time     // wall-clock start time given in the list; zero: long ago
 	started    time.Duration // by the module's clock; 0: long ago
-	lastListed time.Duration // when a list named it last
+	lastListed time.Duration // when a list last contained the replica
 }
 
 func newStartTimes(wall func() time.Time, now time.Duration) *startTimes {
 	return &startTimes{wall: wall, wallAtZero: wall().Add(-now), known: map[string]knownStartTime{}}
 }
 
-// started gives the time at which a listed replica started, by the module's clock.
+// started returns the start time of a listed replica by the module's clock.
 func (s *startTimes) started(id string, listed time.Time, now time.Duration) time.Duration {
 	known, ok := s.known[id]
 	if !ok || !known.listed.Equal(listed) {
@@ -56,8 +60,8 @@
 	return known.started
 }
 
-// convert reads the replica's age off the wall clock, and off what the wall clock would show had it not been stepped since the core's
-// start. The younger counts.
+// convert computes the age of the replica from the current wall clock, and from what the wall clock
+// would show if it had not been stepped since the start of the core. The smaller age counts.
 func (s *startTimes) convert(listed time.Time, now time.Duration) time.Duration {
 	if listed.IsZero() {
 		return 0
@@ -70,7 +74,8 @@
 	return max(now-age, 0)
 }
 
-// listTold notes that discovery has told a list, and forgets replicas that none has named for long.
+// listReceived records that a list came from discovery, and removes replicas that have not been
+// listed for long.
 func (s *startTimes) listReceived(now time.Duration) {
 	if s.firstList == 0 {
 		s.firstList = now
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -7,7 +7,7 @@
 	"standpulley/logic"
 )
 
-// steppedWall is a wall clock that runs with a test's clock and can be stepped.
+// steppedWall is a wall clock that runs with the clock of a test and can be stepped.
 type steppedWall struct {
 	now  *time.Time
 	step time.Duration
@@ -15,7 +15,8 @@
 
 func (w *steppedWall) read() time.Time { return w.now.Round(0).Add(w.step) }
 
-// startsOf is a core whose clocks the test moves, with the replicas' start times read off a stepped wall clock.
+// newSteppedCore returns a core whose clocks the test moves. The start times of replicas are
+// converted by the stepped wall clock.
 func newSteppedCore(t *testing.T) (d *Dispatcher, wall *steppedWall, advance func(time.Duration)) {
 	t.Helper()
 	d, _ = newCore(t, 9)
@@ -32,7 +33,8 @@
 
 var wallSteps = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
-// Guards: the age of a replica is found once. A step of the wall clock after that neither warms nor cools it, whatever list names it again.
+// Guards: the age of a replica is computed once. A later step of the wall clock does not make the
+// replica look older or younger, even if another list names it again.
 func TestWallClockStepKeepsKnownAge(t *testing.T) {
 	for _, step := range wallSteps {
 		d, wall, advance := newSteppedCore(t)
@@ -51,8 +53,8 @@
 	}
 }
 
-// Guards: a replica that is newly told of is never taken for older than it is, whatever the wall clock shows by then, and for no more than
-// the step younger.
+// Guards: a newly listed replica never counts as older than it is, whatever the wall clock shows,
+// and it counts as younger by at most the step of the clock.
 func TestNewReplicaIsNeverDatedTooOld(t *testing.T) {
 	for _, step := range wallSteps {
 		d, wall, advance := newSteppedCore(t)
@@ -63,12 +65,13 @@
 		listOne("y", boot).apply(d)
 		age := d.now() - d.servers["y"].Started
 		if age > 4*time.Second || step >= 0 && age != 4*time.Second {
-			t.Errorf("step %v: a replica of 4 s is taken for %v old", step, age)
+			t.Errorf("step %v: a replica that is 4 s old counts as %v old", step, age)
 		}
 	}
 }
 
-// Guards: a start in the future, or longer ago than a replica that was not in the lists before can have run, is a just started one.
+// Guards: a replica counts as just started if its start lies in the future, or so far back that an
+// earlier list would have contained it.
 func TestImplausibleStartCountsAsJustStarted(t *testing.T) {
 	d, wall, advance := newSteppedCore(t)
 	listOne("x", time.Time{}).apply(d)
@@ -76,7 +79,7 @@
 	for id, boot := range map[string]time.Duration{"ahead": time.Hour, "old": -time.Hour} {
 		listOne(id, wall.read().Add(boot)).apply(d)
 		if age := d.now() - d.servers[id].Started; age != 0 {
-			t.Errorf("%s: taken for %v old", id, age)
+			t.Errorf("%s: counts as %v old", id, age)
 		}
 	}
 	listOne("long-ago", time.Time{}).apply(d)
@@ -85,12 +88,13 @@
 	}
 }
 
-// Guards: what was known before discovery answered keeps the age that its list tells, also where that is long.
+// Guards: replicas that were known before discovery answered keep the age given in their list, even
+// a long one.
 func TestFirstListsAreTrusted(t *testing.T) {
 	d, wall, _ := newSteppedCore(t)
 	d.applyList(listOne("x", wall.read().Add(-time.Hour)))
 	if age := d.now() - d.servers["x"].Started; age != time.Hour {
-		t.Errorf("taken for %v old", age)
+		t.Errorf("counts as %v old", age)
 	}
 	d.applyList(listOne("y", wall.read().Add(-2*clockOrigin)))
 	if s := d.servers["y"]; s.Started != 0 {
@@ -98,7 +102,7 @@
 	}
 }
 
-// Guards: replicas that come and go for days leave nothing behind.
+// Guards: replicas that come and go for days must not leave start times behind.
 func TestStartTimesExpire(t *testing.T) {
 	d, wall, advance := newSteppedCore(t)
 	for range 50 {
@@ -106,11 +110,12 @@
 		advance(time.Minute)
 	}
 	if n := len(d.starts.known); n > 20 {
-		t.Errorf("%d starts are remembered", n)
+		t.Errorf("%d start times are kept", n)
 	}
 }
 
-// Guards: the module's clock runs with the monotonic clock, and its moments come back as such.
+// Guards: the clock of the decision module runs with the monotonic clock, and its times convert
+// back to times with a monotonic reading.
 func TestModuleClockIsMonotonic(t *testing.T) {
 	d, wall, advance := newSteppedCore(t)
 	before := d.now()
@@ -120,10 +125,10 @@
 		t.Errorf("%v went by in a second", d.now()-before)
 	}
 	if at := d.timeAt(d.now() + time.Second); at.Sub(d.clock()) != time.Second {
-		t.Errorf("a second ahead lies %v ahead", at.Sub(d.clock()))
+		t.Errorf("one second ahead converts to %v ahead", at.Sub(d.clock()))
 	}
 	real, _ := newCore(t, 9)
 	if at := real.timeAt(real.now()); at.String() == at.Round(0).String() {
-		t.Error("a moment of the module's clock has no monotonic reading")
+		t.Error("a time of the module's clock has no monotonic reading")
 	}
 }
--- a/internal/dispatch/unresolved_test.go
+++ b/internal/dispatch/unresolved_test.go
@@ -7,9 +7,11 @@
 	"standpulley/logic"
 )
 
-// Guards: a read of what must not run twice was given up and sent to another reader. Where its connection had fallen silent, or its machine
-// was cut off, the end of the connection never came there: the read went on, and two were out. Only an end that the other side made, or an
-// answer, lets it leave again; and it is no refusal, as nothing proves that it is over.
+// Guards: a read of a request that must not run twice was given up and sent to another reader. If
+// its connection was dead without notice or its machine cut off, the close of the connection never
+// arrived: the first read continued, and two were in flight. Such a request is sent again only if
+// the replica ended the connection or answered. It is not refused either, as nothing proves that
+// the read is over.
 func TestAbandonedReadMayStillRun(t *testing.T) {
 	for _, c := range []struct {
 		class string
@@ -34,7 +36,8 @@
 	}
 }
 
-// The core holds this rule by itself, whatever the module decides: it gives up a read, and the module believes that it is over.
+// The core enforces this rule by itself, whatever the decision module decides. Here the module
+// assumes that a read ends when it is given up.
 func TestCoreDoesNotRepeatAbandonedRead(t *testing.T) {
 	d, _, _ := newClockedCore(t)
 	set := d.set
@@ -54,7 +57,8 @@
 	}
 }
 
-// Where only some replicas throw repeats away, the group and the window of a read that was given up bind what follows.
+// Where only some replicas discard repeats, a read that was given up starts the time window that
+// limits later attempts.
 func TestAbandonedReadOpensRepeatWindow(t *testing.T) {
 	d := keyedCore(t, logic.AllServers, 30*time.Second)
 	_, p := submit(d, "a", "keyed")
@@ -65,6 +69,6 @@
 	r := d.requests["a"]
 	r.uncertainSince = r.uncertainSince.Add(-time.Minute)
 	if err := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])(); err == nil {
-		t.Error("it may leave a minute later")
+		t.Error("a repeat may be sent a minute later")
 	}
 }
