--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -32,14 +32,19 @@
 	reachedReplica  bool             // an attempt that has ended may have reached its replica
 	held            heldState        // state that a reader holds
 	orphaned        bool             // a read ended without reporting whether it left state behind
-	unresolved      bool             // a read was given up and may continue if its replica did not notice
-	uncertainSince  time.Time        // send time of the first attempt that may have run or may still be running
+	// unresolved tells that a read was given up and may continue if its replica did not notice.
+	unresolved bool
+	// uncertainSince is the send time of the first attempt that may have run or may still be
+	// running.
+	uncertainSince time.Time
 }
 
 const (
-	fullRetryAfter = 200 * time.Millisecond // retry advice when the table of open requests has no room or the core is overloaded
-	// The timer of the decision module fires at the deadline. A request that it leaves unanswered
-	// is failed this much later, still within answerSlack.
+	// fullRetryAfter is the retry advice when the table of open requests has no room, the core is
+	// overloaded or the program is ending.
+	fullRetryAfter = 200 * time.Millisecond
+	// deadlineGrace is how long after its deadline a request is failed that the decision module,
+	// whose own timer fires at the deadline, has left unanswered. It is well within answerSlack.
 	deadlineGrace = 10 * time.Millisecond
 )
 
@@ -79,10 +84,13 @@
 	}
 	r.inFlight = map[int]*attempt{}
 	d.requests[r.id] = r
-	d.Phases.begin() // ended by forgetIfDone: the request is answered, has no attempt in flight and no release pending
+	// Ended by forgetIfDone once the request is answered, has no attempt in flight and no release
+	// pending.
+	d.Phases.begin()
 	d.openBytes += r.size
 	r.deadline = r.received.Add(r.spec.Remaining)
-	r.spec.Remaining = max(r.deadline.Sub(d.clock()), 0) // part of the time may have passed before the request got here
+	// Part of the time may have passed before the request got here.
+	r.spec.Remaining = max(r.deadline.Sub(d.clock()), 0)
 	d.after(r.spec.Remaining+deadlineGrace, func() { d.deadlinePassed(r) })
 	d.route(logic.Event{Kind: logic.Arrived, RequestID: r.id, Request: r.spec})
 }
--- a/internal/dispatch/delay.go
+++ b/internal/dispatch/delay.go
@@ -19,8 +19,10 @@
 	current     DelayMetrics // the current window
 	last        DelayMetrics // the previous window
 	windowStart time.Time    // start of the current window
-	delayed     int          // messages and timers that waited for lagThreshold or longer, since the start
-	queued      func() int   // returns the number of queued messages
+	// delayed counts the messages and timers that waited for lagThreshold or longer, since the
+	// start.
+	delayed int
+	queued  func() int // returns the number of queued messages
 }
 
 // DelayMetrics are the longest waits and the longest step of a window.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,10 +24,14 @@
 // Server is an entry of the list of replicas together with the address of the replica.
 type Server struct {
 	logic.ServerEntry
-	Addr     string
-	LastBoot time.Time // process start by the wall clock of whoever made the list; zero: long ago. The core derives Started from it.
-
-	withdrawn *atomic.Bool // set when a later list removes, drains or moves the replica; managed by the core
+	Addr string
+	// LastBoot is the process start by the wall clock of whoever made the list; zero means long
+	// ago. The core derives Started from it.
+	LastBoot time.Time
+
+	// withdrawn is set by the core when a later list removes the replica, drains it or changes its
+	// address.
+	withdrawn *atomic.Bool
 }
 
 // Update is a change to the list of replicas, or the complete list if Full is set.
@@ -39,19 +43,25 @@
 
 // Target is the destination and the time limit of an attempt.
 type Target struct {
-	Server          string
-	Addr            string
-	Until           time.Time
-	NoReuse         bool         // use a new connection: on an idle one whose peer has disappeared unnoticed the request may be lost, and it must not be repeated
-	BeforeSend      func() error // called right before the first byte is written; an error stops the attempt, nil means no check
-	SettingsVersion string       // version of the settings in force; empty if dispatchers do not agree on settings
+	Server string
+	Addr   string
+	Until  time.Time
+	// NoReuse requires a new connection. On an idle one whose peer has disappeared unnoticed the
+	// request could be lost, and it must not be repeated.
+	NoReuse bool
+	// BeforeSend is called right before the first byte is written, and its error stops the attempt.
+	// Nil means that the attempt may always be sent.
+	BeforeSend func() error
+	// SettingsVersion is the version of the settings in force; empty if dispatchers do not agree on
+	// settings.
+	SettingsVersion string
 }
 
 // Payload is a request in the form of its wire protocol, which only the transport knows.
 type Payload interface {
 	// Send starts an attempt and returns at once. The attempt reports its progress to the
 	// AttemptObserver.
-	Send(to Target, tell AttemptObserver) Attempt
+	Send(to Target, observer AttemptObserver) Attempt
 }
 
 // Attempt is an attempt in flight.
@@ -70,9 +80,11 @@
 
 // Result is the result of an attempt that ended without a stream, or whose stream has ended.
 type Result struct {
-	Outcome    logic.Outcome
-	Tokens     int64  // with ReadDone: prompt tokens that were found in the cache of the reader
-	NoState    bool   // with Full: there was no state to fetch; otherwise: the attempt has consumed the state
+	Outcome logic.Outcome
+	Tokens  int64 // with ReadDone: prompt tokens that were found in the cache of the reader
+	// NoState tells that no state is left at the reader: with Full there was none to fetch, with
+	// any other outcome the attempt has taken it.
+	NoState    bool
 	NoLease    bool   // with NotSent: the dispatcher had no lease that allows sending
 	ClientGone bool   // with NotSent: the client had closed its connection
 	Detail     string // for operators, not parsed
@@ -127,11 +139,13 @@
 	done     chan struct{}
 
 	// The fields below belong to the goroutine of Run.
-	startedAt        time.Time // start of the core by clock
-	starts           *startTimes
-	requests         map[string]*request
-	servers          map[string]*Server
-	releaseRanking   []string // addresses of all replicas in order of preference for releases; nil: must be rebuilt
+	startedAt time.Time // start of the core by clock
+	starts    *startTimes
+	requests  map[string]*request
+	servers   map[string]*Server
+	// releaseRanking holds the addresses of all replicas in order of preference for releases; nil
+	// means that it must be rebuilt.
+	releaseRanking   []string
 	sampleSeed       maphash.Seed
 	timers           timerHeap
 	actions          []logic.Action
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -23,8 +23,8 @@
 	target   Target
 }
 
-func (p *fakePayload) Send(to Target, tell AttemptObserver) Attempt {
-	f := &fakeAttempt{p, tell, to}
+func (p *fakePayload) Send(to Target, observer AttemptObserver) Attempt {
+	f := &fakeAttempt{p, observer, to}
 	p.sent = append(p.sent, f)
 	return f
 }
@@ -145,7 +145,8 @@
 	if noFurtherAnswer(t, k); len(p.sent) != 2 || s.closeCalled.Load() || len(d.requests) != 0 {
 		t.Errorf("%d sends, stream closed %v, %d requests open", len(p.sent), s.closeCalled.Load(), len(d.requests))
 	}
-	if k.r.payload != nil { // timers refer to the request until its deadline: many bodies would fill the memory
+	// Timers refer to the request until its deadline: many bodies would fill the memory.
+	if k.r.payload != nil {
 		t.Error("the payload is kept after the end of the request")
 	}
 }
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -68,7 +68,9 @@
 		d.giveUp(r, Answer{Verdict: ClientLeft}, ClientGone)
 	}
 	if res.NoLease {
-		d.giveUpWithoutLease(r) // before the decision module tries another replica: without a lease nothing can be sent
+		// This comes before the decision module tries another replica, as nothing can be sent
+		// without a lease.
+		d.giveUpWithoutLease(r)
 	}
 	settled := attemptSettled{r, logic.Event{Kind: logic.Ended, RequestID: r.id, Server: at.server, Attempt: at.number, Outcome: out,
 		Took: d.clock().Sub(at.sentAt), Tokens: res.Tokens, NoState: res.NoState}}
@@ -106,7 +108,8 @@
 	if g.r.answered {
 		return
 	}
-	if d.requests[g.r.id] != g.r { // the arrival is still queued; another request with the same id may be open
+	// The arrival is still queued, and another request with the same id may be open.
+	if d.requests[g.r.id] != g.r {
 		d.answer(g.r, Answer{Verdict: ClientLeft})
 		return
 	}
@@ -118,7 +121,8 @@
 	if d.mayForget(r) {
 		delete(d.requests, r.id)
 		d.openBytes -= r.size
-		r.payload = nil // timers still refer to the request for a while and must not keep its body in memory
+		// Timers still refer to the request for a while and must not keep its body in memory.
+		r.payload = nil
 		// This is needed after an answer too: the read may end at its replica after the fetch that
 		// released everything else.
 		if r.orphaned {
--- a/internal/dispatch/held.go
+++ b/internal/dispatch/held.go
@@ -17,11 +17,14 @@
 // that a read in progress is about to leave. So nothing is released while a read is in flight, and
 // a read is sent only after the state that an earlier one may have left was released.
 type heldState struct {
-	addr           string          // address of the reader; empty: no state is held
-	unresolved     map[string]bool // replicas at which a read was given up or broke and may continue
-	timerID        int             // number of the active release timer
-	stateID        int             // number of the state, incremented when it is read, fetched or released
-	releasePending bool            // the end of an attempt is held back until the state that it may have left is released
+	addr       string          // address of the reader; empty: no state is held
+	unresolved map[string]bool // replicas at which a read was given up or broke and may continue
+	timerID    int             // number of the active release timer
+	// stateID is the number of the state, incremented when it is read, fetched or released.
+	stateID int
+	// releasePending tells that the end of an attempt is held back until the state that it may have
+	// left is released.
+	releasePending bool
 }
 
 const (
@@ -31,8 +34,8 @@
 	// releaseWait is the longest time that a further attempt waits for a release: two replicas may
 	// fail to respond before one answers.
 	releaseWait = 100 * time.Millisecond
-	// releaseRepeatDelay is when the release at the end of a request is repeated: a read may end at
-	// its replica just after the first call came there.
+	// releaseRepeatDelay is the time after which the release at the end of a request is repeated: a
+	// read may end at its replica just after the first call came there.
 	releaseRepeatDelay = 150 * time.Millisecond
 )
 
@@ -46,7 +49,8 @@
 		h.stateID++
 		d.checkHeld(at.r)
 		d.scheduleRelease(at.r, heldFraction)
-	case at.role == logic.Reader && !neverRan(out): // it may have succeeded just as its connection was closed or broke
+	case at.role == logic.Reader && !neverRan(out):
+		// The read may have succeeded just as its connection was closed or broke.
 		h.addr = at.addr
 		if h.unresolved == nil {
 			h.unresolved = map[string]bool{}
--- a/internal/dispatch/inbox.go
+++ b/internal/dispatch/inbox.go
@@ -144,7 +144,9 @@
 // overload distinguishes a core that is permanently too slow from one that was delayed for a
 // moment.
 type overload struct {
-	since time.Time // when new requests began to wait for lagThreshold or longer; zero: the last one did not
+	// since is when new requests began to wait for lagThreshold or longer; zero means that the last
+	// one did not.
+	since time.Time
 }
 
 // mustRefuse records the wait of a new request and reports whether it must be refused.
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -47,9 +47,9 @@
 
 // retryAfterOf returns the retry advice that an error carries, or else noLeaseRetryAfter.
 func retryAfterOf(err error) time.Duration {
-	var says interface{ After() time.Duration }
-	if errors.As(err, &says) {
-		return says.After()
+	var advice interface{ After() time.Duration }
+	if errors.As(err, &advice) {
+		return advice.After()
 	}
 	return noLeaseRetryAfter
 }
--- a/internal/dispatch/lease_test.go
+++ b/internal/dispatch/lease_test.go
@@ -30,16 +30,16 @@
 // its answer at once: a refusal if it cannot have run, a failure if it may have.
 func TestWithoutLease(t *testing.T) {
 	d, _ := newCore(t, 9)
-	lic := &fakeLease{}
-	d.SetLease(lic)
+	lease := &fakeLease{}
+	d.SetLease(lease)
 	if err := d.Phases.Enter(Ready); err != nil || !d.Phases.AcceptsClients() {
 		t.Fatal(err, "clients are not accepted though there is a lease")
 	}
 	k, p := submit(d, "a", "unsafe")
-	if to := p.sent[0].target; to.SettingsVersion != "7-abcd" || to.BeforeSend() != nil || lic.repeats[0] {
-		t.Errorf("%+v, MaySend calls %v", to, lic.repeats)
+	if to := p.sent[0].target; to.SettingsVersion != "7-abcd" || to.BeforeSend() != nil || lease.repeats[0] {
+		t.Errorf("%+v, MaySend calls %v", to, lease.repeats)
 	}
-	lic.admitErr, lic.sendErr = errNoLease, errNoLease
+	lease.admitErr, lease.sendErr = errNoLease, errNoLease
 	if p.sent[0].target.BeforeSend() == nil || d.Phases.AcceptsClients() {
 		t.Error("without a lease an attempt may be sent or clients are accepted")
 	}
@@ -54,10 +54,10 @@
 		t.Errorf("admitted without a lease: %+v, %d sent", a, len(p.sent))
 	}
 	// A request that may have run at a writer fails.
-	lic.admitErr, lic.sendErr = nil, nil
+	lease.admitErr, lease.sendErr = nil, nil
 	k, p = submit(d, "c", "unsafe")
 	endAttempt(d, p, logic.ReadDone)
-	lic.sendErr = errNoLease
+	lease.sendErr = errNoLease
 	endAttempt(d, p, logic.ServerError)
 	if a := answerOf(t, k); a.Verdict != Failed || !a.MayRun {
 		t.Errorf("%+v", a)
@@ -69,23 +69,23 @@
 // new rule.
 func TestStricterRepeats(t *testing.T) {
 	d, _ := newCore(t, 9)
-	lic := &fakeLease{}
-	d.SetLease(lic)
+	lease := &fakeLease{}
+	d.SetLease(lease)
 	_, p := submit(d, "a", "safe")
 	endAttempt(d, p, logic.ReadDone)
 	before := len(p.sent)
-	lic.atMostOnce = true
+	lease.atMostOnce = true
 	endAttempt(d, p, logic.ServerError) // may have run
 	if len(p.sent) != before {
 		t.Errorf("sent again: %d attempts", len(p.sent))
 	}
-	lic.atMostOnce = false
+	lease.atMostOnce = false
 	k, p := submit(d, "b", "safe")
 	endAttempt(d, p, logic.ReadDone)
 	before = len(p.sent)
 	set := d.set
 	set.Classes = []logic.Class{{Name: "safe", Aim: time.Second, Deadline: 3 * time.Second, Repeat: logic.Unsafe}}
-	q := settingsUpdate{set, d.bounds, lic, make(chan error, 1)}
+	q := settingsUpdate{set, d.bounds, lease, make(chan error, 1)}
 	q.apply(d)
 	if err := <-q.reply; err != nil {
 		t.Fatal(err)
@@ -106,7 +106,8 @@
 		"gone":                     func(at Server) Update { at.Availability = logic.Gone; return Update{Servers: []Server{at}} },
 		"moved":                    func(at Server) Update { at.Addr = "elsewhere"; return Update{Servers: []Server{at}} },
 		"missing from a full list": func(at Server) Update { return Update{Full: true} },
-		"":                         func(at Server) Update { at.Weight++; return Update{Servers: []Server{at}} }, // still listed
+		// still listed
+		"": func(at Server) Update { at.Weight++; return Update{Servers: []Server{at}} },
 	} {
 		d, _ := newCore(t, 9)
 		if name != "gone" {
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -20,17 +20,25 @@
 
 // Rules that are checked at run time.
 const (
-	AnsweredLate     Cause = "answered_late"      // the final answer came more than answerSlack (500 ms) after the deadline
-	SentAfterEnd     Cause = "sent_after_end"     // the first byte of an attempt was sent after its request was answered
-	RepeatedUnproven Cause = "repeated_unproven"  // a request that must not run twice was sent again without proof that it never ran
+	// AnsweredLate: the final answer came more than answerSlack (500 ms) after the deadline.
+	AnsweredLate Cause = "answered_late"
+	// SentAfterEnd: the first byte of an attempt was sent after its request was answered.
+	SentAfterEnd Cause = "sent_after_end"
+	// RepeatedUnproven: a request that must not run twice was sent again without proof that it
+	// never ran.
+	RepeatedUnproven Cause = "repeated_unproven"
 	HeldTooLong      Cause = "held_too_long"      // state was neither fetched nor released in time
 	UnansweredAtExit Cause = "unanswered_at_exit" // the core stopped with an unanswered request
 )
 
 const (
-	answerSlack = 500 * time.Millisecond // an answer after the deadline only loses its value; one later than this breaks a rule
-	endSlack    = 100 * time.Millisecond // an attempt that is sent this soon after the end of its request could not have known about the end
-	heldSlack   = 300 * time.Millisecond // added by the protocol to the time for which state may be held
+	// answerSlack is how long after the deadline an answer only loses its value. A later one breaks
+	// a rule.
+	answerSlack = 500 * time.Millisecond
+	// endSlack is how soon after the end of its request an attempt may be sent without a violation,
+	// because it could not have known about the end.
+	endSlack  = 100 * time.Millisecond
+	heldSlack = 300 * time.Millisecond // added by the protocol to the time for which state may be held
 	// maxPause is how long this process may be paused between a clock reading and the step that
 	// relies on it.
 	maxPause = 150 * time.Millisecond
--- a/internal/dispatch/phase.go
+++ b/internal/dispatch/phase.go
@@ -25,12 +25,14 @@
 // Phases holds the phase of the program and counts the open requests, which must end before it may
 // stop.
 type Phases struct {
-	mu         sync.Mutex
-	now        Phase
-	open       int
-	diverting  bool        // clients are told to go elsewhere while an operator drains the program
-	leaseReady func() bool // whether the lease allows serving; nil if dispatchers do not agree on settings
-	canServe   bool        // the known replicas can serve a request between them
+	mu        sync.Mutex
+	now       Phase
+	open      int
+	diverting bool // clients are told to go elsewhere while an operator drains the program
+	// leaseReady reports whether the lease allows serving; nil if dispatchers do not agree on
+	// settings.
+	leaseReady func() bool
+	canServe   bool // the known replicas can serve a request between them
 	idle       *sync.Cond
 }
 
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -67,7 +67,8 @@
 	at, r := b.at, b.at.r
 	if r.answered || at.cancelled {
 		at.cancelled = true
-		go b.stream.Close() // Close posts the end of the attempt, which this goroutine would have to process
+		// Close posts the end of the attempt to this goroutine, so it must not be awaited here.
+		go b.stream.Close()
 		return
 	}
 	at.stream, at.beganAt = b.stream, d.clock()
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -179,7 +179,8 @@
 	if len(p.sent) != 2 {
 		t.Fatalf("%d sends", len(p.sent))
 	}
-	advance(300 * time.Millisecond) // of the 500 ms for which state may be held; the second read is still connecting
+	// State may be held for 500 ms. The second read is still connecting.
+	advance(300 * time.Millisecond)
 	if len(*rel) == 0 {
 		t.Error("nothing was released")
 	}
--- a/internal/dispatch/releaseorder.go
+++ b/internal/dispatch/releaseorder.go
@@ -7,9 +7,13 @@
 )
 
 const (
-	releaseFixed   = 16   // replicas that are tried for every release in the same order, so that connections to them stay open
-	releaseSampled = 16   // further replicas, chosen by request id, as all of the fixed ones may be down
-	sampleStride   = 7919 // a prime above the size of any fleet, so that steps of it reach every replica once
+	// releaseFixed is the number of replicas that are tried for every release in the same order, so
+	// that connections to them stay open.
+	releaseFixed   = 16
+	releaseSampled = 16 // further replicas, chosen by request id, as all of the fixed ones may be down
+	// sampleStride is a prime above the size of any fleet, so that steps of it reach every replica
+	// once.
+	sampleStride = 7919
 )
 
 // releaseOrder returns the addresses of the replicas to try for a release, in order: the holder
@@ -44,9 +48,10 @@
 	return addrs
 }
 
-// rankForRelease returns the addresses of all replicas, those in service that started long ago
-// first. Among these the zones alternate, beginning with this dispatcher's own zone, so that a zone
-// that is cut off costs one try and not as many as it has replicas.
+// rankForRelease returns the addresses of all replicas in order of preference. Within a zone the
+// replicas in service that started long ago come first. The zones alternate, beginning with this
+// dispatcher's own, so that a zone that is cut off costs one try and not one for each of its
+// replicas.
 func (d *Dispatcher) rankForRelease() []string {
 	type candidate struct {
 		*Server
@@ -59,10 +64,10 @@
 	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.Availability, b.Availability), cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID))
 	})
-	zoneSize := map[string]int{}
+	seenInZone := map[string]int{}
 	for i := range all {
-		all[i].zoneRank = zoneSize[all[i].Zone]
-		zoneSize[all[i].Zone]++
+		all[i].zoneRank = seenInZone[all[i].Zone]
+		seenInZone[all[i].Zone]++
 	}
 	remoteZone := func(s *Server) int {
 		if s.Zone == d.set.Zone {
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -65,7 +65,8 @@
 		d.probe(a.Server)
 		return
 	case logic.Release:
-		if h := known[a.RequestID]; !h.nothingHeld { // a needless call would take a connection that others need
+		// A needless call would take a connection that other requests need.
+		if h := known[a.RequestID]; !h.nothingHeld {
 			d.release(a.RequestID, h.addr, RequestEnded)
 		}
 		return
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -44,9 +44,9 @@
 		until = t
 	}
 	r.inFlight[at.number] = at
-	leave := d.beforeSend(at, s)
+	beforeSend := d.beforeSend(at, s)
 	d.recordIntent(at, Target{Server: s.ID, Addr: s.Addr, Until: until,
-		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: leave, SettingsVersion: d.settingsVersion()})
+		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: beforeSend, SettingsVersion: d.settingsVersion()})
 }
 
 // cancel gives an attempt up, unless its stream already belongs to the client.
@@ -54,7 +54,8 @@
 	if at.stream == nil && !at.cancelled {
 		at.cancelled = true
 		at.d.Counts.Count(AttemptCancelled, cause, fmt.Sprintf("%s attempt %d at %s", at.r.id, at.number, at.server))
-		if at.transport != nil { // otherwise the intent is being recorded, and the attempt will not be sent
+		// Without a transport the intent is still being recorded, and the attempt will not be sent.
+		if at.transport != nil {
 			at.transport.Cancel()
 		}
 	}
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -30,11 +30,14 @@
 // converted once, when it is first listed, so that a later step of the wall clock does not change
 // the age of a replica. If the wall-clock time cannot be right, the replica counts as just started.
 type startTimes struct {
-	wall       func() time.Time
-	wallAtZero time.Time                 // wall clock at time zero of the module's clock, computed at the start of the core
+	wall func() time.Time
+	// wallAtZero is the wall clock at time zero of the module's clock, computed at the start of the
+	// core.
+	wallAtZero time.Time
 	firstList  time.Duration             // when the first list came from discovery; 0: not yet
 	known      map[string]knownStartTime // by replica id
-	lastSweep  time.Duration             // when entries that had not been listed for long were last removed
+	// lastSweep is when entries that had not been listed for long were last removed.
+	lastSweep time.Duration
 }
 
 // knownStartTime is the start time of the process of one replica.
