--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -43,8 +43,9 @@
 	// fullRetryAfter is the retry advice when the table of open requests has no room, the core is
 	// overloaded or the program is ending.
 	fullRetryAfter = 200 * time.Millisecond
-	// deadlineGrace is how long after its deadline a request is failed that the decision module,
-	// whose own timer fires at the deadline, has left unanswered. It is well within answerSlack.
+	// deadlineGrace is how long after its deadline the core fails a request that is still
+	// unanswered. The timer of the decision module fires at the deadline, and an answer this much
+	// later is still within answerSlack.
 	deadlineGrace = 10 * time.Millisecond
 )
 
@@ -57,9 +58,9 @@
 		r.payload = nil
 		return
 	}
-	for i := range d.set.Classes {
-		if d.set.Classes[i].Name == r.spec.Class {
-			r.class = &d.set.Classes[i]
+	for i := range d.settings.Classes {
+		if d.settings.Classes[i].Name == r.spec.Class {
+			r.class = &d.settings.Classes[i]
 		}
 	}
 	switch {
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -103,7 +103,7 @@
 // attempt ends.
 func (c *Counts) countSent(at *attempt) {
 	c.update(func(t *Totals) { t.Attempts++ })
-	log.Printf("%s attempt %d sent to %s", at.r.id, at.number, at.server)
+	log.Printf("%s attempt %d sent to %s", at.request.id, at.number, at.server)
 }
 
 func (c *Counts) countEnded(o logic.Outcome) { c.update(func(t *Totals) { t.Outcomes[o.String()]++ }) }
--- a/internal/dispatch/delay_test.go
+++ b/internal/dispatch/delay_test.go
@@ -13,15 +13,15 @@
 // A blocked core shows in the delays of both messages and timers.
 func TestDelaysShowSlowCore(t *testing.T) {
 	d, _ := newCore(t, 9)
-	const held = 2 * lagThreshold
+	const blocked = 2 * lagThreshold
 	d.after(0, func() {})
-	d.post(slowStep(held))
+	d.post(slowStep(blocked))
 	d.post(slowStep(0))
 	processAll(d)
 	d.runTimers()
-	f, behind := d.Delays.Snapshot(time.Now().Add(delayWindow))
-	if f.Message < held || f.Timer < held || f.Step < held || behind != 2 {
-		t.Errorf("got %+v, %d delayed", f, behind)
+	f, delayed := d.Delays.Snapshot(time.Now().Add(delayWindow))
+	if f.Message < blocked || f.Timer < blocked || f.Step < blocked || delayed != 2 {
+		t.Errorf("got %+v, %d delayed", f, delayed)
 	}
 	if f, _ := d.Delays.Snapshot(time.Now().Add(3 * delayWindow)); f.Message != 0 {
 		t.Errorf("figures are kept for more than a window: %+v", f)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -131,7 +131,7 @@
 	Delays *Delays
 	Prober Prober // set before Run; nil: probes count as unanswered
 
-	set      logic.Settings
+	settings logic.Settings
 	router   *logic.Router
 	releaser Releaser
 	clock    Clock
@@ -149,7 +149,7 @@
 	sampleSeed       maphash.Seed
 	timers           timerHeap
 	actions          []logic.Action
-	events           []logic.Event // outcomes of actions that end at once, still to be routed
+	events           []logic.Event // being routed; actions that end at once append further ones
 	bounds           Bounds
 	openBytes        int // sum of the payload sizes of the open requests
 	lease            Lease
@@ -165,22 +165,22 @@
 }
 
 // cappedBy returns the bounds, with Requests limited to MaxOpen of the settings.
-func (b Bounds) cappedBy(set logic.Settings) Bounds {
-	if set.MaxOpen > 0 {
-		b.Requests = min(b.Requests, set.MaxOpen)
+func (b Bounds) cappedBy(settings logic.Settings) Bounds {
+	if settings.MaxOpen > 0 {
+		b.Requests = min(b.Requests, settings.MaxOpen)
 	}
 	return b
 }
 
 // New returns a Dispatcher that starts with the replicas of an initial list.
-func New(set logic.Settings, seed uint64, known Update, releaser Releaser, bounds Bounds) (*Dispatcher, error) {
-	router, err := logic.New(set, seed)
+func New(settings logic.Settings, seed uint64, known Update, releaser Releaser, bounds Bounds) (*Dispatcher, error) {
+	router, err := logic.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{Phases: newPhases(), Counts: &Counts{}, set: set, router: router, releaser: releaser,
+	d := &Dispatcher{Phases: newPhases(), Counts: &Counts{}, settings: settings, router: router, releaser: releaser,
 		clock: time.Now, inbox: newInbox(), done: make(chan struct{}),
-		abandoned: map[string]*abandonedReads{}, requests: map[string]*request{}, servers: map[string]*Server{}, bounds: bounds.cappedBy(set)}
+		abandoned: map[string]*abandonedReads{}, requests: map[string]*request{}, servers: map[string]*Server{}, bounds: bounds.cappedBy(settings)}
 	d.Delays = &Delays{windowStart: time.Now(), queued: d.inbox.queued}
 	d.sampleSeed = maphash.MakeSeed()
 	d.startedAt = d.clock()
@@ -192,8 +192,8 @@
 // UpdateSettings puts new settings in force, or returns an error that names the invalid setting.
 // Open requests keep their class. If a lease is given, open requests follow the stricter of the old
 // and the new rule on repeats.
-func (d *Dispatcher) UpdateSettings(set logic.Settings, bounds Bounds, lease Lease) error {
-	q := settingsUpdate{set, bounds, lease, make(chan error, 1)}
+func (d *Dispatcher) UpdateSettings(settings logic.Settings, bounds Bounds, lease Lease) error {
+	q := settingsUpdate{settings, bounds, lease, make(chan error, 1)}
 	d.post(q)
 	select {
 	case err := <-q.reply:
@@ -204,16 +204,16 @@
 }
 
 type settingsUpdate struct {
-	set    logic.Settings
-	bounds Bounds
-	lease  Lease
-	reply  chan error
+	settings logic.Settings
+	bounds   Bounds
+	lease    Lease
+	reply    chan error
 }
 
 func (q settingsUpdate) apply(d *Dispatcher) {
-	err := d.router.UpdateSettings(q.set)
+	err := d.router.UpdateSettings(q.settings)
 	if err == nil {
-		d.set, d.bounds, d.releaseRanking = q.set, q.bounds.cappedBy(q.set), nil
+		d.settings, d.bounds, d.releaseRanking = q.settings, q.bounds.cappedBy(q.settings), nil
 		d.Phases.setCanServe(d.canServe())
 		if q.lease != nil {
 			d.SetLease(q.lease)
@@ -279,8 +279,8 @@
 
 // timerEntry is a function to be run on the core's goroutine at a given time.
 type timerEntry struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
 type timerHeap []timerEntry
@@ -309,7 +309,7 @@
 			return busy
 		}
 		due, began := heap.Pop(&d.timers).(timerEntry), time.Now()
-		due.do()
+		due.run()
 		now := time.Now()
 		d.Delays.record(nil, began.Sub(due.at), now.Sub(began), now)
 		busy = true
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -140,13 +140,13 @@
 	if a := answerOf(t, k); a.Verdict != Served || a.Stream != s {
 		t.Errorf("got %+v", a)
 	}
-	d.deadlinePassed(k.r) // the timer of the deadline has no effect after the answer
+	d.deadlinePassed(k.request) // the timer of the deadline has no effect after the answer
 	endAttempt(d, p, logic.ConnectionLost)
 	if noFurtherAnswer(t, k); len(p.sent) != 2 || s.closeCalled.Load() || len(d.requests) != 0 {
 		t.Errorf("%d sends, stream closed %v, %d requests open", len(p.sent), s.closeCalled.Load(), len(d.requests))
 	}
 	// Timers refer to the request until its deadline: many bodies would fill the memory.
-	if k.r.payload != nil {
+	if k.request.payload != nil {
 		t.Error("the payload is kept after the end of the request")
 	}
 }
@@ -157,7 +157,7 @@
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "a", "safe")
 	endAttempt(d, p, logic.ReadDone)
-	d.deadlinePassed(k.r)
+	d.deadlinePassed(k.request)
 	if a := answerOf(t, k); a.Verdict != Failed || p.cancelled != 1 {
 		t.Errorf("got %+v, %d attempts cancelled", a, p.cancelled)
 	}
@@ -181,7 +181,7 @@
 		if len(p.sent) != 2 {
 			t.Errorf("%v: a second copy was sent", o)
 		}
-		r := k.r
+		r := k.request
 		p.sent[1].observer.Ended(Result{Outcome: o})
 		processAll(d)
 		d.execute(again, nil)
@@ -306,10 +306,10 @@
 	for i := range maxRecent + 3 {
 		c.add(LogEntry{ID: string(rune('a' + i%26))})
 	}
-	_, lines := c.Snapshot()
+	_, entries := c.Snapshot()
 	last := maxRecent + 2
-	if len(lines) != maxRecent || lines[len(lines)-1].ID != string(rune('a'+last%26)) || lines[0].ID != string(rune('a'+3)) {
-		t.Errorf("%d entries, %v to %v", len(lines), lines[0], lines[len(lines)-1])
+	if len(entries) != maxRecent || entries[len(entries)-1].ID != string(rune('a'+last%26)) || entries[0].ID != string(rune('a'+3)) {
+		t.Errorf("%d entries, %v to %v", len(entries), entries[0], entries[len(entries)-1])
 	}
 }
 
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -8,26 +8,26 @@
 
 // Written is called by the transport when the last byte of the attempt has been written.
 func (at *attempt) Written() {
-	c := at.d.Counts
+	c := at.dispatcher.Counts
 	c.mu.Lock()
 	c.written++
 	c.mu.Unlock()
 }
 
 // Ended is called by the transport when the attempt has ended.
-func (at *attempt) Ended(res Result) { at.d.post(attemptEnd{at, res}) }
+func (at *attempt) Ended(res Result) { at.dispatcher.post(attemptEnd{at, res}) }
 
 type attemptEnd struct {
-	at  *attempt
-	res Result
+	attempt *attempt
+	result  Result
 }
 
-func (e attemptEnd) apply(d *Dispatcher) { d.finishAttempt(e.at, e.res) }
+func (e attemptEnd) apply(d *Dispatcher) { d.finishAttempt(e.attempt, e.result) }
 
 // finishAttempt records the end of an attempt and passes it to the decision module, after releasing
 // state that the attempt may have left behind.
 func (d *Dispatcher) finishAttempt(at *attempt, res Result) {
-	r := at.r
+	r := at.request
 	delete(r.inFlight, at.number)
 	out := res.Outcome
 	if out == logic.ReadDone && at.role != logic.Reader {
@@ -85,15 +85,15 @@
 // attemptSettled is posted when the state that an attempt may have left behind is released. The
 // decision module is then told about the end of the attempt and may send another one.
 type attemptSettled struct {
-	r  *request
-	ev logic.Event
+	request *request
+	event   logic.Event
 }
 
 func (b attemptSettled) apply(d *Dispatcher) {
-	b.r.held.releasePending = false
-	b.ev.RequestEnded = b.r.answered
-	d.route(b.ev)
-	d.forgetIfDone(b.r)
+	b.request.held.releasePending = false
+	b.event.RequestEnded = b.request.answered
+	d.route(b.event)
+	d.forgetIfDone(b.request)
 }
 
 // neverRan reports whether an outcome proves that the attempt had no effect.
@@ -101,19 +101,19 @@
 	return o == logic.Full || o == logic.ConnectFailed || o == logic.NotSent || o == logic.ReadDone
 }
 
-type departure struct{ r *request }
+type departure struct{ request *request }
 
 // apply answers a request whose client left before the answer.
 func (g departure) apply(d *Dispatcher) {
-	if g.r.answered {
+	if g.request.answered {
 		return
 	}
 	// The arrival is still queued, and another request with the same id may be open.
-	if d.requests[g.r.id] != g.r {
-		d.answer(g.r, Answer{Verdict: ClientLeft})
+	if d.requests[g.request.id] != g.request {
+		d.answer(g.request, Answer{Verdict: ClientLeft})
 		return
 	}
-	d.giveUp(g.r, Answer{Verdict: ClientLeft}, ClientGone)
+	d.giveUp(g.request, Answer{Verdict: ClientLeft}, ClientGone)
 }
 
 // forgetIfDone removes a request from the table once it is answered and has no attempt in flight.
--- a/internal/dispatch/held.go
+++ b/internal/dispatch/held.go
@@ -42,13 +42,13 @@
 // updateHeld updates the held state by what the end of an attempt proves. It reports whether state
 // may be held that nobody will fetch, because the request must be read again.
 func (d *Dispatcher) updateHeld(at *attempt, res Result, out logic.Outcome) (orphaned bool) {
-	h := &at.r.held
+	h := &at.request.held
 	switch {
 	case out == logic.ReadDone:
 		h.addr = at.addr
 		h.stateID++
-		d.checkHeld(at.r)
-		d.scheduleRelease(at.r, heldFraction)
+		d.checkHeld(at.request)
+		d.scheduleRelease(at.request, heldFraction)
 	case at.role == logic.Reader && !neverRan(out):
 		// The read may have succeeded just as its connection was closed or broke.
 		h.addr = at.addr
@@ -59,9 +59,9 @@
 		return true
 	case at.role == logic.Reader || h.addr == "":
 	case res.NoState:
-		d.markFetched(at.r)
+		d.markFetched(at.request)
 	case out == logic.Full: // the writer has rejected the fetch and left the state where it was
-		d.scheduleRelease(at.r, heldFraction)
+		d.scheduleRelease(at.request, heldFraction)
 	case at.stateReleased && !neverRan(out): // it may have kept the state from being released until now
 		return true
 	}
@@ -76,20 +76,20 @@
 }
 
 // scheduleRelease releases the held state after a fraction of ReleaseWithin, unless a later call
-// replaces the timer before. While an attempt to fetch the state is in flight the release is
-// repeated, as the writer may disappear.
+// replaces the timer. While an attempt to fetch the state is in flight the release is repeated, as
+// the writer may disappear.
 func (d *Dispatcher) scheduleRelease(r *request, fraction float64) {
-	if d.set.ReleaseWithin == 0 {
+	if d.settings.ReleaseWithin == 0 {
 		return
 	}
 	r.held.timerID++
 	timerID := r.held.timerID
-	d.after(time.Duration(fraction*float64(d.set.ReleaseWithin)), func() {
+	d.after(time.Duration(fraction*float64(d.settings.ReleaseWithin)), func() {
 		if d.requests[r.id] != r || r.held.timerID != timerID || !r.mayRelease() {
 			return
 		}
 		stateID := r.held.stateID
-		d.releaseThen(r, FetchUnproven, d.set.ReleaseWithin, func(confirmed bool) message { return stateReleased{r, timerID, stateID, confirmed} })
+		d.releaseThen(r, FetchUnproven, d.settings.ReleaseWithin, func(confirmed bool) message { return stateReleased{r, timerID, stateID, confirmed} })
 		if r.fetching() {
 			d.scheduleRelease(r, 1)
 		}
@@ -99,7 +99,7 @@
 // stateReleased is posted when a replica has confirmed the release of the state of an open request,
 // or when none did so in time.
 type stateReleased struct {
-	r       *request
+	request *request
 	timerID int // timer that caused the release
 	stateID int // state that was released
 
@@ -108,16 +108,16 @@
 
 // apply tells the decision module about the release, unless newer state is held by now.
 func (s stateReleased) apply(d *Dispatcher) {
-	if s.confirmed && s.r.held.stateID == s.stateID {
-		s.r.held.stateID++
+	if s.confirmed && s.request.held.stateID == s.stateID {
+		s.request.held.stateID++
 	}
-	if d.requests[s.r.id] != s.r || s.r.held.timerID != s.timerID && !s.r.fetching() {
+	if d.requests[s.request.id] != s.request || s.request.held.timerID != s.timerID && !s.request.fetching() {
 		return
 	}
-	for _, at := range s.r.inFlight {
+	for _, at := range s.request.inFlight {
 		at.stateReleased = true
 	}
-	d.route(logic.Event{Kind: logic.StateReleased, RequestID: s.r.id})
+	d.route(logic.Event{Kind: logic.StateReleased, RequestID: s.request.id})
 }
 
 // releaseThen releases everything that is held for a request, and posts a message once a replica
@@ -202,5 +202,5 @@
 		return
 	}
 	maps.DeleteFunc(l.ids, func(_ string, until time.Time) bool { return !d.clock().Before(until) })
-	d.after(time.Duration(heldFraction*float64(d.set.ReleaseWithin)), func() { d.pollAbandonedReads(l.abandonedReads) })
+	d.after(time.Duration(heldFraction*float64(d.settings.ReleaseWithin)), func() { d.pollAbandonedReads(l.abandonedReads) })
 }
--- a/internal/dispatch/inbox.go
+++ b/internal/dispatch/inbox.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// An iteration of the core handles queued work in the following order, so that a lagging core does
-// the most urgent work first:
+// maxPerIteration bounds the messages, and also the timers, that one iteration of the core handles.
+// An iteration handles queued work in the following order, so that a lagging core does the most
+// urgent work first:
 //
 //  1. Messages about accepted requests (attempts that began or ended, clients that left, confirmed
 //     releases) and list updates. A timer must not decide on state that such a message has changed.
@@ -15,7 +16,7 @@
 //     time.
 //
 // Each part is bounded so that it cannot starve the next one.
-const maxPerIteration = 32 // messages, and also timers, in one iteration
+const maxPerIteration = 32
 
 // inbox holds the messages posted to the core. Posting never blocks, because the goroutine that
 // ends an attempt also passes the end of the stream on to the client and must not wait for a
@@ -126,7 +127,7 @@
 func (d *Dispatcher) process(m queuedMessage) {
 	began := time.Now()
 	if a, isNew := m.message.(arrival); isNew {
-		a.r.waitedTooLong = d.overload.mustRefuse(began.Sub(m.at), began)
+		a.request.waitedTooLong = d.overload.mustRefuse(began.Sub(m.at), began)
 	}
 	m.apply(d)
 	now := time.Now()
--- a/internal/dispatch/inbox_test.go
+++ b/internal/dispatch/inbox_test.go
@@ -44,15 +44,15 @@
 // new request.
 func TestFollowUpsComeBeforeNewRequests(t *testing.T) {
 	d, _ := newCore(t, 9)
-	var taken []string
+	var processed []string
 	for _, id := range []string{"a", "b"} {
 		d.Submit(Request{ID: id, Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	}
-	d.after(0, func() { recordingMessage{"timer", &taken}.apply(d) })
-	d.post(recordingMessage{"owed", &taken})
+	d.after(0, func() { recordingMessage{"timer", &processed}.apply(d) })
+	d.post(recordingMessage{"follow-up", &processed})
 	d.iterate()
-	if len(taken) != 2 || taken[0] != "owed" || taken[1] != "timer" {
-		t.Errorf("processed %v", taken)
+	if len(processed) != 2 || processed[0] != "follow-up" || processed[1] != "timer" {
+		t.Errorf("processed %v", processed)
 	}
 	if len(d.requests) != 1 || d.requests["a"] == nil {
 		t.Errorf("%d new requests were admitted in one iteration", len(d.requests))
@@ -66,8 +66,8 @@
 	var again func()
 	again = func() { d.after(0, again) }
 	again()
-	var taken []string
-	d.post(recordingMessage{"owed", &taken})
+	var processed []string
+	d.post(recordingMessage{"follow-up", &processed})
 	d.Submit(Request{ID: "a", Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	done := make(chan bool)
 	go func() { d.iterate(); done <- true }()
@@ -76,22 +76,22 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the iteration does not end")
 	}
-	if len(taken) != 1 || d.requests["a"] == nil {
-		t.Errorf("processed %v, new request admitted %v", taken, d.requests["a"] != nil)
+	if len(processed) != 1 || d.requests["a"] == nil {
+		t.Errorf("processed %v, new request admitted %v", processed, d.requests["a"] != nil)
 	}
 }
 
 // An endless flow of messages does not keep timers from running.
 func TestMessagesDoNotStarveTimers(t *testing.T) {
 	d, _ := newCore(t, 9)
-	var taken []string
+	var processed []string
 	for range 3 * maxPerIteration {
-		d.post(recordingMessage{"owed", &taken})
+		d.post(recordingMessage{"follow-up", &processed})
 	}
-	d.after(0, func() { recordingMessage{"timer", &taken}.apply(d) })
+	d.after(0, func() { recordingMessage{"timer", &processed}.apply(d) })
 	d.iterate()
-	if len(taken) != maxPerIteration+1 || taken[maxPerIteration] != "timer" {
-		t.Errorf("%d messages and timers were processed in one iteration", len(taken))
+	if len(processed) != maxPerIteration+1 || processed[maxPerIteration] != "timer" {
+		t.Errorf("%d messages and timers were processed in one iteration", len(processed))
 	}
 }
 
@@ -101,12 +101,12 @@
 func TestNewRequestsAreRefusedUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		behind  time.Duration // how long all new requests have had to wait
+		waiting time.Duration // how long all new requests have had to wait
 		resumed bool
 		refused bool
 	}{
 		{"blocked once", 0, false, false},
-		{"can't keep up", refuseSustained, false, true},
+		{"overloaded", refuseSustained, false, true},
 		{"resumed request", refuseSustained, true, false},
 	} {
 		d, _ := newCore(t, 9)
@@ -114,7 +114,7 @@
 		k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second, Resumed: c.resumed}})
 		m, _ := d.inbox.nextArrival()
 		m.at = m.at.Add(-refuseAfter)
-		d.overload.since = time.Now().Add(-c.behind)
+		d.overload.since = time.Now().Add(-c.waiting)
 		d.process(m)
 		if !c.refused {
 			noFurtherAnswer(t, k)
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -68,7 +68,7 @@
 
 func (q metricsQuery) apply(d *Dispatcher) {
 	f := Metrics{Classes: map[string]ClassResults{}, Listed: len(d.servers), Ejected: d.router.Ejected(d.now())}
-	for _, c := range d.set.Classes {
+	for _, c := range d.settings.Classes {
 		f.Classes[c.Name] = ClassResults{}
 	}
 	c := d.Counts
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -30,39 +30,39 @@
 // recordIntent records the intent of an attempt and then sends it. Reads have no effect and are
 // sent without a record.
 func (d *Dispatcher) recordIntent(at *attempt, to Target) {
-	if at.r.intents == nil || at.role == logic.Reader {
+	if at.request.intents == nil || at.role == logic.Reader {
 		d.transmit(at, to)
 		return
 	}
 	at.recordingIntent = true
-	at.r.intents.Begin(to.Until, func(end func(logic.Outcome), err error) { d.post(intentResult{at, to, end, err}) })
+	at.request.intents.Begin(to.Until, func(end func(logic.Outcome), err error) { d.post(intentResult{at, to, end, err}) })
 }
 
 func (d *Dispatcher) transmit(at *attempt, to Target) {
 	d.Counts.countSent(at)
-	at.transport = at.r.payload.Send(to, at)
+	at.transport = at.request.payload.Send(to, at)
 }
 
 // intentResult is posted when the intent of an attempt was recorded or could not be recorded.
 type intentResult struct {
-	at  *attempt
-	to  Target
-	end func(logic.Outcome)
-	err error
+	attempt *attempt
+	target  Target
+	end     func(logic.Outcome)
+	err     error
 }
 
 func (n intentResult) apply(d *Dispatcher) {
-	at := n.at
+	at := n.attempt
 	at.recordingIntent, at.endIntent = false, n.end
 	switch {
 	case n.err != nil:
-		delete(at.r.inFlight, at.number)
-		d.intentFailed(at.r, n.err)
+		delete(at.request.inFlight, at.number)
+		d.intentFailed(at.request, n.err)
 		d.finishAttempt(at, Result{Outcome: logic.NotSent, Detail: n.err.Error()})
-	case at.cancelled || at.r.answered:
+	case at.cancelled || at.request.answered:
 		d.finishAttempt(at, Result{Outcome: logic.NotSent, Detail: "given up while it was noted"})
 	default:
-		d.transmit(at, n.to)
+		d.transmit(at, n.target)
 	}
 }
 
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -28,7 +28,7 @@
 // cannot be recorded is refused, as it never ran. It fails if an earlier attempt may have run. A
 // request that was given up in the meantime is not sent.
 func TestNothingIsSentBeforeIntentIsRecorded(t *testing.T) {
-	noDisk, ran := errors.New("disk failure"), ranBefore{errors.New("already ran")}
+	diskErr, ranErr := errors.New("disk failure"), ranBefore{errors.New("already ran")}
 	for name, x := range map[string]struct {
 		err     error
 		leaves  bool
@@ -37,11 +37,11 @@
 		mayRun  bool
 	}{
 		"recorded":                        {nil, false, 2, Served, true},
-		"cannot be recorded":              {noDisk, false, 1, Refused, false},
-		"ran before":                      {ran, false, 1, Failed, true},
+		"cannot be recorded":              {diskErr, false, 1, Refused, false},
+		"ran before":                      {ranErr, false, 1, Failed, true},
 		"client left":                     {nil, true, 1, ClientLeft, false},
-		"client left, cannot be recorded": {noDisk, true, 1, ClientLeft, false},
-		"client left, ran before":         {ran, true, 1, ClientLeft, false},
+		"client left, cannot be recorded": {diskErr, true, 1, ClientLeft, false},
+		"client left, ran before":         {ranErr, true, 1, ClientLeft, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, _ := newCore(t, 9)
@@ -60,11 +60,11 @@
 				k.Abandon()
 				processAll(d)
 			}
-			var take func(logic.Outcome)
+			var takeOutcome func(logic.Outcome)
 			if x.err == nil {
-				take = n.end
+				takeOutcome = n.end
 			}
-			n.pending[0](take, x.err)
+			n.pending[0](takeOutcome, x.err)
 			processAll(d)
 			if len(p.sent) != x.sent {
 				t.Fatalf("%d sends, wanted %d", len(p.sent), x.sent)
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -13,12 +13,12 @@
 func keyedCore(t *testing.T, scope logic.Scope, window time.Duration) *Dispatcher {
 	t.Helper()
 	d, _ := newCore(t, 9)
-	set := d.set
+	set := d.settings
 	set.Classes = []logic.Class{{Name: "keyed", Aim: time.Second, Deadline: 3 * time.Second, Repeat: logic.Keyed, Scope: scope, Window: window}}
 	if err := d.router.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
-	d.set = set
+	d.settings = set
 	return d
 }
 
@@ -28,7 +28,7 @@
 func TestRefusalOfKeyedRequestThatMayHaveRun(t *testing.T) {
 	for scope, want := range map[logic.Scope]Verdict{logic.AllServers: Refused, logic.SameZone: Failed, logic.SameCell: Failed} {
 		for name, ran := range map[string]func(*Dispatcher, *fakePayload){
-			"out": func(d *Dispatcher, p *fakePayload) { endAttempt(d, p, logic.ReadDone); p.sent[1].observer.Written() },
+			"in flight": func(d *Dispatcher, p *fakePayload) { endAttempt(d, p, logic.ReadDone); p.sent[1].observer.Written() },
 			"ended": func(d *Dispatcher, p *fakePayload) {
 				endAttempt(d, p, logic.ReadDone)
 				endAttempt(d, p, logic.ServerError)
@@ -49,7 +49,7 @@
 // Guards: the decision module checks the time window, but connecting uses up part of it. A request
 // that may have run is sent again only while the window is open. The first attempt may always be
 // sent.
-func TestRepeatLeavesWithinItsWindow(t *testing.T) {
+func TestRepeatIsSentOnlyWithinWindow(t *testing.T) {
 	for _, window := range []time.Duration{time.Hour, 30 * time.Second} {
 		d := keyedCore(t, logic.AllServers, window)
 		_, p := submit(d, "a", "keyed")
@@ -64,7 +64,7 @@
 		}
 		r := d.requests["a"]
 		r.uncertainSince = r.uncertainSince.Add(-time.Minute)
-		err := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])()
+		err := d.beforeSend(&attempt{dispatcher: d, request: r}, d.servers["w1"])()
 		if errors.Is(err, ErrRepeatWindowClosed) != (window < time.Minute) {
 			t.Errorf("window %v, a minute later: %v", window, err)
 		}
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -75,7 +75,7 @@
 // they were admitted under and the one now in force.
 func (d *Dispatcher) applyStricterRepeats() {
 	for _, r := range d.requests {
-		for _, c := range d.set.Classes {
+		for _, c := range d.settings.Classes {
 			if c.Name == r.class.Name && c.Repeat == logic.Unsafe && r.class.Repeat != logic.Unsafe {
 				stricter := *r.class
 				stricter.Repeat = logic.Unsafe
--- a/internal/dispatch/lease_test.go
+++ b/internal/dispatch/lease_test.go
@@ -24,7 +24,7 @@
 func (l *fakeLease) Ready() bool             { return l.admitErr == nil }
 func (l *fakeLease) SettingsVersion() string { return "7-abcd" }
 
-var errNoLease = errors.New("gone")
+var errNoLease = errors.New("no lease")
 
 // Guards: without a lease no request is admitted and no attempt is sent. An admitted request gets
 // its answer at once: a refusal if it cannot have run, a failure if it may have.
@@ -83,7 +83,7 @@
 	k, p := submit(d, "b", "safe")
 	endAttempt(d, p, logic.ReadDone)
 	before = len(p.sent)
-	set := d.set
+	set := d.settings
 	set.Classes = []logic.Class{{Name: "safe", Aim: time.Second, Deadline: 3 * time.Second, Repeat: logic.Unsafe}}
 	q := settingsUpdate{set, d.bounds, lease, make(chan error, 1)}
 	q.apply(d)
@@ -106,7 +106,7 @@
 		"gone":                     func(at Server) Update { at.Availability = logic.Gone; return Update{Servers: []Server{at}} },
 		"moved":                    func(at Server) Update { at.Addr = "elsewhere"; return Update{Servers: []Server{at}} },
 		"missing from a full list": func(at Server) Update { return Update{Full: true} },
-		// still listed
+		// The server is still listed with the same address, so it is not withdrawn.
 		"": func(at Server) Update { at.Weight++; return Update{Servers: []Server{at}} },
 	} {
 		d, _ := newCore(t, 9)
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		role := d.roleOf(s)
-		reads = reads || role != logic.Writer || d.set.ReadInPlace
+		reads = reads || role != logic.Writer || d.settings.ReadInPlace
 		writes = writes || role != logic.Reader
 		if reads && writes {
 			return true
@@ -90,7 +90,7 @@
 
 // roleOf returns the role of a server by its kind.
 func (d *Dispatcher) roleOf(s *Server) (role logic.Role) {
-	for _, k := range d.set.Kinds {
+	for _, k := range d.settings.Kinds {
 		if k.Name == s.Kind {
 			role = k.Role
 		}
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -59,7 +59,7 @@
 // given up gives no such proof, even at a reader, because the close of its connection does not
 // reach a machine that is cut off.
 func (d *Dispatcher) mayRepeat(r *request) bool {
-	if r.sent > d.set.MaxAttempts {
+	if r.sent > d.settings.MaxAttempts {
 		return false
 	}
 	return r.class.Repeat != logic.Unsafe && !(d.lease != nil && d.lease.AtMostOnce()) || len(r.inFlight) == 0 && !r.uncertain()
@@ -79,7 +79,7 @@
 // Replicas discard the repeats of a keyed request only within a time window, and both connecting
 // and pauses of this process use up part of it.
 func (d *Dispatcher) beforeSend(at *attempt, s *Server) func() error {
-	r := at.r
+	r := at.request
 	lease, once, repeat := d.lease, r.class.Repeat == logic.Unsafe, r.uncertain() || len(r.inFlight) > 1 || r.spec.Resumed
 	var closes time.Time
 	if r.uncertain() && r.class.Repeat == logic.Keyed {
@@ -163,7 +163,7 @@
 
 // checkEnd checks the rules on sending and repeating when an attempt ends.
 func (d *Dispatcher) checkEnd(at *attempt, out logic.Outcome) {
-	r, firstByte := at.r, time.Duration(at.firstByte.ns.Load())
+	r, firstByte := at.request, time.Duration(at.firstByte.ns.Load())
 	if firstByte > 0 && r.answered && firstByte > r.answeredAt+endSlack {
 		d.recordViolation(SentAfterEnd, "%s attempt %d at %s, %v after its end", r.id, at.number, at.server, firstByte-r.answeredAt)
 	}
@@ -186,7 +186,7 @@
 // was confirmed.
 func (d *Dispatcher) checkHeld(r *request) {
 	stateID := r.held.stateID
-	d.after(d.set.ReleaseWithin+heldSlack, func() {
+	d.after(d.settings.ReleaseWithin+heldSlack, func() {
 		if r.held.stateID == stateID && r.held.addr != "" && !r.hasAttemptAt(logic.Reader) && d.requests[r.id] == r {
 			d.recordViolation(HeldTooLong, "%s at %s", r.id, r.held.addr)
 		}
--- a/internal/dispatch/permit_test.go
+++ b/internal/dispatch/permit_test.go
@@ -15,17 +15,17 @@
 	for _, breaks := range []bool{false, true} {
 		d, _, _ := newClockedCore(t)
 		k, p := submit(d, "late", "safe")
-		at := k.r.inFlight[0]
+		at := k.request.inFlight[0]
 		if breaks {
-			k.r.deadline = d.clock().Add(-answerSlack - time.Millisecond)
+			k.request.deadline = d.clock().Add(-answerSlack - time.Millisecond)
 		}
-		d.deadlinePassed(k.r)
+		d.deadlinePassed(k.request)
 		if n := violations(d, AnsweredLate); (n > 0) != breaks {
 			t.Errorf("violation %v: %d late answers", breaks, n)
 		}
-		at.firstByte.set(k.r.answeredAt + endSlack)
+		at.firstByte.set(k.request.answeredAt + endSlack)
 		if breaks {
-			at.firstByte.set(k.r.answeredAt + endSlack + time.Millisecond)
+			at.firstByte.set(k.request.answeredAt + endSlack + time.Millisecond)
 		}
 		p.sent[0].observer.Ended(Result{Outcome: logic.Cancelled})
 		processAll(d)
@@ -41,7 +41,7 @@
 		advance(250 * time.Millisecond)
 		rel.confirm[0](!breaks)
 		processAll(d)
-		advance(d.set.ReleaseWithin + heldSlack)
+		advance(d.settings.ReleaseWithin + heldSlack)
 		if n := violations(d, HeldTooLong); (n > 0) != breaks {
 			t.Errorf("violation %v: %d held too long", breaks, n)
 		}
@@ -49,7 +49,7 @@
 		d, _ = newCore(t, 9)
 		k, p = submit(d, "twice", "unsafe")
 		endAttempt(d, p, logic.ReadDone)
-		k.r.mayHaveRun = breaks
+		k.request.mayHaveRun = breaks
 		endAttempt(d, p, logic.ConnectionLost)
 		if n := violations(d, RepeatedUnproven); (n > 0) != breaks {
 			t.Errorf("violation %v: %d repeated", breaks, n)
@@ -58,7 +58,7 @@
 		d, _ = newCore(t, 9)
 		k, _ = submit(d, "open", "safe")
 		if !breaks {
-			d.deadlinePassed(k.r)
+			d.deadlinePassed(k.request)
 		}
 		d.checkExit()
 		if n := violations(d, UnansweredAtExit); (n > 0) != breaks {
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -20,11 +20,11 @@
 
 // probeAnswer is posted when a probe has ended.
 type probeAnswer struct {
-	server string
-	sentAt time.Time
-	out    logic.Outcome
+	server  string
+	sentAt  time.Time
+	outcome logic.Outcome
 }
 
 func (a probeAnswer) apply(d *Dispatcher) {
-	d.route(logic.Event{Kind: logic.Probed, Server: a.server, Outcome: a.out, Took: d.clock().Sub(a.sentAt)})
+	d.route(logic.Event{Kind: logic.Probed, Server: a.server, Outcome: a.outcome, Took: d.clock().Sub(a.sentAt)})
 }
--- a/internal/dispatch/probe_test.go
+++ b/internal/dispatch/probe_test.go
@@ -19,8 +19,8 @@
 }
 
 // Guards: probes are sent only to servers in service, and their answers reach the decision module.
-// Without a prober a request is sent after a while without waiting for answers.
-func TestProbesAreCarriedOut(t *testing.T) {
+// Without a prober no answer is awaited.
+func TestProbesAreSentAndAnswered(t *testing.T) {
 	set := logic.Settings{Siblings: 300, MaxAttempts: 3, CanCancel: true, CanProbe: true, Classes: classes, ReleaseWithin: 500 * time.Millisecond,
 		RampTime: time.Second, FallTime: time.Second, FallMultiple: 2, Kinds: []logic.Kind{{Name: "r", Role: logic.Reader}, {Name: "w", Role: logic.Writer}}}
 	for _, prober := range []*fakeProber{{}, nil} {
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -8,7 +8,7 @@
 )
 
 // Began is called by the transport when the first event of an answer has arrived.
-func (at *attempt) Began(s Stream) { at.d.post(streamStart{at, s}) }
+func (at *attempt) Began(s Stream) { at.dispatcher.post(streamStart{at, s}) }
 
 // AnswerPending answers all unanswered requests because the program is about to be killed: they are
 // refused, or failed if they may have run. Streams continue.
@@ -56,15 +56,15 @@
 }
 
 type streamStart struct {
-	at     *attempt
-	stream Stream
+	attempt *attempt
+	stream  Stream
 }
 
 // apply hands the stream to the client. From now on the attempt belongs to the client, and no
 // further attempt is sent for the request. If the request was answered before or the attempt was
 // given up, the stream is closed.
 func (b streamStart) apply(d *Dispatcher) {
-	at, r := b.at, b.at.r
+	at, r := b.attempt, b.attempt.request
 	if r.answered || at.cancelled {
 		at.cancelled = true
 		// Close posts the end of the attempt to this goroutine, so it must not be awaited here.
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -26,7 +26,7 @@
 // try, so that held state is released in time.
 func TestReleaseOrderAlternatesZones(t *testing.T) {
 	d, _ := newCore(t, 9)
-	d.set.Zone = "own"
+	d.settings.Zone = "own"
 	d.servers, d.releaseRanking = map[string]*Server{}, nil
 	for _, id := range []string{"a1 away", "a2 away", "a3 away", "b1 far", "o1 own", "o2 own"} {
 		d.servers[id] = &Server{Addr: id[:2], ServerEntry: logic.ServerEntry{ID: id, Zone: id[3:]}}
@@ -85,7 +85,7 @@
 		"connecting": {func(*Dispatcher, *fakePayload) {}, true},
 		"written":    {func(_ *Dispatcher, p *fakePayload) { p.sent[1].observer.Written() }, true},
 		"began":      {func(d *Dispatcher, p *fakePayload) { p.sent[1].observer.Began(&fakeStream{}); processAll(d) }, false},
-		"taken, then": {func(d *Dispatcher, p *fakePayload) {
+		"fetched, then lost": {func(d *Dispatcher, p *fakePayload) {
 			p.sent[1].observer.Ended(Result{Outcome: logic.ConnectionLost, NoState: true})
 			processAll(d)
 		}, false},
@@ -157,7 +157,7 @@
 	advance(200 * time.Millisecond)
 	endAttempt(d, p, logic.Full)
 	if len(p.sent) != 3 || p.sent[2].target.Server == "r1" {
-		t.Fatalf("%d sends, the last %+v", len(p.sent), p.sent[len(p.sent)-1].target)
+		t.Fatalf("%d sends, the last to %+v", len(p.sent), p.sent[len(p.sent)-1].target)
 	}
 	advance(200 * time.Millisecond)
 	if len(*rel) > 0 {
@@ -188,8 +188,8 @@
 }
 
 // Guards: the state of a read whose connection had broken was released only if the request was not
-// served. The read may end at its replica after the state of another read was fetched and answered,
-// and that fetch releases only what is there by then.
+// served. The read may end at its replica after another read of the request was fetched and
+// answered, and that fetch releases only what is there by then.
 func TestStateOfBrokenReadIsReleasedAfterAnswer(t *testing.T) {
 	for _, broken := range []bool{true, false} {
 		d, rel, advance := newClockedCore(t)
@@ -316,7 +316,7 @@
 			rel.confirm = nil
 			then(false)
 			processAll(d)
-			advance(d.set.ReleaseWithin / 2)
+			advance(d.settings.ReleaseWithin / 2)
 		}
 		before := len(rel.ids)
 		rel.confirm[0](true)
@@ -417,7 +417,7 @@
 			before := len(p.sent)
 			endAttempt(d, p, c.outcome)
 			if len(p.sent) == before { // the request waits for another replica
-				d.giveUp(k.r, Answer{Verdict: Refused}, DeadlineExceeded)
+				d.giveUp(k.request, Answer{Verdict: Refused}, DeadlineExceeded)
 			}
 		}
 		answerOf(t, k)
--- a/internal/dispatch/releaseorder.go
+++ b/internal/dispatch/releaseorder.go
@@ -70,7 +70,7 @@
 		seenInZone[all[i].Zone]++
 	}
 	remoteZone := func(s *Server) int {
-		if s.Zone == d.set.Zone {
+		if s.Zone == d.settings.Zone {
 			return 0
 		}
 		return 1
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -10,8 +10,8 @@
 // attempt is one send of a request to a replica. Its transport reports to it from its own
 // goroutines.
 type attempt struct {
-	d               *Dispatcher
-	r               *request
+	dispatcher      *Dispatcher
+	request         *request
 	number          int
 	server          string
 	addr            string
@@ -29,7 +29,7 @@
 
 // send starts an attempt. If a rule forbids it, the attempt ends at once with NotSent.
 func (d *Dispatcher) send(r *request, a logic.Action) {
-	at := &attempt{d: d, r: r, number: r.sent, server: a.Server, sentAt: d.clock()}
+	at := &attempt{dispatcher: d, request: r, number: r.sent, server: a.Server, sentAt: d.clock()}
 	r.sent++
 	s := d.servers[a.Server]
 	if !d.maySend(r, s) {
@@ -53,7 +53,7 @@
 func (at *attempt) cancel(cause Cause) {
 	if at.stream == nil && !at.cancelled {
 		at.cancelled = true
-		at.d.Counts.Count(AttemptCancelled, cause, fmt.Sprintf("%s attempt %d at %s", at.r.id, at.number, at.server))
+		at.dispatcher.Counts.Count(AttemptCancelled, cause, fmt.Sprintf("%s attempt %d at %s", at.request.id, at.number, at.server))
 		// Without a transport the intent is still being recorded, and the attempt will not be sent.
 		if at.transport != nil {
 			at.transport.Cancel()
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -10,10 +10,10 @@
 // updateSettings puts settings in force in which change has altered the classes or limits.
 func updateSettings(t *testing.T, d *Dispatcher, change func(*logic.Settings)) {
 	t.Helper()
-	set := d.set
-	set.Classes = append([]logic.Class(nil), d.set.Classes...)
-	change(&set)
-	q := settingsUpdate{set, Bounds{9, 100}, nil, make(chan error, 1)}
+	settings := d.settings
+	settings.Classes = append([]logic.Class(nil), d.settings.Classes...)
+	change(&settings)
+	q := settingsUpdate{settings, Bounds{9, 100}, nil, make(chan error, 1)}
 	q.apply(d)
 	if err := <-q.reply; err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		endAttempt(d, p, logic.ServerError) // may have run
 		r := d.requests["a"]
 		r.uncertainSince = r.uncertainSince.Add(-time.Minute)
-		if open := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])() == nil; open != (windows[0] > time.Minute) {
+		if open := d.beforeSend(&attempt{dispatcher: d, request: r}, d.servers["w1"])() == nil; open != (windows[0] > time.Minute) {
 			t.Errorf("windows %v: open a minute later: %v", windows, open)
 		}
 	}
--- a/internal/dispatch/simultaneous_test.go
+++ b/internal/dispatch/simultaneous_test.go
@@ -90,7 +90,7 @@
 // A client that repeats a refused request at once, under the same id, makes a new request. It is
 // refused again or served, and answered once each time. While the first request with an id is open
 // the second one fails, and the first continues.
-func TestRepeatAsSoonAsRefused(t *testing.T) {
+func TestImmediateRetryAfterRefusal(t *testing.T) {
 	d, _ := newCore(t, 1)
 	open, p := submit(d, "a", "safe")
 	for range 3 {
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// The clock of the decision module is monotonic. It counts from the start of the core, and a step
-// of the wall clock does not change it. It begins at clockOrigin so that replicas that started
-// before the core have times above zero; zero means "long ago" to the module.
+// clockOrigin is the time at which the clock of the decision module begins. That clock is
+// monotonic: it counts from the start of the core, and a step of the wall clock does not change it.
+// It does not begin at zero, so that replicas that started before the core have times above zero;
+// zero means "long ago" to the module.
 const clockOrigin = 24 * time.Hour
 
 // wallClock returns the wall clock without a monotonic reading. It may be stepped.
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -47,10 +47,10 @@
 
 // Ticket represents a submitted request. Exactly one Answer is delivered for it.
 type Ticket struct {
-	d        *Dispatcher
-	r        *request
-	answer   chan Answer
-	finished chan struct{}
+	dispatcher *Dispatcher
+	request    *request
+	answer     chan Answer
+	finished   chan struct{}
 }
 
 // Answer returns the channel on which the one final answer is delivered.
@@ -60,16 +60,16 @@
 // decided before. No attempt starts after this call, even if the core has not yet processed the
 // message.
 func (t *Ticket) Abandon() {
-	t.r.clientGone.Store(true)
-	t.d.post(departure{t.r})
+	t.request.clientGone.Store(true)
+	t.dispatcher.post(departure{t.request})
 }
 
 // Finish reports that the front has passed the answer on or has failed to. The front must call it
 // after every Answer.
 func (t *Ticket) Finish() {
 	close(t.finished)
-	t.d.Phases.end()
-	t.d.Counts.addOpen(-1)
+	t.dispatcher.Phases.end()
+	t.dispatcher.Counts.addOpen(-1)
 }
 
 // Finished returns a channel that is closed by Finish.
@@ -77,15 +77,15 @@
 
 // Submit hands a request to the core.
 func (d *Dispatcher) Submit(q Request) *Ticket {
-	t := &Ticket{d: d, answer: make(chan Answer, 1), finished: make(chan struct{})}
-	t.r = &request{id: q.ID, spec: q.Spec, received: q.Received, payload: q.Payload, size: q.Size, resumable: q.Resumable, intents: q.Intents, ticket: t,
+	t := &Ticket{dispatcher: d, answer: make(chan Answer, 1), finished: make(chan struct{})}
+	t.request = &request{id: q.ID, spec: q.Spec, received: q.Received, payload: q.Payload, size: q.Size, resumable: q.Resumable, intents: q.Intents, ticket: t,
 		checkClientGone: q.ClientGone}
 	d.Phases.begin()
 	d.Counts.addOpen(1)
-	d.post(arrival{t.r})
+	d.post(arrival{t.request})
 	return t
 }
 
-type arrival struct{ r *request }
+type arrival struct{ request *request }
 
-func (a arrival) apply(d *Dispatcher) { d.admit(a.r) }
+func (a arrival) apply(d *Dispatcher) { d.admit(a.request) }
--- a/internal/dispatch/unresolved_test.go
+++ b/internal/dispatch/unresolved_test.go
@@ -40,7 +40,7 @@
 // assumes that a read ends when it is given up.
 func TestCoreDoesNotRepeatAbandonedRead(t *testing.T) {
 	d, _, _ := newClockedCore(t)
-	set := d.set
+	set := d.settings
 	set.CancelStopsWork = true
 	if err := d.router.UpdateSettings(set); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	}
 	r := d.requests["a"]
 	r.uncertainSince = r.uncertainSince.Add(-time.Minute)
-	if err := d.beforeSend(&attempt{d: d, r: r}, d.servers["w1"])(); err == nil {
+	if err := d.beforeSend(&attempt{dispatcher: d, request: r}, d.servers["w1"])(); err == nil {
 		t.Error("a repeat may be sent a minute later")
 	}
 }
