--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -44,6 +44,7 @@
 	return c.closeCalled.Load()
 }
 
+// fakeReleaser records the requests that are released and confirms each release at once.
 type fakeReleaser []string
 
 func (r *fakeReleaser) Release(id string, addrs []string) { *r = append(*r, id) }
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -73,11 +73,11 @@
 	ErrClientGone         = errors.New("the client has gone")
 )
 
-// beforeSend returns the check that an attempt makes before its first byte, whatever the
-// connection. The lease is checked first, then the list: a lease that was renewed since the attempt
-// was routed may come with a newer list, and that list is applied before the lease is renewed.
-// Replicas discard the repeats of a keyed request only within a time window, and both connecting
-// and pauses of this process use up part of it.
+// beforeSend returns the check that every kind of attempt makes before its first byte. The lease is
+// checked before the list of servers: a lease that was renewed since the attempt was routed may
+// come with a newer list, and that list is applied before the lease is renewed. Replicas discard
+// the repeats of a keyed request only within a time window, and both connecting and pauses of this
+// process use up part of it.
 func (d *Dispatcher) beforeSend(at *attempt, s *Server) func() error {
 	r := at.request
 	lease, once, repeat := d.lease, r.class.Repeat == logic.Unsafe, r.uncertain() || len(r.inFlight) > 1 || r.spec.Resumed
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -389,6 +389,7 @@
 	}
 }
 
+// recordingReleaser records the addresses of the last release and confirms it at once.
 type recordingReleaser struct{ addrs []string }
 
 func (a *recordingReleaser) Release(_ string, addrs []string) { a.addrs = addrs }
