--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -9,36 +9,37 @@
 	"standpulley/logic"
 )
 
-// Counts is the book: what has been taken, sent and answered. It may be read from any goroutine.
+// Counts counts submitted, sent and answered requests. It may be read from any goroutine.
 type Counts struct {
 	mu     sync.Mutex
 	totals Totals
-	recent []LogEntry // a ring of the last final answers
+	recent []LogEntry // ring of the last final answers and attempts
 	next   int
 
 	classes map[string]*ClassResults
-	open    int // requests that are owed an answer, or whose stream runs
+	open    int // requests that are unanswered or whose stream runs
 	written int // attempts whose last byte was written
 	causes  map[Event]map[Cause]int
 }
 
-// ClassResults are the requests of a class by how they ended. A stream has ended well only with its last chunk.
+// ClassResults are the requests of a class by result. A stream counts as served only after its last
+// chunk.
 type ClassResults struct{ Served, Refused, Failed int }
 
-// Metrics are what operators ask for, since the program's start.
+// Metrics are the figures for operators. Counters run since the start of the program.
 type Metrics struct {
 	Classes         map[string]ClassResults
 	Open, Written   int
-	Listed, Ejected int // replicas in the list, and those of them that are avoided now
-	Held            int // requests for which the first stage holds something, or may
+	Listed, Ejected int // replicas in the list, and how many of them are ejected now
+	Held            int // requests for which a reader holds state, or may hold it
 	Causes          map[Event]map[Cause]int
 	Delays          DelayMetrics
-	Delayed         int // messages and timers that waited for long for the core
-	Queued          int // messages that wait for it now
+	Delayed         int // messages and timers that waited for lagThreshold or longer
+	Queued          int // messages that wait for the core now
 }
 
-// result books how a request of a class ended.
-func (c *Counts) result(class string, v Verdict) {
+// countResult counts a result of a request of a class.
+func (c *Counts) countResult(class string, v Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.classes == nil {
@@ -59,9 +60,9 @@
 	}
 }
 
-func (c *Counts) opened(by int) {
+func (c *Counts) addOpen(delta int) {
 	c.mu.Lock()
-	c.open += by
+	c.open += delta
 	c.mu.Unlock()
 }
 
@@ -74,7 +75,7 @@
 	Releases int            `json:"releases"`
 }
 
-// LogEntry is one final answer or attempt, for people.
+// LogEntry describes one final answer or attempt to operators.
 type LogEntry struct {
 	At     time.Time `json:"at"`
 	ID     string    `json:"id"`
@@ -85,7 +86,7 @@
 	Detail string    `json:"detail,omitempty"`
 }
 
-const recentLines = 200
+const maxRecent = 200
 
 func (c *Counts) update(f func(t *Totals)) {
 	c.mu.Lock()
@@ -96,57 +97,60 @@
 	f(&c.totals)
 }
 
-func (c *Counts) taken(*request) { c.update(func(t *Totals) { t.Taken++ }) }
+func (c *Counts) countTaken(*request) { c.update(func(t *Totals) { t.Taken++ }) }
 
-// sent books an attempt that goes out. Only the log has a line for it: its end has one in the ring too.
-func (c *Counts) sent(at *attempt) {
+// countSent counts an attempt that is sent. It is only logged: the ring gets an entry when the
+// attempt ends.
+func (c *Counts) countSent(at *attempt) {
 	c.update(func(t *Totals) { t.Attempts++ })
-	log.Printf("%s attempt %d sent to %s", at.r.id, at.n, at.server)
+	log.Printf("%s attempt %d sent to %s", at.request.id, at.number, at.server)
 }
 
-func (c *Counts) ended(o logic.Outcome) { c.update(func(t *Totals) { t.Outcomes[o.String()]++ }) }
-func (c *Counts) answered(r *request, a Answer) {
+func (c *Counts) countEnded(o logic.Outcome) { c.update(func(t *Totals) { t.Outcomes[o.String()]++ }) }
+func (c *Counts) recordAnswer(r *request, a Answer) {
 	c.update(func(t *Totals) { t.Verdicts[a.Verdict.String()]++ })
-	if r.class != nil && a.Verdict != Served { // that shows at the stream's end
-		c.result(r.class.Name, a.Verdict)
+	if r.class != nil && a.Verdict != Served { // a served stream is counted at its end
+		c.countResult(r.class.Name, a.Verdict)
 	}
 	detail := a.Reason
 	if a.Verdict != Served {
-		detail = fmt.Sprintf("%s; %d sent, %d out, client gone %v", a.Reason, r.sent, len(r.out), r.left.Load())
+		detail = fmt.Sprintf("%s; %d sent, %d out, client gone %v", a.Reason, r.sent, len(r.inFlight), r.clientGone.Load())
 	}
-	c.add(LogEntry{ID: r.id, Class: r.ask.Class, What: a.Verdict.String(), Took: took(r.received), Detail: detail})
+	c.add(LogEntry{ID: r.id, Class: r.spec.Class, What: a.Verdict.String(), Took: elapsedSince(r.received), Detail: detail})
 }
 
-func (c *Counts) note(r *request, at *attempt, out logic.Outcome, detail string) {
-	c.add(LogEntry{ID: r.id, Class: r.ask.Class, Server: at.server, What: out.String(), Took: took(at.sentAt), Detail: fmt.Sprintf("attempt %d %s", at.n, detail)})
+func (c *Counts) recordAttempt(r *request, at *attempt, out logic.Outcome, detail string) {
+	c.add(LogEntry{ID: r.id, Class: r.spec.Class, Server: at.server, What: out.String(), Took: elapsedSince(at.sentAt), Detail: fmt.Sprintf("attempt %d %s", at.number, detail)})
 }
 
-func took(since time.Time) string { return time.Since(since).Round(100 * time.Microsecond).String() }
+func elapsedSince(since time.Time) string {
+	return time.Since(since).Round(100 * time.Microsecond).String()
+}
 
 func (c *Counts) add(l LogEntry) {
 	l.At = time.Now()
 	log.Printf("%s %s %s %s %s %s", l.ID, l.Class, l.What, l.Took, l.Server, l.Detail)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.recent) < recentLines {
+	if len(c.recent) < maxRecent {
 		c.recent = append(c.recent, l)
 	} else {
 		c.recent[c.next] = l
 	}
-	c.next = (c.next + 1) % recentLines
+	c.next = (c.next + 1) % maxRecent
 }
 
-// Snapshot gives the totals and the last lines, the oldest first.
+// Snapshot returns the totals and the last entries, oldest first.
 func (c *Counts) Snapshot() (Totals, []LogEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.totals
 	t.Verdicts, t.Outcomes = copyOf(t.Verdicts), copyOf(t.Outcomes)
-	var lines []LogEntry
-	if len(c.recent) == recentLines {
-		lines = append(lines, c.recent[c.next:]...)
+	var entries []LogEntry
+	if len(c.recent) == maxRecent {
+		entries = append(entries, c.recent[c.next:]...)
 	}
-	return t, append(lines, c.recent[:min(c.next, len(c.recent))]...)
+	return t, append(entries, c.recent[:min(c.next, len(c.recent))]...)
 }
 
 func copyOf(m map[string]int) map[string]int {
--- a/internal/dispatch/delay_test.go
+++ b/internal/dispatch/delay_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// slowStep holds the core up.
+// slowStep is a message that blocks the core for a while.
 type slowStep time.Duration
 
 func (s slowStep) apply(*Dispatcher) { time.Sleep(time.Duration(s)) }
 
-// What waits for a core that is held up shows in its figures, message and timer alike.
-func TestDelaysShowACoreThatIsBehind(t *testing.T) {
-	d, _ := core(t, 9)
-	const held = 2 * behindFrom
+// A blocked core shows in the delays of both messages and timers.
+func TestDelaysShowSlowCore(t *testing.T) {
+	d, _ := newCore(t, 9)
+	const blocked = 2 * lagThreshold
 	d.after(0, func() {})
-	d.post(slowStep(held))
+	d.post(slowStep(blocked))
 	d.post(slowStep(0))
-	drive(d)
-	d.ring()
-	f, behind := d.Delays.Snapshot(time.Now().Add(delayWindow))
-	if f.Message < held || f.Timer < held || f.Step < held || behind != 2 {
-		t.Errorf("got %+v, %d behind", f, behind)
+	processAll(d)
+	d.runTimers()
+	f, delayed := d.Delays.Snapshot(time.Now().Add(delayWindow))
+	if f.Message < blocked || f.Timer < blocked || f.Step < blocked || delayed != 2 {
+		t.Errorf("got %+v, %d delayed", f, delayed)
 	}
 	if f, _ := d.Delays.Snapshot(time.Now().Add(3 * delayWindow)); f.Message != 0 {
-		t.Errorf("a window later: %+v", f)
+		t.Errorf("figures are kept for more than a window: %+v", f)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,14 +1,15 @@
-// Package dispatch is the core of the dispatcher: requests, attempts and outcomes. It knows no wire.
+// Package dispatch is the core of the dispatcher. It owns requests, their attempts and the
+// outcomes, and does not depend on any wire protocol.
 //
-// One goroutine (Run) owns the decision module, the clock and the timers. Everybody else posts messages to it.
-// A request passes the stages take in, admit, route, send, relay and book, each in a file of its own:
+// One goroutine (Run) owns the decision module (package logic), the clock and the timers. All other
+// goroutines post messages to it. A request passes through these stages, each in a file of its own:
 //
-//	take.go   a front hands in a request and gets a Ticket for its one final answer
-//	admit.go  the request enters the table of open requests, or is turned away
-//	route.go  the module decides; its actions are carried out
-//	send.go   an attempt goes out, if the rules on repeats let it
-//	relay.go  an attempt's stream begins and is handed to the client
-//	book.go   an attempt ends, a client leaves: what is owed and held is settled
+//	submit.go  a front submits a request and gets a Ticket for its one final answer
+//	admit.go   the request enters the table of open requests or is rejected
+//	route.go   the decision module handles an event and its actions are executed
+//	send.go    an attempt is sent if the rules on repeats allow it
+//	relay.go   the stream of an attempt begins and is handed to the client
+//	finish.go  an attempt ends or a client leaves, and state and table entries are cleaned up
 package dispatch
 
 import (
@@ -20,157 +21,179 @@
 	"standpulley/logic"
 )
 
-// Server is one entry of the list of replicas with the address at which it is reached.
+// Server is an entry of the list of replicas together with the address of the replica.
 type Server struct {
 	logic.ServerEntry
-	Addr     string
-	LastBoot time.Time // when its process started, by the wall clock of who made the list; zero: long ago. The core derives Started.
-
-	withdrawn *atomic.Bool // by a later list; the core's own
+	Addr string
+	// LastBoot is the process start by the wall clock of whoever made the list; zero means long
+	// ago. The core derives Started from it.
+	LastBoot time.Time
+
+	// withdrawn is set by the core when a later list removes the replica, drains it or changes its
+	// address.
+	withdrawn *atomic.Bool
 }
 
-// Update is the whole list of replicas, or what changed of it.
+// Update is a change to the list of replicas, or the complete list if Full is set.
 type Update struct {
-	Version int64 // of discovery's list; 0 where there is none
+	Version int64 // version of the list from discovery; 0 if it has none
 	Full    bool
 	Servers []Server
 }
 
-// Target is where an attempt goes and how long it may take.
+// Target is the destination and the time limit of an attempt.
 type Target struct {
-	Server          string
-	Addr            string
-	Until           time.Time
-	NoReuse         bool         // it would be lost on a connection whose other side is gone unseen
-	BeforeSend      func() error // asked right before the first byte; nil: it may leave
-	SettingsVersion string       // of the settings that it is sent by; empty where dispatchers do not agree on them
+	Server string
+	Addr   string
+	Until  time.Time
+	// NoReuse requires a new connection. On an idle one whose peer has disappeared unnoticed the
+	// request could be lost, and it must not be repeated.
+	NoReuse bool
+	// BeforeSend is called right before the first byte is written, and its error stops the attempt.
+	// Nil means that the attempt may always be sent.
+	BeforeSend func() error
+	// SettingsVersion is the version of the settings in force; empty if dispatchers do not agree on
+	// settings.
+	SettingsVersion string
 }
 
-// Payload is a request in the form of its wire; only it knows how to travel.
+// Payload is a request in the form of its wire protocol, which only the transport knows.
 type Payload interface {
-	// Send starts an attempt and returns at once. The attempt tells of itself through Report.
-	Send(to Target, tell AttemptObserver) Attempt
+	// Send starts an attempt and returns at once. The attempt reports its progress to the
+	// AttemptObserver.
+	Send(to Target, observer AttemptObserver) Attempt
 }
 
-// Attempt is one that is out.
+// Attempt is an attempt in flight.
 type Attempt interface {
-	// Cancel gives it up. It does not block; the attempt still reports that it ended.
+	// Cancel aborts the attempt without blocking. The attempt still reports its end.
 	Cancel()
 }
 
-// AttemptObserver is how an attempt tells of itself: Written and Began at most once, then Ended exactly once.
+// AttemptObserver receives the progress of an attempt: Written and Began at most once each, then
+// Ended exactly once.
 type AttemptObserver interface {
 	Written()
 	Began(Stream)
 	Ended(Result)
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt that ended without a stream, or whose stream has ended.
 type Result struct {
-	Outcome    logic.Outcome
-	Tokens     int64  // prompt tokens found kept, with ReadDone
-	NoState    bool   // with Full: there was no state to fetch; else: the attempt has taken it
-	NoLease    bool   // with NotSent: there was no leave to send
-	ClientGone bool   // with NotSent: the client had gone
-	Detail     string // for people
+	Outcome logic.Outcome
+	Tokens  int64 // with ReadDone: prompt tokens that were found in the cache of the reader
+	// NoState tells that no state is left at the reader: with Full there was none to fetch, with
+	// any other outcome the attempt has taken it.
+	NoState    bool
+	NoLease    bool   // with NotSent: the dispatcher had no lease that allows sending
+	ClientGone bool   // with NotSent: the client had closed its connection
+	Detail     string // for operators, not parsed
 }
 
-// Stream is an answer that has begun. Whoever holds it reads to the end or closes it.
+// Stream is an answer that has begun. Its holder must read it to the end or close it.
 type Stream interface {
-	// Next gives the next bytes, valid until the call after. io.EOF tells that the stream is whole; any other
-	// error, that it is not.
+	// Next returns the next bytes, which are valid until the following call. It returns io.EOF at
+	// the end of a complete stream and any other error if the stream is incomplete.
 	Next() ([]byte, error)
 	Close()
 }
 
-// Releaser lets go of all that replicas hold for a request. It does not block. Replicas are asked in the order of their addresses.
+// Releaser makes replicas release everything that they hold for a request. It does not block.
+// Replicas are tried in the order of addrs.
 type Releaser interface {
 	Release(id string, addrs []string)
-	// ReleaseThen does the same and calls then once, from any goroutine: when a replica has confirmed it, or after a time.
+	// ReleaseThen does the same and calls then once, from any goroutine: with true once a replica
+	// has confirmed the release, or with false after the time within.
 	ReleaseThen(id string, addrs []string, within time.Duration, then func(confirmed bool))
-	// ReleaseAt asks one replica once, and calls then with whether it has answered, from any goroutine.
+	// ReleaseAt makes one call to one replica and then calls then, from any goroutine, with whether
+	// the replica answered.
 	ReleaseAt(id, addr string, then func(answered bool))
 }
 
-// Prober asks replicas whether they are well.
+// Prober sends health probes to replicas.
 type Prober interface {
-	// Probe asks the replica at addr and calls then once, from any goroutine, with Delivered or what went wrong. It does not block.
+	// Probe sends a probe to the replica at addr without blocking. It calls then once, from any
+	// goroutine, with Delivered or with the kind of failure.
 	Probe(addr string, then func(logic.Outcome))
 }
 
-// Clock tells the time. Only spans between its readings count.
+// Clock returns the current time. Only differences between its readings are used.
 type Clock func() time.Time
 
-// message is what is posted to the goroutine that owns the core.
+// message is posted to the goroutine that owns the core, which calls apply.
 type message interface{ apply(d *Dispatcher) }
 
-// Dispatcher is the core.
+// Dispatcher is the core: it owns the open requests and executes the actions of the decision
+// module.
 type Dispatcher struct {
 	Phases *Phases
 	Counts *Counts
 	Delays *Delays
-	Prober Prober // set before Run; nil: no replica answers probes
+	Prober Prober // set before Run; nil: probes count as unanswered
 
-	set      logic.Settings
+	settings logic.Settings
 	router   *logic.Router
 	releaser Releaser
 	clock    Clock
 	inbox    *inbox
 	done     chan struct{}
 
-	// What follows belongs to Run's goroutine.
-	startedAt time.Time // the core itself, by clock
+	// The fields below belong to the goroutine of Run.
+	startedAt time.Time // start of the core by clock
 	starts    *startTimes
 	requests  map[string]*request
 	servers   map[string]*Server
-	surest    []string // addresses of the replicas, the surest to be there first; nil: to be made anew
-	drawSeed  maphash.Seed
-	alarms    alarms
-	actions   []logic.Action
-	events    []logic.Event // that answer actions at once
-	bounds    Bounds
-	size      int // of the open requests
-	licence   Lease
-	ending    bool // nothing more is taken
-	overload  overload
-	late      map[string]*lateReads // by the replica's address
+	// releaseRanking holds the addresses of all replicas in order of preference for releases; nil
+	// means that it must be rebuilt.
+	releaseRanking   []string
+	sampleSeed       maphash.Seed
+	timers           timerHeap
+	actions          []logic.Action
+	events           []logic.Event // being routed; actions that end at once append further ones
+	bounds           Bounds
+	openBytes        int // sum of the payload sizes of the open requests
+	lease            Lease
+	admissionStopped bool // all new requests are refused
+	overload         overload
+	abandoned        map[string]*abandonedReads // by address of the replica
 }
 
-// Bounds are those of the table of open requests.
+// Bounds are the limits of the table of open requests.
 type Bounds struct {
 	Requests int
-	Bytes    int // of their parcels together
+	Bytes    int // sum of the payload sizes
 }
 
-// under gives the bounds that hold with some settings.
-func (b Bounds) under(set logic.Settings) Bounds {
-	if set.MaxOpen > 0 {
-		b.Requests = min(b.Requests, set.MaxOpen)
+// cappedBy returns the bounds, with Requests limited to MaxOpen of the settings.
+func (b Bounds) cappedBy(settings logic.Settings) Bounds {
+	if settings.MaxOpen > 0 {
+		b.Requests = min(b.Requests, settings.MaxOpen)
 	}
 	return b
 }
 
-// New makes a Dispatcher that knows the replicas of an initial list.
-func New(set logic.Settings, seed uint64, known Update, releaser Releaser, bounds Bounds) (*Dispatcher, error) {
-	router, err := logic.New(set, seed)
+// New returns a Dispatcher that starts with the replicas of an initial list.
+func New(settings logic.Settings, seed uint64, known Update, releaser Releaser, bounds Bounds) (*Dispatcher, error) {
+	router, err := logic.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{Phases: newPhases(), Counts: &Counts{}, set: set, router: router, releaser: releaser,
+	d := &Dispatcher{Phases: newPhases(), Counts: &Counts{}, settings: settings, router: router, releaser: releaser,
 		clock: time.Now, inbox: newInbox(), done: make(chan struct{}),
-		late: map[string]*lateReads{}, requests: map[string]*request{}, servers: map[string]*Server{}, bounds: bounds.under(set)}
-	d.Delays = &Delays{began: time.Now(), waiting: d.inbox.waiting}
-	d.drawSeed = maphash.MakeSeed()
+		abandoned: map[string]*abandonedReads{}, requests: map[string]*request{}, servers: map[string]*Server{}, bounds: bounds.cappedBy(settings)}
+	d.Delays = &Delays{windowStart: time.Now(), queued: d.inbox.queued}
+	d.sampleSeed = maphash.MakeSeed()
 	d.startedAt = d.clock()
 	d.starts = newStartTimes(wallClock, d.now())
-	d.takeList(known)
+	d.applyList(known)
 	return d, nil
 }
 
-// UpdateSettings puts other settings in force, or says which is wrong. Requests that are open keep their class. With a licence
-// they keep to the stricter rule on repeats.
-func (d *Dispatcher) UpdateSettings(set logic.Settings, bounds Bounds, licence Lease) error {
-	q := retuning{set, bounds, licence, make(chan error, 1)}
+// UpdateSettings puts new settings in force, or returns an error that names the invalid setting.
+// Open requests keep their class. If a lease is given, open requests follow the stricter of the old
+// and the new rule on repeats.
+func (d *Dispatcher) UpdateSettings(settings logic.Settings, bounds Bounds, lease Lease) error {
+	q := settingsUpdate{settings, bounds, lease, make(chan error, 1)}
 	d.post(q)
 	select {
 	case err := <-q.reply:
@@ -180,53 +203,53 @@
 	}
 }
 
-type retuning struct {
-	set     logic.Settings
-	bounds  Bounds
-	licence Lease
-	reply   chan error
+type settingsUpdate struct {
+	settings logic.Settings
+	bounds   Bounds
+	lease    Lease
+	reply    chan error
 }
 
-func (q retuning) apply(d *Dispatcher) {
-	err := d.router.UpdateSettings(q.set)
+func (q settingsUpdate) apply(d *Dispatcher) {
+	err := d.router.UpdateSettings(q.settings)
 	if err == nil {
-		d.set, d.bounds, d.surest = q.set, q.bounds.under(q.set), nil
-		d.Phases.setAble(d.able())
-		if q.licence != nil {
-			d.SetLease(q.licence)
-			d.strictly()
+		d.settings, d.bounds, d.releaseRanking = q.settings, q.bounds.cappedBy(q.settings), nil
+		d.Phases.setCanServe(d.canServe())
+		if q.lease != nil {
+			d.SetLease(q.lease)
+			d.applyStricterRepeats()
 		}
 	}
 	q.reply <- err
 }
 
-// Run owns the core until Stop.
+// Run runs the event loop of the core until Stop.
 func (d *Dispatcher) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for !d.stopped() {
-		if !d.turn() {
+		if !d.iterate() {
 			d.await(timer)
 		}
 	}
 	d.checkExit()
 }
 
-// await returns when something may have been posted, when the next timer is due, or at Stop.
+// await returns when a message may have been posted, when the next timer is due, or at Stop.
 func (d *Dispatcher) await(timer *time.Timer) {
 	wait := time.Hour
-	if len(d.alarms) > 0 {
-		wait = time.Until(d.alarms[0].at)
+	if len(d.timers) > 0 {
+		wait = time.Until(d.timers[0].at)
 	}
 	timer.Reset(wait)
 	select {
-	case <-d.inbox.posted:
+	case <-d.inbox.wake:
 	case <-timer.C:
 	case <-d.done:
 	}
 }
 
-// stopped tells whether Stop was called.
+// stopped reports whether Stop was called.
 func (d *Dispatcher) stopped() bool {
 	select {
 	case <-d.done:
@@ -236,58 +259,59 @@
 	}
 }
 
-// Stop ends Run. Messages posted later are dropped.
+// Stop ends Run. Messages that are posted later are dropped.
 func (d *Dispatcher) Stop() { close(d.done) }
 
-// post hands a message to the core's goroutine. It does not block.
+// post queues a message for the core's goroutine without blocking.
 func (d *Dispatcher) post(m message) {
 	if !d.stopped() {
 		d.inbox.put(m)
 	}
 }
 
-// UpdateServers takes a list of replicas.
+// UpdateServers applies a change of the list of replicas.
 func (d *Dispatcher) UpdateServers(u Update) { d.post(u) }
 
 func (u Update) apply(d *Dispatcher) {
-	d.starts.listTold(d.now())
-	d.takeList(u)
+	d.starts.listReceived(d.now())
+	d.applyList(u)
 }
 
-// alarm is a time at which something is to be done on the core's goroutine.
-type alarm struct {
-	at time.Time
-	do func()
+// timerEntry is a function to be run on the core's goroutine at a given time.
+type timerEntry struct {
+	at  time.Time
+	run func()
 }
 
-type alarms []alarm
+type timerHeap []timerEntry
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *alarms) Push(x any)        { *a = append(*a, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timerEntry)) }
+func (a *timerHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
-	old[len(old)-1] = alarm{}
+	old[len(old)-1] = timerEntry{}
 	*a = old[:len(old)-1]
 	return x
 }
 
 func (d *Dispatcher) after(wait time.Duration, do func()) {
-	heap.Push(&d.alarms, alarm{d.clock().Add(wait), do})
+	heap.Push(&d.timers, timerEntry{d.clock().Add(wait), do})
 }
 
-// ring does what is due, but no more than one turn may, and tells whether anything was.
-func (d *Dispatcher) ring() (busy bool) {
-	for range turnMost {
-		if len(d.alarms) == 0 || d.alarms[0].at.After(d.clock()) {
+// runTimers runs the timers that are due, at most maxPerIteration of them, and reports whether
+// there were any.
+func (d *Dispatcher) runTimers() (busy bool) {
+	for range maxPerIteration {
+		if len(d.timers) == 0 || d.timers[0].at.After(d.clock()) {
 			return busy
 		}
-		due, began := heap.Pop(&d.alarms).(alarm), time.Now()
-		due.do()
+		due, began := heap.Pop(&d.timers).(timerEntry), time.Now()
+		due.run()
 		now := time.Now()
-		d.Delays.book(nil, began.Sub(due.at), now.Sub(began), now)
+		d.Delays.record(nil, began.Sub(due.at), now.Sub(began), now)
 		busy = true
 	}
 	return busy
--- a/internal/dispatch/inbox.go
+++ b/internal/dispatch/inbox.go
@@ -5,145 +5,154 @@
 	"time"
 )
 
-// A turn of the core does what waits for it in the order in which a core that has fallen behind owes it:
+// maxPerIteration bounds the messages, and also the timers, that one iteration of the core handles.
+// An iteration handles queued work in the following order, so that a lagging core does the most
+// urgent work first:
 //
-//  1. messages that tell of requests which were taken: attempts that began or ended, clients that left, releases that were confirmed,
-//     and lists. A timer must not judge by a state that such a message has already changed.
-//  2. timers that are due: releases of what is held, deadlines, attempts that take too long.
-//  3. one new request. Nothing of it has been sent, so it alone may be refused for want of time.
+//  1. Messages about accepted requests (attempts that began or ended, clients that left, confirmed
+//     releases) and list updates. A timer must not decide on state that such a message has changed.
+//  2. Timers that are due: releases of held state, deadlines, overdue attempts.
+//  3. One new request. Nothing has been sent for it, so only new requests may be refused for lack of
+//     time.
 //
-// No part may keep the next from its turn, so each is bounded.
-const turnMost = 32 // messages, and timers, of one turn
+// Each part is bounded so that it cannot starve the next one.
+const maxPerIteration = 32
 
-// inbox holds what was posted to the core. Posting never blocks: whoever ends an attempt passes its stream's end on to the client, and
-// must not wait for a core that is behind. What can be posted is bounded by the connections of clients and by the attempts that are out.
+// inbox holds the messages posted to the core. Posting never blocks, because the goroutine that
+// ends an attempt also passes the end of the stream on to the client and must not wait for a
+// lagging core. The number of messages is bounded by the client connections and the attempts in
+// flight.
 type inbox struct {
-	posted chan struct{} // holds a token when something may wait
+	wake chan struct{} // holds a token when messages may be queued
 
-	mu       sync.Mutex
-	owed     queue
-	arrivals queue
+	mu        sync.Mutex
+	followUps queue
+	arrivals  queue
 }
 
-func newInbox() *inbox { return &inbox{posted: make(chan struct{}, 1)} }
+func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
-// put takes a message in.
+// put queues a message.
 func (b *inbox) put(m message) {
 	b.mu.Lock()
 	if _, isNew := m.(arrival); isNew {
-		b.arrivals.push(posted{m, time.Now()})
+		b.arrivals.push(queuedMessage{m, time.Now()})
 	} else {
-		b.owed.push(posted{m, time.Now()})
+		b.followUps.push(queuedMessage{m, time.Now()})
 	}
 	b.mu.Unlock()
 	select {
-	case b.posted <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// nextOwed gives the message that has waited the longest of those that are no new requests.
-func (b *inbox) nextOwed() (posted, bool) {
+// nextFollowUp removes and returns the oldest message that is not a new request.
+func (b *inbox) nextFollowUp() (queuedMessage, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.owed.pop()
+	return b.followUps.pop()
 }
 
-// nextArrival gives the new request that has waited the longest.
-func (b *inbox) nextArrival() (posted, bool) {
+// nextArrival removes and returns the oldest new request.
+func (b *inbox) nextArrival() (queuedMessage, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.arrivals.pop()
 }
 
-// waiting counts the messages.
-func (b *inbox) waiting() int {
+// queued returns the number of queued messages.
+func (b *inbox) queued() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.owed.len() + b.arrivals.len()
+	return b.followUps.len() + b.arrivals.len()
 }
 
-// posted is a message with the time at which it was handed in.
-type posted struct {
+// queuedMessage is a message with the time at which it was posted.
+type queuedMessage struct {
 	message
 	at time.Time
 }
 
-// queueKept is the length up to which an empty queue keeps its memory.
-const queueKept = 1024
+// maxKeptCapacity is the largest capacity that an empty queue keeps.
+const maxKeptCapacity = 1024
 
-// queue is first in, first out. Its memory follows what waits.
+// queue is a FIFO queue. It frees memory as messages are removed.
 type queue struct {
-	items []posted
+	items []queuedMessage
 	head  int
 }
 
 func (q *queue) len() int { return len(q.items) - q.head }
 
-func (q *queue) push(m posted) { q.items = append(q.items, m) }
+func (q *queue) push(m queuedMessage) { q.items = append(q.items, m) }
 
-func (q *queue) pop() (m posted, ok bool) {
+func (q *queue) pop() (m queuedMessage, ok bool) {
 	if q.len() == 0 {
-		return posted{}, false
+		return queuedMessage{}, false
 	}
 	m = q.items[q.head]
-	q.items[q.head] = posted{}
+	q.items[q.head] = queuedMessage{}
 	q.head++
 	if q.head == len(q.items) {
 		q.items, q.head = q.items[:0], 0
-		if cap(q.items) > queueKept {
+		if cap(q.items) > maxKeptCapacity {
 			q.items = nil
 		}
 	} else if q.head > len(q.items)/2 {
-		q.items, q.head = append([]posted(nil), q.items[q.head:]...), 0
+		q.items, q.head = append([]queuedMessage(nil), q.items[q.head:]...), 0
 	}
 	return m, true
 }
 
-// turn does what waits for the core, and tells whether anything did.
-func (d *Dispatcher) turn() (busy bool) {
-	for range turnMost {
-		m, ok := d.inbox.nextOwed()
+// iterate runs one iteration of the core and reports whether there was any work.
+func (d *Dispatcher) iterate() (busy bool) {
+	for range maxPerIteration {
+		m, ok := d.inbox.nextFollowUp()
 		if !ok {
 			break
 		}
-		d.take(m)
+		d.process(m)
 		busy = true
 	}
-	busy = d.ring() || busy
+	busy = d.runTimers() || busy
 	if m, ok := d.inbox.nextArrival(); ok {
-		d.take(m)
+		d.process(m)
 		busy = true
 	}
 	return busy
 }
 
-// take applies a message and books how long it had waited and what it took.
-func (d *Dispatcher) take(m posted) {
+// process applies a message, and records how long it had waited and how long it took.
+func (d *Dispatcher) process(m queuedMessage) {
 	began := time.Now()
 	if a, isNew := m.message.(arrival); isNew {
-		a.r.late = d.overload.late(began.Sub(m.at), began)
+		a.request.waitedTooLong = d.overload.mustRefuse(began.Sub(m.at), began)
 	}
 	m.apply(d)
 	now := time.Now()
-	d.Delays.book(m.message, began.Sub(m.at), now.Sub(began), now)
+	d.Delays.record(m.message, began.Sub(m.at), now.Sub(began), now)
 }
 
 const (
-	// refuseAfter is the wait of a new request from which it may be refused unseen.
+	// refuseAfter is the wait from which a new request may be refused before it is decided.
 	refuseAfter = 250 * time.Millisecond
-	// refuseSustained is for how long all new requests must have waited for behindFrom or longer: a core that was held up once catches up.
+	// refuseSustained is how long all new requests must have waited for lagThreshold or longer
+	// before any is refused: a core that was delayed once catches up by itself.
 	refuseSustained = 250 * time.Millisecond
 )
 
-// overload tells a core that can't keep up from one that was held up for a moment.
+// overload distinguishes a core that is permanently too slow from one that was delayed for a
+// moment.
 type overload struct {
-	since time.Time // when new requests began to wait for behindFrom or longer; zero: the last one did not
+	// since is when new requests began to wait for lagThreshold or longer; zero means that the last
+	// one did not.
+	since time.Time
 }
 
-// late books the wait of a new request, and tells whether it is to be refused.
-func (o *overload) late(wait time.Duration, now time.Time) bool {
-	if wait < behindFrom {
+// mustRefuse records the wait of a new request and reports whether it must be refused.
+func (o *overload) mustRefuse(wait time.Duration, now time.Time) bool {
+	if wait < lagThreshold {
 		o.since = time.Time{}
 		return false
 	}
--- a/internal/dispatch/inbox_test.go
+++ b/internal/dispatch/inbox_test.go
@@ -8,113 +8,116 @@
 	"standpulley/logic"
 )
 
-// Guards against the incident in large fleets: the end of a stream was passed on to the client only when a core that was behind had taken
-// the message of it, as its inbox was full.
-func TestStreamEndDoesNotWaitForACoreThatIsBehind(t *testing.T) {
-	d, _ := core(t, 9)
-	k, p := take(d, "a", "safe")
-	end(d, p, logic.ReadDone)
-	p.sent[1].tell.Began(&closer{})
-	drive(d)
+// Guards against a fault seen in large fleets: the end of a stream was passed on to the client only
+// after a lagging core had taken the message about it, because the inbox was full.
+func TestStreamEndDoesNotWaitForSlowCore(t *testing.T) {
+	d, _ := newCore(t, 9)
+	k, p := submit(d, "a", "safe")
+	endAttempt(d, p, logic.ReadDone)
+	p.sent[1].observer.Began(&fakeStream{})
+	processAll(d)
 	answerOf(t, k)
 	ended := make(chan error, 1)
 	go func() {
-		for range 5000 { // nobody takes them
+		for range 5000 { // no goroutine processes them
 			d.UpdateServers(Update{})
 		}
-		p.sent[1].tell.Ended(Result{Outcome: logic.Delivered})
+		p.sent[1].observer.Ended(Result{Outcome: logic.Delivered})
 		ended <- io.EOF
 	}()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the end of a stream waits for the core")
+		t.Error("reporting the end of a stream blocks until the core processes it")
 	}
 }
 
-// step notes its name when it is taken.
-type step struct {
-	name  string
-	taken *[]string
+// recordingMessage records its name when it is processed.
+type recordingMessage struct {
+	name      string
+	processed *[]string
 }
 
-func (s step) apply(*Dispatcher) { *s.taken = append(*s.taken, s.name) }
+func (s recordingMessage) apply(*Dispatcher) { *s.processed = append(*s.processed, s.name) }
 
-// A core that has fallen behind first hears of requests that were taken, then does what is due, and then takes one new request.
-func TestOwedComesBeforeNewRequests(t *testing.T) {
-	d, _ := core(t, 9)
-	var taken []string
+// A lagging core first processes messages about accepted requests, then due timers, and then one
+// new request.
+func TestFollowUpsComeBeforeNewRequests(t *testing.T) {
+	d, _ := newCore(t, 9)
+	var processed []string
 	for _, id := range []string{"a", "b"} {
-		d.Submit(Request{ID: id, Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+		d.Submit(Request{ID: id, Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	}
-	d.after(0, func() { step{"timer", &taken}.apply(d) })
-	d.post(step{"owed", &taken})
-	d.turn()
-	if len(taken) != 2 || taken[0] != "owed" || taken[1] != "timer" {
-		t.Errorf("taken %v", taken)
+	d.after(0, func() { recordingMessage{"timer", &processed}.apply(d) })
+	d.post(recordingMessage{"follow-up", &processed})
+	d.iterate()
+	if len(processed) != 2 || processed[0] != "follow-up" || processed[1] != "timer" {
+		t.Errorf("processed %v", processed)
 	}
 	if len(d.requests) != 1 || d.requests["a"] == nil {
-		t.Errorf("%d new requests were taken in a turn", len(d.requests))
+		t.Errorf("%d new requests were admitted in one iteration", len(d.requests))
 	}
 }
 
-// Guards against the incident in large fleets: timers that were always due again kept the core from taking any message for seconds.
-func TestTimersThatAreAlwaysDueLeaveTheirTurnToMessages(t *testing.T) {
-	d, _ := core(t, 9)
+// Guards against a fault seen in large fleets: timers that were always due again kept the core from
+// processing messages for seconds.
+func TestDueTimersDoNotStarveMessages(t *testing.T) {
+	d, _ := newCore(t, 9)
 	var again func()
 	again = func() { d.after(0, again) }
 	again()
-	var taken []string
-	d.post(step{"owed", &taken})
-	d.Submit(Request{ID: "a", Received: time.Now(), Payload: &parcel{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
+	var processed []string
+	d.post(recordingMessage{"follow-up", &processed})
+	d.Submit(Request{ID: "a", Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	done := make(chan bool)
-	go func() { d.turn(); done <- true }()
+	go func() { d.iterate(); done <- true }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the timers do not end")
+		t.Fatal("the iteration does not end")
 	}
-	if len(taken) != 1 || d.requests["a"] == nil {
-		t.Errorf("taken %v, new request %v", taken, d.requests["a"] != nil)
+	if len(processed) != 1 || d.requests["a"] == nil {
+		t.Errorf("processed %v, new request admitted %v", processed, d.requests["a"] != nil)
 	}
 }
 
-// Messages that never stop leave their turn to timers.
-func TestMessagesLeaveTheirTurnToTimers(t *testing.T) {
-	d, _ := core(t, 9)
-	var taken []string
-	for range 3 * turnMost {
-		d.post(step{"owed", &taken})
+// An endless flow of messages does not keep timers from running.
+func TestMessagesDoNotStarveTimers(t *testing.T) {
+	d, _ := newCore(t, 9)
+	var processed []string
+	for range 3 * maxPerIteration {
+		d.post(recordingMessage{"follow-up", &processed})
 	}
-	d.after(0, func() { step{"timer", &taken}.apply(d) })
-	d.turn()
-	if len(taken) != turnMost+1 || taken[turnMost] != "timer" {
-		t.Errorf("%d were taken in a turn", len(taken))
+	d.after(0, func() { recordingMessage{"timer", &processed}.apply(d) })
+	d.iterate()
+	if len(processed) != maxPerIteration+1 || processed[maxPerIteration] != "timer" {
+		t.Errorf("%d messages and timers were processed in one iteration", len(processed))
 	}
 }
 
-// A core that can't keep up refuses new requests that have waited too long, unsent; one that was held up for a moment catches up, and the
-// rest of a stream, which is no new request, is decided.
-func TestNewRequestsAreRefusedWhileTheCoreCanNotKeepUp(t *testing.T) {
+// A core that cannot keep up refuses new requests that have waited too long, without sending
+// anything. A core that was blocked for a moment catches up instead. A request for the rest of a
+// stream is not refused.
+func TestNewRequestsAreRefusedUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		behind  time.Duration // for how long all new requests have waited
+		waiting time.Duration // how long all new requests have had to wait
 		resumed bool
 		refused bool
 	}{
-		{"held up once", 0, false, false},
-		{"can't keep up", refuseSustained, false, true},
-		{"the rest of a stream", refuseSustained, true, false},
+		{"blocked once", 0, false, false},
+		{"overloaded", refuseSustained, false, true},
+		{"resumed request", refuseSustained, true, false},
 	} {
-		d, _ := core(t, 9)
-		p := &parcel{}
+		d, _ := newCore(t, 9)
+		p := &fakePayload{}
 		k := d.Submit(Request{ID: "a", Received: time.Now(), Payload: p, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second, Resumed: c.resumed}})
 		m, _ := d.inbox.nextArrival()
 		m.at = m.at.Add(-refuseAfter)
-		d.overload.since = time.Now().Add(-c.behind)
-		d.take(m)
+		d.overload.since = time.Now().Add(-c.waiting)
+		d.process(m)
 		if !c.refused {
-			none(t, k)
+			noFurtherAnswer(t, k)
 			if len(p.sent) != 1 {
 				t.Errorf("%s: %d attempts", c.name, len(p.sent))
 			}
@@ -126,25 +129,25 @@
 	}
 }
 
-// A client that leaves while its request still waits for a core that is behind is answered, nothing of it is sent, and another open request
-// with the same id goes on.
-func TestClientLeavesBeforeItsRequestIsTaken(t *testing.T) {
-	d, _ := core(t, 9)
-	first, p := take(d, "a", "safe")
-	again := &parcel{}
+// If a client leaves while its request still waits for a lagging core, it gets its answer, nothing
+// is sent for it, and another open request with the same id is not affected.
+func TestClientLeavesBeforeRequestIsAdmitted(t *testing.T) {
+	d, _ := newCore(t, 9)
+	first, p := submit(d, "a", "safe")
+	again := &fakePayload{}
 	second := d.Submit(Request{ID: "a", Received: time.Now(), Payload: again, Spec: logic.Request{Class: "safe", Remaining: 2 * time.Second}})
 	second.Abandon()
-	d.turn()
+	d.iterate()
 	if a := answerOf(t, second); a.Verdict != ClientLeft {
 		t.Errorf("got %+v", a)
 	}
-	if none(t, first); p.cancelled != 0 || len(again.sent) != 0 {
-		t.Errorf("%d attempts of the first were cancelled, %d of the second sent", p.cancelled, len(again.sent))
+	if noFurtherAnswer(t, first); p.cancelled != 0 || len(again.sent) != 0 {
+		t.Errorf("%d attempts of the first request were cancelled, %d of the second were sent", p.cancelled, len(again.sent))
 	}
-	end(d, p, logic.ReadDone)
-	p.sent[1].tell.Began(&closer{})
-	drive(d)
+	endAttempt(d, p, logic.ReadDone)
+	p.sent[1].observer.Began(&fakeStream{})
+	processAll(d)
 	if a := answerOf(t, first); a.Verdict != Served {
-		t.Errorf("the first got %+v", a)
+		t.Errorf("the first request got %+v", a)
 	}
 }
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -7,10 +7,10 @@
 	"standpulley/logic"
 )
 
-// takeList puts a list in force.
-func (d *Dispatcher) takeList(u Update) {
+// applyList applies a change of the list of replicas, or a complete list.
+func (d *Dispatcher) applyList(u Update) {
 	ev, before := logic.Event{Kind: logic.ListChanged, Servers: make([]logic.ServerEntry, 0, len(u.Servers))}, d.servers
-	d.surest = nil
+	d.releaseRanking = nil
 	if u.Full {
 		ev.Kind = logic.ListComplete
 		d.servers = make(map[string]*Server, len(u.Servers))
@@ -19,34 +19,34 @@
 	for _, s := range u.Servers {
 		s.Started = d.starts.started(s.ID, s.LastBoot, d.now())
 		ev.Servers = append(ev.Servers, s.ServerEntry)
-		was := before[s.ID]
-		if was == nil || was.ServerEntry != s.ServerEntry || was.Addr != s.Addr {
+		previous := before[s.ID]
+		if previous == nil || previous.ServerEntry != s.ServerEntry || previous.Addr != s.Addr {
 			changed++
 			logChange(s, changed)
 		}
-		d.list(s, was)
+		d.applyEntry(s, previous)
 	}
 	if u.Full {
-		for id, was := range before {
+		for id, previous := range before {
 			if d.servers[id] == nil {
-				was.withdrawn.Store(true)
+				previous.withdrawn.Store(true)
 			}
 		}
 	}
-	log.Printf("list: version %d, whole %v, names %d replicas, %d of them new or changed; %d are known", u.Version, u.Full, len(u.Servers), changed,
+	log.Printf("list: version %d, full %v: %d replicas listed, %d of them new or changed; %d replicas known", u.Version, u.Full, len(u.Servers), changed,
 		len(d.servers))
-	d.Phases.setAble(d.able())
+	d.Phases.setCanServe(d.canServe())
 	d.route(ev)
 }
 
-// list puts an entry in force in the place of the one before, which may be nil.
-func (d *Dispatcher) list(s Server, was *Server) {
-	if was != nil && was.Availability == logic.Ready && s.Availability == logic.Ready && was.Addr == s.Addr {
-		s.withdrawn = was.withdrawn
+// applyEntry puts an entry in force in place of the previous one, which may be nil.
+func (d *Dispatcher) applyEntry(s Server, previous *Server) {
+	if previous != nil && previous.Availability == logic.Ready && s.Availability == logic.Ready && previous.Addr == s.Addr {
+		s.withdrawn = previous.withdrawn
 	} else {
 		s.withdrawn = new(atomic.Bool)
-		if was != nil {
-			was.withdrawn.Store(true)
+		if previous != nil {
+			previous.withdrawn.Store(true)
 		}
 	}
 	if s.Availability == logic.Gone {
@@ -56,28 +56,30 @@
 	}
 }
 
-// logChangesMost is how many changes of one list have a line of the log: more would push other lines out of its buffer.
-const logChangesMost = 200
+// maxLoggedChanges is how many changes of one list are logged: more would push other lines out of
+// the log's buffer.
+const maxLoggedChanges = 200
 
-// logChange logs a replica that a list changes, the nth of it.
+// logChange logs the nth replica that a list changes.
 func logChange(s Server, n int) {
 	switch {
-	case n <= logChangesMost:
+	case n <= maxLoggedChanges:
 		log.Printf("list: %s %s %s zone %s cell %d is %v", s.ID, s.Kind, s.Addr, s.Zone, s.Cell, s.Availability)
-	case n == logChangesMost+1:
-		log.Print("list: further changes of this list have no line")
+	case n == maxLoggedChanges+1:
+		log.Print("list: further changes of this list are not logged")
 	}
 }
 
-// able tells whether the replicas in service could serve a request between them: one that does it whole, or a reader and a writer.
-func (d *Dispatcher) able() bool {
+// canServe reports whether the replicas in service can serve a request between them: one that does
+// both stages, or a reader and a writer.
+func (d *Dispatcher) canServe() bool {
 	var reads, writes bool
 	for _, s := range d.servers {
 		if s.Availability != logic.Ready {
 			continue
 		}
 		role := d.roleOf(s)
-		reads = reads || role != logic.Writer || d.set.ReadInPlace
+		reads = reads || role != logic.Writer || d.settings.ReadInPlace
 		writes = writes || role != logic.Reader
 		if reads && writes {
 			return true
@@ -86,9 +88,9 @@
 	return false
 }
 
-// roleOf finds a server's role by its kind.
+// roleOf returns the role of a server by its kind.
 func (d *Dispatcher) roleOf(s *Server) (role logic.Role) {
-	for _, k := range d.set.Kinds {
+	for _, k := range d.settings.Kinds {
 		if k.Name == s.Kind {
 			role = k.Role
 		}
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -6,7 +6,8 @@
 	"standpulley/logic"
 )
 
-// probe asks a server in service whether it is well; any other has not answered at once.
+// probe probes a server in service. For any other server, or without a Prober, the probe fails at
+// once with NotSent.
 func (d *Dispatcher) probe(id string) {
 	s := d.servers[id]
 	if s == nil || s.Availability != logic.Ready || d.Prober == nil {
@@ -17,13 +18,13 @@
 	d.Prober.Probe(s.Addr, func(out logic.Outcome) { d.post(probeAnswer{id, sentAt, out}) })
 }
 
-// probeAnswer comes when a probe is over.
+// probeAnswer is posted when a probe has ended.
 type probeAnswer struct {
-	server string
-	sentAt time.Time
-	out    logic.Outcome
+	server  string
+	sentAt  time.Time
+	outcome logic.Outcome
 }
 
 func (a probeAnswer) apply(d *Dispatcher) {
-	d.route(logic.Event{Kind: logic.Probed, Server: a.server, Outcome: a.out, Took: d.clock().Sub(a.sentAt)})
+	d.route(logic.Event{Kind: logic.Probed, Server: a.server, Outcome: a.outcome, Took: d.clock().Sub(a.sentAt)})
 }
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -7,16 +7,16 @@
 	"standpulley/logic"
 )
 
-// Began is called by the transport when the first event of an answer is there.
-func (at *attempt) Began(s Stream) { at.d.post(beginning{at, s}) }
+// Began is called by the transport when the first event of an answer has arrived.
+func (at *attempt) Began(s Stream) { at.dispatcher.post(streamStart{at, s}) }
 
-// AnswerPending answers what is unanswered, as the program is about to be killed: it is refused, or fails where it may have
-// run. Streams go on.
-func (d *Dispatcher) AnswerPending() { d.post(vacating{}) }
+// AnswerPending answers all unanswered requests because the program is about to be killed: they are
+// refused, or failed if they may have run. Streams continue.
+func (d *Dispatcher) AnswerPending() { d.post(pendingAnswers{}) }
 
-type vacating struct{}
+type pendingAnswers struct{}
 
-func (vacating) apply(d *Dispatcher) {
+func (pendingAnswers) apply(d *Dispatcher) {
 	for _, r := range d.requests {
 		if !r.answered {
 			d.giveUp(r, Answer{Verdict: Refused, Reason: "the program ends"}, ProgramEnding)
@@ -24,55 +24,60 @@
 	}
 }
 
-// StopAdmission refuses what comes from now on, before anything of it is sent: it could not be finished before the program is killed.
-func (d *Dispatcher) StopAdmission() { d.post(stopTaking{}) }
+// StopAdmission refuses all further requests before anything is sent for them, as they could not
+// finish before the program is killed.
+func (d *Dispatcher) StopAdmission() { d.post(admissionStop{}) }
 
-type stopTaking struct{}
+type admissionStop struct{}
 
-func (stopTaking) apply(d *Dispatcher) { d.ending = true }
+func (admissionStop) apply(d *Dispatcher) { d.admissionStopped = true }
 
-// CloseResumable ends the streams whose clients ask another dispatcher for the rest, as the program is about to be killed. They
-// are spread over a time, as all of their prompts are read anew. The youngest go first: the others may yet end.
-func (d *Dispatcher) CloseResumable(over time.Duration) { d.post(moving(over)) }
+// CloseResumable closes the streams whose clients ask another dispatcher for the rest, because the
+// program is about to be killed. The closes are spread over the given time, as every prompt must be
+// read again. The youngest streams are closed first, because the older ones may still end on their
+// own.
+func (d *Dispatcher) CloseResumable(over time.Duration) { d.post(resumableClose(over)) }
 
-type moving time.Duration
+type resumableClose time.Duration
 
-func (m moving) apply(d *Dispatcher) {
-	var run []*attempt
+func (m resumableClose) apply(d *Dispatcher) {
+	var streams []*attempt
 	for _, r := range d.requests {
-		for _, at := range r.out {
-			if r.movable && at.stream != nil {
-				run = append(run, at)
+		for _, at := range r.inFlight {
+			if r.resumable && at.stream != nil {
+				streams = append(streams, at)
 			}
 		}
 	}
-	slices.SortFunc(run, func(a, b *attempt) int { return b.beganAt.Compare(a.beganAt) })
-	for i, at := range run {
-		d.after(time.Duration(m)*time.Duration(i+1)/time.Duration(len(run)), func() { go at.stream.Close() })
+	slices.SortFunc(streams, func(a, b *attempt) int { return b.beganAt.Compare(a.beganAt) })
+	for i, at := range streams {
+		d.after(time.Duration(m)*time.Duration(i+1)/time.Duration(len(streams)), func() { go at.stream.Close() })
 	}
 }
 
-type beginning struct {
-	at     *attempt
-	stream Stream
+type streamStart struct {
+	attempt *attempt
+	stream  Stream
 }
 
-// apply hands the stream to the client: from now on the attempt is the client's, and nothing more goes out for
-// the request. Where another answer came first, or the attempt was given up, the stream is closed.
-func (b beginning) apply(d *Dispatcher) {
-	at, r := b.at, b.at.r
-	if r.answered || at.dropped {
-		at.dropped = true
-		go b.stream.Close() // it posts its end, and nobody takes it while we wait
+// apply hands the stream to the client. From now on the attempt belongs to the client, and no
+// further attempt is sent for the request. If the request was answered before or the attempt was
+// given up, the stream is closed.
+func (b streamStart) apply(d *Dispatcher) {
+	at, r := b.attempt, b.attempt.request
+	if r.answered || at.cancelled {
+		at.cancelled = true
+		// Close posts the end of the attempt to this goroutine, so it must not be awaited here.
+		go b.stream.Close()
 		return
 	}
 	at.stream, at.beganAt = b.stream, d.clock()
-	d.fetched(r)
-	d.awaitLateReads(r)
-	d.route(logic.Event{Kind: logic.StreamStarted, RequestID: r.id, Server: at.server, Attempt: at.n,
+	d.markFetched(r)
+	d.trackAbandonedReads(r)
+	d.route(logic.Event{Kind: logic.StreamStarted, RequestID: r.id, Server: at.server, Attempt: at.number,
 		Took: d.clock().Sub(at.sentAt)})
 	d.answer(r, Answer{Verdict: Served, Stream: b.stream})
-	for _, other := range r.out { // a second copy has lost the race
+	for _, other := range r.inFlight { // a second copy has lost the race
 		other.cancel(LostRace)
 	}
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -7,33 +7,34 @@
 	"standpulley/logic"
 )
 
-// attempt is one send of a request. Its transport reports to it from goroutines of its own.
+// attempt is one send of a request to a replica. Its transport reports to it from its own
+// goroutines.
 type attempt struct {
-	d        *Dispatcher
-	r        *request
-	n        int
-	server   string
-	addr     string
-	role     logic.Role
-	sentAt   time.Time
-	released bool // the state that it was to fetch was let go meanwhile
-	left     leftAt
-	out      Attempt
-	stream   Stream // the client's, once it was handed over
-	beganAt  time.Time
-	dropped  bool                // given up: its stream is no longer wanted
-	noting   bool                // its intent is being noted, so nothing of it has left
-	end      func(logic.Outcome) // takes how it ended, where it was noted
+	dispatcher      *Dispatcher
+	request         *request
+	number          int
+	server          string
+	addr            string
+	role            logic.Role
+	sentAt          time.Time
+	stateReleased   bool // the state to be fetched was released in the meantime
+	firstByte       firstByteTime
+	transport       Attempt
+	stream          Stream // set once the stream has been handed to the client
+	beganAt         time.Time
+	cancelled       bool                // given up: its stream is no longer wanted
+	recordingIntent bool                // the intent is being recorded; nothing has been sent yet
+	endIntent       func(logic.Outcome) // takes the outcome of the attempt if its intent was recorded
 }
 
-// send makes an attempt, unless a rule forbids it: then it ends at once as not sent.
+// send starts an attempt. If a rule forbids it, the attempt ends at once with NotSent.
 func (d *Dispatcher) send(r *request, a logic.Action) {
-	at := &attempt{d: d, r: r, n: r.sent, server: a.Server, sentAt: d.clock()}
+	at := &attempt{dispatcher: d, request: r, number: r.sent, server: a.Server, sentAt: d.clock()}
 	r.sent++
 	s := d.servers[a.Server]
 	if !d.maySend(r, s) {
-		d.Counts.ended(logic.NotSent)
-		d.route(logic.Event{Kind: logic.Ended, RequestID: r.id, Server: a.Server, Attempt: at.n,
+		d.Counts.countEnded(logic.NotSent)
+		d.route(logic.Event{Kind: logic.Ended, RequestID: r.id, Server: a.Server, Attempt: at.number,
 			Outcome: logic.NotSent, RequestEnded: r.answered})
 		return
 	}
@@ -42,25 +43,26 @@
 	if t := d.timeAt(a.Until); a.Until > 0 && t.Before(until) {
 		until = t
 	}
-	r.out[at.n] = at
-	leave := d.leave(at, s)
-	d.note(at, Target{Server: s.ID, Addr: s.Addr, Until: until,
-		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: leave, SettingsVersion: d.mark()})
+	r.inFlight[at.number] = at
+	beforeSend := d.beforeSend(at, s)
+	d.recordIntent(at, Target{Server: s.ID, Addr: s.Addr, Until: until,
+		NoReuse: at.role != logic.Reader && r.class.Repeat != logic.Safe, BeforeSend: beforeSend, SettingsVersion: d.settingsVersion()})
 }
 
-// cancel gives an attempt up, unless its stream belongs to the client already.
+// cancel gives an attempt up, unless its stream already belongs to the client.
 func (at *attempt) cancel(cause Cause) {
-	if at.stream == nil && !at.dropped {
-		at.dropped = true
-		at.d.Counts.Count(AttemptCancelled, cause, fmt.Sprintf("%s attempt %d at %s", at.r.id, at.n, at.server))
-		if at.out != nil { // else its intent is being noted, and it will not leave
-			at.out.Cancel()
+	if at.stream == nil && !at.cancelled {
+		at.cancelled = true
+		at.dispatcher.Counts.Count(AttemptCancelled, cause, fmt.Sprintf("%s attempt %d at %s", at.request.id, at.number, at.server))
+		// Without a transport the intent is still being recorded, and the attempt will not be sent.
+		if at.transport != nil {
+			at.transport.Cancel()
 		}
 	}
 }
 
 func (d *Dispatcher) cancelAll(r *request, cause Cause) {
-	for _, at := range r.out {
+	for _, at := range r.inFlight {
 		at.cancel(cause)
 	}
 }
