--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -12,8 +12,8 @@
 	"standpulley/internal/dispatch"
 )
 
-// operators gives a file of the repository with some of its text replaced.
-func operators(t *testing.T, change ...string) string {
+// writeSiteFile gives a file of the repository with some of its text replaced.
+func writeSiteFile(t *testing.T, change ...string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/chat.json")
 	if err != nil {
@@ -28,7 +28,7 @@
 
 func TestPlanChangesNothingAndApplyDoes(t *testing.T) {
 	dir := Dir(filepath.Join(t.TempDir(), "state"))
-	first := operators(t)
+	first := writeSiteFile(t)
 	changes, err := dir.Plan(first)
 	if err != nil || len(changes) == 0 || !strings.HasPrefix(changes[0].String(), "+ chat.listen = ") {
 		t.Fatalf("%v, %v", changes, err)
@@ -45,7 +45,7 @@
 	if changes, err := dir.Plan(first); err != nil || len(changes) != 0 {
 		t.Errorf("after the apply: %v, %v", changes, err)
 	}
-	next := operators(t, `"branch-1"`, `"branch-2"`, `    "max_output": 500`, `    "max_output": 300`)
+	next := writeSiteFile(t, `"branch-1"`, `"branch-2"`, `    "max_output": 500`, `    "max_output": 300`)
 	changes, err = dir.Plan(next)
 	var out bytes.Buffer
 	Print(&out, changes)
@@ -57,15 +57,15 @@
 // Guards: a file that can't be served must not take the place of one that is.
 func TestApplyKeepsWhatIsInForce(t *testing.T) {
 	dir := Dir(t.TempDir())
-	good := operators(t)
+	good := writeSiteFile(t)
 	if _, err := dir.Apply(good); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := dir.Apply(operators(t, `"at_most_once"`, `"maybe"`)); err == nil || !strings.Contains(err.Error(), "settings.services.1.repeat") {
+	if _, err := dir.Apply(writeSiteFile(t, `"at_most_once"`, `"maybe"`)); err == nil || !strings.Contains(err.Error(), "settings.services.1.repeat") {
 		t.Errorf("got %v", err)
 	}
-	run(t, dir)
-	if _, err := dir.Apply(operators(t, "branch-1", "branch-2")); err == nil || !strings.Contains(err.Error(), "port taken") {
+	serveConsole(t, dir)
+	if _, err := dir.Apply(writeSiteFile(t, "branch-1", "branch-2")); err == nil || !strings.Contains(err.Error(), "port taken") {
 		t.Errorf("got %v", err)
 	}
 	if changes, err := dir.Plan(good); err != nil || len(changes) != 0 {
@@ -79,23 +79,23 @@
 	}
 }
 
-// run answers consoles on a folder for as long as the test lasts.
-func run(t *testing.T, dir Dir) {
+// serveConsole answers consoles on a folder for as long as the test lasts.
+func serveConsole(t *testing.T, dir Dir) {
 	t.Helper()
 	ln, err := dir.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	go Serve(ln, unwilling{})
+	go Serve(ln, failingProgram{})
 }
 
-// unwilling is a program that can't take up a configuration.
-type unwilling struct{}
+// failingProgram is a program that can't take up a configuration.
+type failingProgram struct{}
 
-func (unwilling) Settings([]byte) []byte { return nil }
-func (unwilling) Reload() error          { return errors.New("port taken") }
-func (unwilling) State() Reply {
+func (failingProgram) Settings([]byte) []byte { return nil }
+func (failingProgram) Reload() error          { return errors.New("port taken") }
+func (failingProgram) State() Reply {
 	return Reply{Name: "branch-1", Since: time.Now(), View: dispatch.View{Phase: "ready", Open: 3,
 		Servers: []dispatch.ServerView{{ID: "s-1", State: "draining", Out: 2}},
 		Totals:  dispatch.Totals{Taken: 9, Verdicts: map[string]int{"served": 5, "refused": 1}},
@@ -107,7 +107,7 @@
 	if _, err := dir.State(); !errors.Is(err, errNotRunning) {
 		t.Errorf("got %v", err)
 	}
-	run(t, dir)
+	serveConsole(t, dir)
 	r, err := dir.State()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/appliance/console.go
+++ b/internal/appliance/console.go
@@ -23,10 +23,10 @@
 	stateCommand    = "state"
 	reloadCommand   = "reload"
 	settingsCommand = "settings"
-	callLimit       = 5 * time.Second
-	consoles        = 8                // calls served at once
-	settingsLimit   = 20 * time.Second // the voters may be electing a leader
-	lineMost        = 4 << 20
+	callTimeout     = 5 * time.Second
+	maxConsoles     = 8                // calls served at once
+	settingsTimeout = 20 * time.Second // the voters may be electing a leader
+	maxLineBytes    = 4 << 20
 )
 
 var errNotRunning = errors.New("no program runs on this state folder")
@@ -65,17 +65,17 @@
 
 // Serve answers consoles until the listener is closed.
 func Serve(ln net.Listener, p Program) {
-	room := make(chan struct{}, consoles)
+	slots := make(chan struct{}, maxConsoles)
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { _ = c.Close(); <-room }()
-			_ = c.SetDeadline(time.Now().Add(callLimit)) // a failure shows in the read
-			line, err := bufio.NewReader(io.LimitReader(c, lineMost)).ReadString('\n')
+			defer func() { _ = c.Close(); <-slots }()
+			_ = c.SetDeadline(time.Now().Add(callTimeout)) // a failure shows in the read
+			line, err := bufio.NewReader(io.LimitReader(c, maxLineBytes)).ReadString('\n')
 			if err != nil {
 				return
 			}
@@ -89,8 +89,8 @@
 					r.Error = err.Error()
 				}
 			case settingsCommand:
-				_ = c.SetDeadline(time.Now().Add(settingsLimit)) // likewise
-				_, _ = c.Write(p.Settings([]byte(rest)))         // likewise
+				_ = c.SetDeadline(time.Now().Add(settingsTimeout)) // likewise
+				_, _ = c.Write(p.Settings([]byte(rest)))           // likewise
 				return
 			default:
 				r.Error = "unknown command"
@@ -113,13 +113,13 @@
 	if err != nil {
 		return err
 	}
-	return d.callFor(settingsCommand+" "+text, reply, settingsLimit)
+	return d.callFor(settingsCommand+" "+text, reply, settingsTimeout)
 }
 
-func (d Dir) call(command string, reply *Reply) error { return d.callFor(command, reply, callLimit) }
+func (d Dir) call(command string, reply *Reply) error { return d.callFor(command, reply, callTimeout) }
 
 func (d Dir) callFor(command string, reply any, limit time.Duration) error {
-	c, err := net.DialTimeout("unix", d.Socket(), callLimit)
+	c, err := net.DialTimeout("unix", d.Socket(), callTimeout)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return errNotRunning
 	}
@@ -146,8 +146,8 @@
 	if r.Why != "" {
 		fmt.Fprintf(out, "no lease: %s\n", r.Why)
 	}
-	fmt.Fprintf(out, "requests %d: %s\n", v.Totals.Taken, counts(v.Totals.Verdicts))
-	fmt.Fprintf(out, "attempts %d: %s\nreleases %d\n\n", v.Totals.Attempts, counts(v.Totals.Outcomes), v.Totals.Releases)
+	fmt.Fprintf(out, "requests %d: %s\n", v.Totals.Taken, formatCounts(v.Totals.Verdicts))
+	fmt.Fprintf(out, "attempts %d: %s\nreleases %d\n\n", v.Totals.Attempts, formatCounts(v.Totals.Outcomes), v.Totals.Releases)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REPLICA\tKIND\tZONE\tCELL\tADDRESS\tSTATE\tOUT")
 	for _, s := range v.Servers {
@@ -160,7 +160,7 @@
 	_ = w.Flush() // out is a terminal or a buffer
 }
 
-func counts(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	var words []string
 	for name, n := range m {
 		words = append(words, fmt.Sprintf("%s %d", name, n))
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -91,22 +91,22 @@
 	return nil
 }
 
-// readAgree decodes both parts. Without the first one the second means nothing here.
-func (c *Config) readAgree(f file) error {
+// parseAgree decodes both parts. Without the first one the second means nothing here.
+func (c *Config) parseAgree(f file) error {
 	if len(f.Agree) == 0 {
 		return nil
 	}
-	if err := strict.Unmarshal(f.Agree, &c.Agree); err != nil {
+	if err := strictJSON.Unmarshal(f.Agree, &c.Agree); err != nil {
 		return &Fault{"agree", err.Error()}
 	}
 	if len(f.Peers) > 0 {
-		if err := strict.Unmarshal(f.Peers, &c.Peers); err != nil {
+		if err := strictJSON.Unmarshal(f.Peers, &c.Peers); err != nil {
 			return &Fault{"peers", err.Error()}
 		}
 	}
 	if len(f.Ledger) > 0 {
 		c.Ledger = &Ledger{}
-		if err := strict.Unmarshal(f.Ledger, c.Ledger); err != nil {
+		if err := strictJSON.Unmarshal(f.Ledger, c.Ledger); err != nil {
 			return &Fault{"ledger", err.Error()}
 		}
 		if err := c.Ledger.check(); err != nil {
@@ -115,7 +115,7 @@
 	}
 	if len(f.Recovery) > 0 {
 		c.Recovery = &Recovery{}
-		if err := strict.Unmarshal(f.Recovery, c.Recovery); err != nil {
+		if err := strictJSON.Unmarshal(f.Recovery, c.Recovery); err != nil {
 			return &Fault{"recovery", err.Error()}
 		}
 		if err := c.Recovery.check(c.Agree.Lists); err != nil {
@@ -209,9 +209,9 @@
 
 // Content gives the settings of the file in the form on which dispatchers agree: JSON with its keys in order, without
 // what is each dispatcher's own.
-func (c Config) Content() (string, error) { return contentOf(c.content) }
+func (c Config) Content() (string, error) { return marshalContent(c.rawSettings) }
 
-func contentOf(settings map[string]any) (string, error) {
+func marshalContent(settings map[string]any) (string, error) {
 	own := maps.Clone(settings)
 	maps.DeleteFunc(own, func(key string, _ any) bool { effect, _ := agree.EffectOf(key); return effect == agree.Local })
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(own, "", " ")
@@ -227,7 +227,7 @@
 	if inner, ok := all["settings"].(map[string]any); ok {
 		all = inner
 	}
-	return contentOf(all)
+	return marshalContent(all)
 }
 
 // Fingerprint is the fingerprint of a content.
@@ -246,12 +246,12 @@
 	if fault := agree.Check(val); fault != nil {
 		return c, &Fault{"settings." + fault.Key, fault.Reason}
 	}
-	for key, v := range c.content {
+	for key, v := range c.rawSettings {
 		if effect, _ := agree.EffectOf(key); effect == agree.Local {
 			flatten(val, key, v)
 		}
 	}
-	return c, c.settle(val)
+	return c, c.applySettings(val)
 }
 
 // CheckReload refuses a file whose settings have changed since the one before, to what is not the agreed content: settings
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -10,13 +10,13 @@
 	"standpulley/internal/ledger"
 )
 
-const agreeing = `"agree":{"cluster":"k","voters":{"n0":"127.0.0.1:71","n1":"127.0.0.1:72","n2":"127.0.0.1:73"},"others":["m*"],"within":"1s"},
+const agreeSection = `"agree":{"cluster":"k","voters":{"n0":"127.0.0.1:71","n1":"127.0.0.1:72","n2":"127.0.0.1:73"},"others":["m*"],"within":"1s"},
  "peers":{"listen":"127.0.0.1:71"},"name":"n0"`
 
-func withAgree() string { return strings.Replace(good, `"name":"n0"`, agreeing, 1) }
+func withAgree() string { return strings.Replace(validConfig, `"name":"n0"`, agreeSection, 1) }
 
 func TestAgreeFaultsNameTheKey(t *testing.T) {
-	c, err := Parse([]byte(withAgree()), none)
+	c, err := Parse([]byte(withAgree()), noEnv)
 	if err != nil || !c.Agree.Enabled() || c.Agree.Alone != agree.Safe || c.Agree.Timing().Within.String() != "1s" {
 		t.Fatalf("%+v %v", c.Agree, err)
 	}
@@ -43,13 +43,13 @@
 		{`{"listen":"127.0.0.1:71"}`, `{"listen":"0.0.0.0:71"}`, "peers.listen"},
 		{`{"listen":"127.0.0.1:71"}`, `{"lisen":"127.0.0.1:71"}`, "peers"},
 	} {
-		_, err := Parse([]byte(strings.Replace(withAgree(), f.old, f.new, 1)), none)
+		_, err := Parse([]byte(strings.Replace(withAgree(), f.old, f.new, 1)), noEnv)
 		if err == nil || !strings.Contains(err.Error(), "key "+f.key+":") {
 			t.Errorf("%s: %v, wanted %s", f.new, err, f.key)
 		}
 	}
 	trusted := strings.Replace(withAgree(), `{"listen":"127.0.0.1:71"}`, `{"listen":"10.1.0.1:71","trusted_network":true}`, 1)
-	if _, err := Parse([]byte(trusted), none); err != nil {
+	if _, err := Parse([]byte(trusted), noEnv); err != nil {
 		t.Errorf("a trusted network: %v", err)
 	}
 }
@@ -58,7 +58,7 @@
 	with := func(ledger string) string {
 		return strings.Replace(withAgree(), `"name":"n0"`, `"name":"n0","ledger":`+ledger, 1)
 	}
-	c, err := Parse([]byte(with(`{}`)), none)
+	c, err := Parse([]byte(with(`{}`)), noEnv)
 	if err != nil || c.Ledger == nil || c.Ledger.FindTimeout() != 200*time.Millisecond || c.Ledger.Limits() != (ledger.Limits{Entries: 1e6, Keep: 24 * time.Hour, Share: 2}) ||
 		c.Ledger.Survive != bookkeeping.Site {
 		t.Errorf("%+v %v", c.Ledger, err)
@@ -67,29 +67,29 @@
 		`{"keep":"1s"}`: "ledger.keep", `{"keep":"soon"}`: "ledger.keep", `{"find":"1ms"}`: "ledger.find", `{"entries":-1}`: "ledger.entries",
 		`{"share":-1}`: "ledger.share", `{"survive":"all"}`: "ledger.survive", `{"kep":"1h"}`: "ledger", `7`: "ledger",
 	} {
-		if _, err := Parse([]byte(with(text)), none); err == nil || !strings.Contains(err.Error(), "key "+key+":") {
+		if _, err := Parse([]byte(with(text)), noEnv); err == nil || !strings.Contains(err.Error(), "key "+key+":") {
 			t.Errorf("%s: %v, wanted %s", text, err, key)
 		}
 	}
-	alone := strings.Replace(good, `"name":"n0"`, `"name":"n0","ledger":{}`, 1)
-	if _, err := ParseStrict([]byte(alone), none); err == nil || !strings.Contains(err.Error(), "key ledger:") {
+	alone := strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","ledger":{}`, 1)
+	if _, err := ParseStrict([]byte(alone), noEnv); err == nil || !strings.Contains(err.Error(), "key ledger:") {
 		t.Errorf("without agree: %v", err)
 	}
-	if c, err := Parse([]byte(alone), none); err != nil || c.Ledger != nil {
+	if c, err := Parse([]byte(alone), noEnv); err != nil || c.Ledger != nil {
 		t.Errorf("on the platform: %v", err)
 	}
 }
 
 // Guards: what others mean by keys of these names does not stop a start on the platform.
 func TestPeersAloneMeanNothing(t *testing.T) {
-	c, err := Parse([]byte(strings.Replace(good, `"name":"n0"`, `"name":"n0","peers":["10.0.0.1"]`, 1)), none)
+	c, err := Parse([]byte(strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","peers":["10.0.0.1"]`, 1)), noEnv)
 	if err != nil || c.Agree.Enabled() || c.CheckNoCluster() != nil {
 		t.Errorf("%v", err)
 	}
 }
 
 func TestContents(t *testing.T) {
-	c, err := Parse([]byte(withAgree()), none)
+	c, err := Parse([]byte(withAgree()), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 	// A file that is read anew may have what is agreed on, or what it had; no other settings, and no other cluster.
 	change := func(old, new string) Config {
 		t.Helper()
-		c, err := Parse([]byte(strings.Replace(withAgree(), old, new, 1)), none)
+		c, err := Parse([]byte(strings.Replace(withAgree(), old, new, 1)), noEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,8 +35,8 @@
 	Recovery  *Recovery // nil: off
 	Settings  logic.Settings
 
-	content map[string]any  // the settings of the file, loose
-	keys    map[string]bool // that the file holds, but for those of lists
+	rawSettings map[string]any  // the settings of the file, loose
+	presentKeys map[string]bool // that the file holds, but for those of lists
 }
 
 // Chat sets up the front for the chat API; it is off unless the operator's file has it.
@@ -89,12 +89,12 @@
 	return c, err
 }
 
-var strict = jsoniter.Config{DisallowUnknownFields: true}.Froze()
+var strictJSON = jsoniter.Config{DisallowUnknownFields: true}.Froze()
 
 // ParseStrict reads an operator's file, in which a key that is not known is a slip. The platform's may hold more.
 func ParseStrict(text []byte, env func(string) string) (Config, error) {
 	var f file
-	if err := strict.Unmarshal(text, &f); err != nil {
+	if err := strictJSON.Unmarshal(text, &f); err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
 	if len(f.Ledger) > 0 && len(f.Agree) == 0 {
@@ -135,7 +135,7 @@
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
 		return c, &Fault{"limits", "a negative figure"}
 	}
-	c.Limits.defaults()
+	c.Limits.setDefaults()
 	if c.Limits.Sockets < minSockets {
 		return c, &Fault{"limits.sockets", fmt.Sprintf("%d are too few: at least %d", c.Limits.Sockets, minSockets)}
 	}
@@ -143,17 +143,17 @@
 		return c, &Fault{"known", err.Error()}
 	}
 	c.Known.Full = true
-	if err := c.readAgree(f); err != nil {
+	if err := c.parseAgree(f); err != nil {
 		return c, err
 	}
 	val := Values{}
 	flatten(val, "", f.Settings)
-	c.keys, c.content = f.keys(val), f.Settings
-	return c, c.settle(val)
+	c.presentKeys, c.rawSettings = f.presentKeys(val), f.Settings
+	return c, c.applySettings(val)
 }
 
 // settle takes settings up and checks them against all else.
-func (c *Config) settle(val Values) error {
+func (c *Config) applySettings(val Values) error {
 	settings, err := Settings(val)
 	if fault, ok := err.(*Fault); ok {
 		return &Fault{"settings." + fault.Key, fault.Text}
@@ -171,7 +171,7 @@
 }
 
 // keys gives what a file holds, of the keys that it can't do without once it had them.
-func (f *file) keys(settings Values) map[string]bool {
+func (f *file) presentKeys(settings Values) map[string]bool {
 	keys := map[string]bool{"name": f.Name != "", "listen": f.Listen != "", "discovery": f.Discovery != "",
 		"operator": f.Operator != "", "seed": f.Seed != "", "limits": f.Limits != Limits{}}
 	for path := range settings {
@@ -184,8 +184,8 @@
 
 // CheckMissingKeys names a key that the file in force has and this one has lost: half a file must not be taken for a whole one.
 func (c Config) CheckMissingKeys(inForce Config) error {
-	for _, key := range slices.Sorted(maps.Keys(inForce.keys)) {
-		if inForce.keys[key] && !c.keys[key] {
+	for _, key := range slices.Sorted(maps.Keys(inForce.presentKeys)) {
+		if inForce.presentKeys[key] && !c.presentKeys[key] {
 			return &Fault{key, "missing, and the file in force has it"}
 		}
 	}
@@ -195,13 +195,13 @@
 // DiffersInDiscoveryOnly tells whether what serves o can serve c with another watch. The seed and the list of
 // replicas are for a start.
 func (c Config) DiffersInDiscoveryOnly(o Config) bool {
-	o.Name, o.Discovery, o.Seed, o.Known, o.keys, o.content = c.Name, c.Discovery, c.Seed, c.Known, c.keys, c.content
+	o.Name, o.Discovery, o.Seed, o.Known, o.presentKeys, o.rawSettings = c.Name, c.Discovery, c.Seed, c.Known, c.presentKeys, c.rawSettings
 	return reflect.DeepEqual(c, o)
 }
 
 const (
-	minSockets = 64
-	chatOutput = 500 // tokens
+	minSockets       = 64
+	defaultMaxOutput = 500 // tokens
 )
 
 // checkAddresses wants at least one front, and replicas from discovery or from the file.
@@ -229,13 +229,13 @@
 		return &Fault{"chat.max_output", "a negative figure"}
 	}
 	if c.Chat.MaxOutput == 0 {
-		c.Chat.MaxOutput = chatOutput
+		c.Chat.MaxOutput = defaultMaxOutput
 	}
 	return nil
 }
 
 // defaults are the limits of a small machine.
-func (l *Limits) defaults() {
+func (l *Limits) setDefaults() {
 	if l.Cores == 0 {
 		l.Cores = 1
 	}
@@ -267,7 +267,7 @@
 	switch v := v.(type) {
 	case map[string]any:
 		for key, x := range v {
-			flatten(to, join(path, key), x)
+			flatten(to, joinPath(path, key), x)
 		}
 	case []any:
 		words := make([]string, 0, len(v))
@@ -275,9 +275,9 @@
 		for i, x := range v {
 			if _, ok := x.(map[string]any); ok {
 				objects = true
-				flatten(to, join(path, strconv.Itoa(i)), x)
+				flatten(to, joinPath(path, strconv.Itoa(i)), x)
 			} else {
-				words = append(words, plain(x))
+				words = append(words, formatValue(x))
 			}
 		}
 		if objects || len(v) == 0 {
@@ -285,18 +285,18 @@
 		}
 		to[path] = strings.Join(words, ",")
 	default:
-		to[path] = plain(v)
+		to[path] = formatValue(v)
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func plain(v any) string {
+func formatValue(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-const good = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"92094eb940cf389a",
+const validConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"92094eb940cf389a",
  "known":{"version":4,"full":true,"servers":[{"id":"s","addr":"a:1","zone":"z","kind":"p","cell":1,"state":"in_service","weight":1}]},
  "settings":{"siblings":3,"host_types":["p","d"],"zone":"z",
   "family_info":{"duty_by_kind":["read","write"],"kv_tokens":[100,200],"let_go_by_us":500000,"token_aim_us":[60000.0]},
   "limits":{"try_limit":6,"cancel":true,"probes":true,"conn_idle_us":30000000},"prices":{"probe":0.0032},
   "services":[{"name":"c","goal_time_us":1500000,"deadline_us":6000000,"repeat":"idempotent","credit":3.0}]}}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 // Guards: the nested JSON form and the simulator's flat form are read by the same mapping.
 func TestNestedAndFlatAreTheSame(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 		{`"name":"n0"`, `"name":"n0","limits":{"sockets":3}`, "limits.sockets"},
 		{`"name":"n0"`, `"name":7`, "name"},
 	} {
-		text := strings.Replace(good, f.old, f.new, 1)
-		if _, err := Parse([]byte(text), none); text == good || err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(f.key)) {
+		text := strings.Replace(validConfig, f.old, f.new, 1)
+		if _, err := Parse([]byte(text), noEnv); text == validConfig || err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(f.key)) {
 			t.Errorf("%s: %v", f.new, err)
 		}
 	}
@@ -71,14 +71,14 @@
 
 // Guards: a slip in an operator's file would be passed over in silence.
 func TestUnknownKeysOfAnOperatorsFile(t *testing.T) {
-	text := []byte(strings.Replace(good, `"name":"n0"`, `"name":"n0","chatt":{}`, 1))
-	if _, err := Parse(text, none); err != nil {
+	text := []byte(strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","chatt":{}`, 1))
+	if _, err := Parse(text, noEnv); err != nil {
 		t.Errorf("the platform's file may hold more: %v", err)
 	}
-	if _, err := ParseStrict(text, none); err == nil || !strings.Contains(err.Error(), "chatt") {
+	if _, err := ParseStrict(text, noEnv); err == nil || !strings.Contains(err.Error(), "chatt") {
 		t.Errorf("got %v", err)
 	}
-	if _, err := ParseStrict([]byte(good), none); err != nil {
+	if _, err := ParseStrict([]byte(validConfig), noEnv); err != nil {
 		t.Error(err)
 	}
 }
@@ -90,14 +90,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c, err := ParseStrict(text, none); err != nil || c.Chat.Listen == "" || len(c.Settings.Classes) != 2 {
+		if c, err := ParseStrict(text, noEnv); err != nil || c.Chat.Listen == "" || len(c.Settings.Classes) != 2 {
 			t.Errorf("%s: %+v, %v", path, c, err)
 		}
 	}
 }
 
 func TestEnvironmentStandsIn(t *testing.T) {
-	text := strings.Replace(good, `"listen":"127.0.0.1:1",`, ``, 1)
+	text := strings.Replace(validConfig, `"listen":"127.0.0.1:1",`, ``, 1)
 	c, err := Parse([]byte(text), func(key string) string { return map[string]string{"EDGE_LISTEN": "127.0.0.1:9"}[key] })
 	if err != nil || c.Listen != "127.0.0.1:9" {
 		t.Errorf("%q, %v", c.Listen, err)
@@ -106,13 +106,13 @@
 
 // Guards: half of a file was taken for a whole one, as defaults and the environment filled what it lacked.
 func TestLostKeysAreNamed(t *testing.T) {
-	inForce, err := Parse([]byte(good), none)
+	inForce, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	env := func(key string) string { return "127.0.0.1:" + strconv.Itoa(len(key)) }
 	for _, lost := range []string{`"listen":"127.0.0.1:1",`, `"discovery":"127.0.0.1:2",`, `"cancel":true,`} {
-		c, err := Parse([]byte(strings.Replace(good, lost, "", 1)), env)
+		c, err := Parse([]byte(strings.Replace(validConfig, lost, "", 1)), env)
 		if key := strings.Split(lost, `"`)[1]; err != nil || c.CheckMissingKeys(inForce) == nil || !strings.Contains(c.CheckMissingKeys(inForce).Error(), key) {
 			t.Errorf("without %s: %v, %v", key, err, c.CheckMissingKeys(inForce))
 		}
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -20,40 +20,40 @@
 
 // The defaults, and bounds.
 const (
-	ledgerKeep    = 24 * time.Hour
-	ledgerEntries = 1_000_000
-	ledgerShare   = 2
-	ledgerFind    = 200 * time.Millisecond
+	defaultLedgerKeep    = 24 * time.Hour
+	defaultLedgerEntries = 1_000_000
+	defaultLedgerShare   = 2
+	defaultLedgerFind    = 200 * time.Millisecond
 
-	ledgerKeepLeast = time.Minute
-	ledgerFindLeast = 20 * time.Millisecond
-	ledgerFindMost  = 5 * time.Second
+	minLedgerKeep = time.Minute
+	minLedgerFind = 20 * time.Millisecond
+	maxLedgerFind = 5 * time.Second
 )
 
 func (l *Ledger) check() error {
 	if l.Keep == "" {
-		l.Keep = ledgerKeep.String()
+		l.Keep = defaultLedgerKeep.String()
 	}
 	if l.Entries == 0 {
-		l.Entries = ledgerEntries
+		l.Entries = defaultLedgerEntries
 	}
 	if l.Share == 0 {
-		l.Share = ledgerShare
+		l.Share = defaultLedgerShare
 	}
 	if l.Find == "" {
-		l.Find = ledgerFind.String()
+		l.Find = defaultLedgerFind.String()
 	}
 	if l.Survive == "" {
 		l.Survive = bookkeeping.Site
 	}
 	keep, err := time.ParseDuration(l.Keep)
-	if err != nil || keep < ledgerKeepLeast {
-		return &Fault{"ledger.keep", fmt.Sprintf("%q is no time of %v or more", l.Keep, ledgerKeepLeast)}
+	if err != nil || keep < minLedgerKeep {
+		return &Fault{"ledger.keep", fmt.Sprintf("%q is no time of %v or more", l.Keep, minLedgerKeep)}
 	}
 	find, err := time.ParseDuration(l.Find)
 	switch {
-	case err != nil || find < ledgerFindLeast || find > ledgerFindMost:
-		return &Fault{"ledger.find", fmt.Sprintf("%q is no time from %v to %v", l.Find, ledgerFindLeast, ledgerFindMost)}
+	case err != nil || find < minLedgerFind || find > maxLedgerFind:
+		return &Fault{"ledger.find", fmt.Sprintf("%q is no time from %v to %v", l.Find, minLedgerFind, maxLedgerFind)}
 	case l.Entries < 0:
 		return &Fault{"ledger.entries", "a negative figure"}
 	case l.Share < 0:
@@ -66,8 +66,8 @@
 
 // Limits are those of its table.
 func (l *Ledger) Limits() ledger.Limits {
-	return ledger.Limits{Entries: l.Entries, Keep: checked(l.Keep), Share: l.Share}
+	return ledger.Limits{Entries: l.Entries, Keep: durationOf(l.Keep), Share: l.Share}
 }
 
 // FindTimeout bounds what an intent or a repeat may take.
-func (l *Ledger) FindTimeout() time.Duration { return checked(l.Find) }
+func (l *Ledger) FindTimeout() time.Duration { return durationOf(l.Find) }
--- a/internal/config/recovery.go
+++ b/internal/config/recovery.go
@@ -12,9 +12,9 @@
 }
 
 const (
-	recoveryFind  = 2 * time.Second
-	recoveryLearn = 500 * time.Millisecond
-	recoveryMost  = time.Minute
+	defaultRecoveryFind  = 2 * time.Second
+	defaultRecoveryLearn = 500 * time.Millisecond
+	maxRecoveryWait      = time.Minute
 )
 
 func (r *Recovery) check(lists *Lists) error {
@@ -25,25 +25,25 @@
 		key  string
 		text *string
 		none time.Duration
-	}{{"recovery.find", &r.Find, recoveryFind}, {"recovery.learn", &r.Learn, recoveryLearn}} {
+	}{{"recovery.find", &r.Find, defaultRecoveryFind}, {"recovery.learn", &r.Learn, defaultRecoveryLearn}} {
 		if *d.text == "" {
 			*d.text = d.none.String()
 		}
-		if t, err := time.ParseDuration(*d.text); err != nil || t < 0 || t > recoveryMost {
-			return &Fault{d.key, fmt.Sprintf("%q is no time up to %v", *d.text, recoveryMost)}
+		if t, err := time.ParseDuration(*d.text); err != nil || t < 0 || t > maxRecoveryWait {
+			return &Fault{d.key, fmt.Sprintf("%q is no time up to %v", *d.text, maxRecoveryWait)}
 		}
 	}
 	return nil
 }
 
 // FindTimeout is Find.
-func (r *Recovery) FindTimeout() time.Duration { return checked(r.Find) }
+func (r *Recovery) FindTimeout() time.Duration { return durationOf(r.Find) }
 
 // LearnTimeout is Learn.
-func (r *Recovery) LearnTimeout() time.Duration { return checked(r.Learn) }
+func (r *Recovery) LearnTimeout() time.Duration { return durationOf(r.Learn) }
 
 // checked reads a time that the checks have seen.
-func checked(text string) time.Duration {
+func durationOf(text string) time.Duration {
 	d, _ := time.ParseDuration(text)
 	return d
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,20 +21,20 @@
 // that both forms share the one mapping below.
 type Values map[string]string
 
-// conf reads Values and keeps the first fault.
-type conf struct {
-	val Values
-	err *Fault
+// decoder reads Values and keeps the first fault.
+type decoder struct {
+	values Values
+	err    *Fault
 }
 
-func (c *conf) fail(key, text string) {
+func (c *decoder) fail(key, text string) {
 	if c.err == nil {
 		c.err = &Fault{key, text}
 	}
 }
 
-func (c *conf) num(path string) float64 {
-	text, ok := c.val[path]
+func (c *decoder) number(path string) float64 {
+	text, ok := c.values[path]
 	if !ok {
 		return 0
 	}
@@ -49,42 +49,42 @@
 	return time.Duration(max(min(v*1000, math.MaxInt64/4), -math.MaxInt64/4))
 }
 
-func (c *conf) time(path string) time.Duration { return micros(c.num(path)) }
+func (c *decoder) duration(path string) time.Duration { return micros(c.number(path)) }
 
-func (c *conf) flag(path string) bool {
-	switch c.val[path] {
+func (c *decoder) boolean(path string) bool {
+	switch c.values[path] {
 	case "", "false", "0":
 		return false
 	case "true", "1":
 		return true
 	}
-	c.fail(path, fmt.Sprintf("%q is not a bool", c.val[path]))
+	c.fail(path, fmt.Sprintf("%q is not a bool", c.values[path]))
 	return false
 }
 
-func (c *conf) list(path string) []string {
-	if c.val[path] == "" {
+func (c *decoder) list(path string) []string {
+	if c.values[path] == "" {
 		return nil
 	}
-	return strings.Split(c.val[path], ",")
+	return strings.Split(c.values[path], ",")
 }
 
 // at takes the i-th number of a list; a list of one stands for all.
-func (c *conf) at(path string, i int) float64 {
+func (c *decoder) element(path string, i int) float64 {
 	l := c.list(path)
 	if len(l) == 0 {
 		return 0
 	}
 	v, err := strconv.ParseFloat(l[min(i, len(l)-1)], 64)
 	if err != nil {
-		c.fail(path, fmt.Sprintf("%q holds what is not a number", c.val[path]))
+		c.fail(path, fmt.Sprintf("%q holds what is not a number", c.values[path]))
 	}
 	return v
 }
 
 // count is the length of a list of objects.
-func (c *conf) count(path string) int {
-	n := c.num(path + ".count")
+func (c *decoder) count(path string) int {
+	n := c.number(path + ".count")
 	if n < 0 || n > 10000 {
 		c.fail(path+".count", "out of range")
 		return 0
@@ -92,8 +92,8 @@
 	return int(n)
 }
 
-func word[T any](c *conf, path string, known map[string]T) (v T) {
-	if text, ok := c.val[path]; ok {
+func enum[T any](c *decoder, path string, known map[string]T) (v T) {
+	if text, ok := c.values[path]; ok {
 		if v, ok = known[text]; !ok {
 			c.fail(path, fmt.Sprintf("%q is not known", text))
 		}
@@ -110,12 +110,12 @@
 
 // Settings maps the values onto the module's settings, the only type that holds them.
 func Settings(val Values) (logic.Settings, error) {
-	c, s := &conf{val: val}, &logic.Settings{}
-	s.Siblings = int(c.num("siblings"))
-	s.Zone = c.val["zone"]
+	c, s := &decoder{values: val}, &logic.Settings{}
+	s.Siblings = int(c.number("siblings"))
+	s.Zone = c.values["zone"]
 	duties := c.list("family_info.duty_by_kind")
 	for i, name := range c.list("host_types") {
-		k := logic.Kind{Name: name, MemoryTokens: int64(c.at("family_info.kv_tokens", i))}
+		k := logic.Kind{Name: name, MemoryTokens: int64(c.element("family_info.kv_tokens", i))}
 		if i < len(duties) {
 			role, ok := roles[duties[i]]
 			if !ok {
@@ -128,51 +128,51 @@
 	for i := range c.count("services") {
 		p := fmt.Sprintf("services.%d.", i)
 		s.Classes = append(s.Classes, logic.Class{
-			Name: c.val[p+"name"], Aim: c.time(p + "goal_time_us"), Deadline: c.time(p + "deadline_us"),
-			AimPer1K:  micros(c.at("family_info.aim_us_per_1000_prompt_tokens", i)),
-			TokenAim:  micros(c.at("family_info.token_aim_us", i)),
-			LateWorth: c.num(p + "late_worth"), Worth: c.num(p + "credit"),
-			Repeat: word(c, p+"repeat", repeats), Scope: word(c, p+"key_scope", scopes),
-			Window: c.time(p + "window_us"),
+			Name: c.values[p+"name"], Aim: c.duration(p + "goal_time_us"), Deadline: c.duration(p + "deadline_us"),
+			AimPer1K:  micros(c.element("family_info.aim_us_per_1000_prompt_tokens", i)),
+			TokenAim:  micros(c.element("family_info.token_aim_us", i)),
+			LateWorth: c.number(p + "late_worth"), Worth: c.number(p + "credit"),
+			Repeat: enum(c, p+"repeat", repeats), Scope: enum(c, p+"key_scope", scopes),
+			Window: c.duration(p + "window_us"),
 		})
 		for _, key := range []string{"name", "goal_time_us", "deadline_us", "repeat"} {
-			if c.val[p+key] == "" {
+			if c.values[p+key] == "" {
 				c.fail(p+key, "missing")
 			}
 		}
 	}
 	for i := range c.count("tenants") {
 		p := fmt.Sprintf("tenants.%d.", i)
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: c.val[p+"name"], QuotaRPS: c.num(p + "quota_rps")})
-	}
-	s.OverQuotaWorth = c.num("over_share_worth")
-	s.CrossZonePrice = c.num("prices.cross_zone")
-	s.ReadInPlace = c.flag("family_info.read_in_place")
-	s.CanCancel = c.flag("limits.cancel")
-	s.CanProbe = c.flag("limits.probes")
-	s.ProbePrice = c.num("prices.probe")
-	s.ListOnRequest = c.val["registry_mode"] == "on_request"
-	s.MaxAttempts = int(c.num("limits.try_limit"))
-	if c.flag("limits.retry_after") {
-		s.MaxRetryAfter = c.time("limits.max_retry_after_us")
-	}
-	s.ReleaseWithin = c.time("family_info.let_go_by_us")
-	s.ColdFrom = c.num("obligations.cold_from")
-	s.RampTime = c.time("obligations.ramp_time_us")
-	s.FallMultiple = c.num("obligations.fall_multiple")
-	s.FallTime = c.time("obligations.fall_us")
-	s.ListPollInterval = c.time("obligations.ask_every_us")
-	s.DrainGrace = c.time("obligations.drain_grace_us")
-	s.AnswerSlack = c.time("obligations.answer_slack_us")
-	s.ConnIdle = c.time("limits.conn_idle_us")
-	s.ConnectTimeout = c.time("limits.connect_timeout_us")
-	s.MaxOpen = int(c.num("limits.max_open"))
-	s.Resume = c.flag("family_info.resume")
+		s.Tenants = append(s.Tenants, logic.Tenant{Name: c.values[p+"name"], QuotaRPS: c.number(p + "quota_rps")})
+	}
+	s.OverQuotaWorth = c.number("over_share_worth")
+	s.CrossZonePrice = c.number("prices.cross_zone")
+	s.ReadInPlace = c.boolean("family_info.read_in_place")
+	s.CanCancel = c.boolean("limits.cancel")
+	s.CanProbe = c.boolean("limits.probes")
+	s.ProbePrice = c.number("prices.probe")
+	s.ListOnRequest = c.values["registry_mode"] == "on_request"
+	s.MaxAttempts = int(c.number("limits.try_limit"))
+	if c.boolean("limits.retry_after") {
+		s.MaxRetryAfter = c.duration("limits.max_retry_after_us")
+	}
+	s.ReleaseWithin = c.duration("family_info.let_go_by_us")
+	s.ColdFrom = c.number("obligations.cold_from")
+	s.RampTime = c.duration("obligations.ramp_time_us")
+	s.FallMultiple = c.number("obligations.fall_multiple")
+	s.FallTime = c.duration("obligations.fall_us")
+	s.ListPollInterval = c.duration("obligations.ask_every_us")
+	s.DrainGrace = c.duration("obligations.drain_grace_us")
+	s.AnswerSlack = c.duration("obligations.answer_slack_us")
+	s.ConnIdle = c.duration("limits.conn_idle_us")
+	s.ConnectTimeout = c.duration("limits.connect_timeout_us")
+	s.MaxOpen = int(c.number("limits.max_open"))
+	s.Resume = c.boolean("family_info.resume")
 	if s.Siblings < 1 {
 		c.fail("siblings", "the setting must be the number of dispatchers, 1 or more")
 	}
 	for _, path := range slices.Sorted(maps.Keys(val)) {
-		if strings.HasPrefix(path, "prices.") && c.num(path) < 0 {
+		if strings.HasPrefix(path, "prices.") && c.number(path) < 0 {
 			c.fail(path, "a price may not be negative")
 		}
 	}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -12,10 +12,10 @@
 		w := Watcher{PushMode: pushed}
 		least, most := time.Hour, time.Duration(0)
 		for range 1000 {
-			d := w.silence()
+			d := w.watchTimeout()
 			least, most = min(least, d), max(most, d)
 		}
-		if least < w.wait() || most >= w.wait()+2*time.Second || most-least < 500*time.Millisecond {
+		if least < w.watchWait() || most >= w.watchWait()+2*time.Second || most-least < 500*time.Millisecond {
 			t.Errorf("pushed %v: from %v to %v after it was opened", pushed, least, most)
 		}
 	}
@@ -25,7 +25,7 @@
 // not: a silent watch and a call after it that went wrong took up to 9 s. The sum is bounded, for any number of dispatchers and of calls
 // that were turned away before; many don't ask at one time.
 func TestEveryWayOfMissingAListIsBounded(t *testing.T) {
-	const countsAsTold = 6 * time.Second
+	const listDeadline = 6 * time.Second
 	away := time.Duration(0)
 	for _, siblings := range []int{0, 1, 4, 80, 300, 1 << 20} {
 		for before := range 40 {
@@ -43,19 +43,19 @@
 	}
 	for _, pushed := range []bool{true, false} {
 		w := Watcher{PushMode: pushed}
-		silent := w.wait() + silentMost + reconnectAfter + dialLimit
+		silent := w.watchWait() + maxStallDelay + reconnectDelay + dialTimeout
 		for name, wrong := range map[string]time.Duration{
-			"is not answered":  w.replyLimit() + reconnectAfter + dialLimit,
-			"is turned away":   away + dialLimit,
-			"is reset":         reconnectAfter + dialLimit,
-			"does not come up": reconnectAfter + dialLimit,
+			"is not answered":  w.replyTimeout() + reconnectDelay + dialTimeout,
+			"is turned away":   away + dialTimeout,
+			"is reset":         reconnectDelay + dialTimeout,
+			"does not come up": reconnectDelay + dialTimeout,
 		} {
-			if silent+wrong >= countsAsTold {
+			if silent+wrong >= listDeadline {
 				t.Errorf("pushed %v: %v around a watch that has fallen silent and a call that %s", pushed, silent+wrong, name)
 			}
 		}
 	}
-	if sum := dialLimit + agentLimit + reconnectAfter; sum >= time.Second {
+	if sum := dialTimeout + agentTimeout + reconnectDelay; sum >= time.Second {
 		t.Errorf("an agent to which lists are pushed is asked every %v while it is silent", sum)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,30 +21,30 @@
 // before (the standing test's page), and a drain that is told of has a second more. So the sum is bounded below that, from the moment in
 // which a watch falls silent, through one further call that goes wrong in any way, to the next one that is answered:
 //
-//	a watch that has fallen silent   the wait + silentMost + reconnectAfter + dialLimit
-//	a call that is not answered      replyLimit + reconnectAfter + dialLimit
-//	a call that is turned away       backoffMost + dialLimit
+//	a watch that has fallen silent   the wait + maxStallDelay + reconnectDelay + dialTimeout
+//	a call that is not answered      replyTimeout + reconnectDelay + dialTimeout
+//	a call that is turned away       maxBackoff + dialTimeout
 //
 // All dispatchers may lose discovery at one moment; where they share a service, what follows is drawn for each.
 const (
-	watchWait   = 2 * time.Second
-	silentLeast = 300 * time.Millisecond // after the wait's end a watch without an answer is broken: from this ...
-	silentMost  = time.Second
-	replyLimit  = 2200 * time.Millisecond // for a call that does not wait, at a service whose callers wait in turn
+	watchWait     = 2 * time.Second
+	minStallDelay = 300 * time.Millisecond // after the wait's end a watch without an answer is broken: from this ...
+	maxStallDelay = time.Second
+	replyTimeout  = 2200 * time.Millisecond // for a call that does not wait, at a service whose callers wait in turn
 	// Where lists are pushed the agent answers at once and at no cost, and what it gets when discovery returns is told in that moment.
-	agentWait  = time.Second
-	agentLimit = 600 * time.Millisecond
-	dialLimit  = 250 * time.Millisecond
-	maxList    = 4 << 20
-
-	reconnectAfter = 50 * time.Millisecond   // after a broken connection: a watch goes on only if the next call comes within 200 ms
-	backoffEach    = 100 * time.Millisecond  // for each dispatcher that asks the same service, after it turned a call away
-	backoffMost    = 2250 * time.Millisecond // to this the pause doubles
+	agentWait    = time.Second
+	agentTimeout = 600 * time.Millisecond
+	dialTimeout  = 250 * time.Millisecond
+	maxListBytes = 4 << 20
+
+	reconnectDelay       = 50 * time.Millisecond   // after a broken connection: a watch goes on only if the next call comes within 200 ms
+	backoffPerDispatcher = 100 * time.Millisecond  // for each dispatcher that asks the same service, after it turned a call away
+	maxBackoff           = 2250 * time.Millisecond // to this the pause doubles
 )
 
 // Watcher follows the agent at Addr and hands each list to Tell. Behind the agents of all dispatchers stands one service:
 // where it turns a call away or answers what can't be used, the next comes after a pause drawn from a time that grows with
-// their number, Siblings (0 counts as 1), and doubles up to backoffMost. Asked again at once by all, it would never have time
+// their number, Siblings (0 counts as 1), and doubles up to maxBackoff. Asked again at once by all, it would never have time
 // to answer any.
 type Watcher struct {
 	Addr         string
@@ -62,29 +62,29 @@
 	br   *bufio.Reader
 }
 
-// errAnswer tells that the agent can be reached, but its answer is of no use.
-var errAnswer = errors.New("no list")
+// errUnusable tells that the agent can be reached, but its answer is of no use.
+var errUnusable = errors.New("no list")
 
 // Run watches until ctx ends. It begins with the whole list, or with what has changed of the one that is known, and tells of the first
 // answer also where nothing has. After a call that nobody answered it asks for what it missed before it waits again: a call that waits
 // would tell only by the end of its wait that nobody hears it.
 func (w *Watcher) Run(ctx context.Context) {
-	defer w.hangUp()
-	stop := context.AfterFunc(ctx, w.hangUp)
+	defer w.closeConn()
+	stop := context.AfterFunc(ctx, w.closeConn)
 	defer stop()
-	missed, first, away := true, true, 0
+	catchUp, first, rejected := true, true, 0
 	if w.KnownVersion != nil {
 		w.index = *w.KnownVersion
 	}
 	for ctx.Err() == nil {
-		path, limit := "/api/targets", w.replyLimit()
+		path, limit := "/api/targets", w.replyTimeout()
 		switch {
 		case first && w.KnownVersion == nil: // the whole list
-		case missed:
+		case catchUp:
 			path += fmt.Sprintf("?index=%d&wait=0", w.index)
 		default:
-			path += fmt.Sprintf("?index=%d&wait=%d", w.index, w.wait().Milliseconds())
-			limit = w.silence()
+			path += fmt.Sprintf("?index=%d&wait=%d", w.index, w.watchWait().Milliseconds())
+			limit = w.watchTimeout()
 		}
 		list, err := w.call(path, limit)
 		if w.OnResult != nil && ctx.Err() == nil {
@@ -94,35 +94,35 @@
 			if ctx.Err() == nil {
 				log.Printf("discovery: %v", err)
 			}
-			w.hangUp()
-			wait := reconnectAfter
-			if errors.Is(err, errAnswer) { // it is there, and answers a watch at once if there is news: one call is enough
-				wait = w.backoff(away)
-				away++
+			w.closeConn()
+			wait := reconnectDelay
+			if errors.Is(err, errUnusable) { // it is there, and answers a watch at once if there is news: one call is enough
+				wait = w.backoff(rejected)
+				rejected++
 			} else {
-				missed = true
+				catchUp = true
 			}
 			pause(ctx, wait)
 			continue
 		}
-		away = 0
+		rejected = 0
 		if list.Full || len(list.Servers) > 0 || first {
 			w.OnUpdate(list.Update())
 		}
-		w.index, missed, first = list.Version, false, false
+		w.index, catchUp, first = list.Version, false, false
 	}
 }
 
-// replyLimit is how long a call that does not wait may take.
-func (w *Watcher) replyLimit() time.Duration {
+// replyTimeout is how long a call that does not wait may take.
+func (w *Watcher) replyTimeout() time.Duration {
 	if w.PushMode {
-		return agentLimit
+		return agentTimeout
 	}
-	return replyLimit
+	return replyTimeout
 }
 
 // wait is how long a watch waits for news.
-func (w *Watcher) wait() time.Duration {
+func (w *Watcher) watchWait() time.Duration {
 	if w.PushMode {
 		return agentWait
 	}
@@ -130,14 +130,14 @@
 }
 
 // silence draws how long a watch may take before it counts as silent.
-func (w *Watcher) silence() time.Duration {
-	return w.wait() + silentLeast + rand.N(silentMost-silentLeast)
+func (w *Watcher) watchTimeout() time.Duration {
+	return w.watchWait() + minStallDelay + rand.N(maxStallDelay-minStallDelay)
 }
 
 // backoff draws the pause after a call that was turned away, as were so many before it in a row: from half of the time to
 // all of it.
 func (w *Watcher) backoff(before int) time.Duration {
-	most := min(backoffEach*time.Duration(max(w.Siblings, 1))<<min(before, 10), backoffMost)
+	most := min(backoffPerDispatcher*time.Duration(max(w.Siblings, 1))<<min(before, 10), maxBackoff)
 	return most/2 + rand.N(most/2)
 }
 
@@ -148,7 +148,7 @@
 	w.mu.Unlock()
 	if c == nil {
 		var err error
-		c, err = net.DialTimeout("tcp", w.Addr, dialLimit)
+		c, err = net.DialTimeout("tcp", w.Addr, dialTimeout)
 		if err != nil {
 			return List{}, err
 		}
@@ -169,26 +169,26 @@
 	if err := bw.Flush(); err != nil {
 		return List{}, err
 	}
-	if err := resp.ReadLimitBody(w.br, maxList); err != nil {
+	if err := resp.ReadLimitBody(w.br, maxListBytes); err != nil {
 		return List{}, err
 	}
 	if resp.ConnectionClose() {
-		defer w.hangUp()
+		defer w.closeConn()
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return List{}, fmt.Errorf("%w: %s answered %d", errAnswer, path, resp.StatusCode())
+		return List{}, fmt.Errorf("%w: %s answered %d", errUnusable, path, resp.StatusCode())
 	}
 	list, err := Decode(resp.Body())
 	if err == nil {
 		err = list.CheckKinds(w.Kinds)
 	}
 	if err != nil {
-		return List{}, fmt.Errorf("%w: %s: %w", errAnswer, path, err)
+		return List{}, fmt.Errorf("%w: %s: %w", errUnusable, path, err)
 	}
 	return list, nil
 }
 
-func (w *Watcher) hangUp() {
+func (w *Watcher) closeConn() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.conn != nil {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/watch_test.go
@@ -89,8 +89,8 @@
 }
 
 const (
-	countsAsTold = 6 * time.Second // after discovery had a change and could be reached
-	graceOfDrain = time.Second     // and for a drain as much longer
+	listDeadline = 6 * time.Second // after discovery had a change and could be reached
+	drainGrace   = time.Second     // and for a drain as much longer
 )
 
 // Guards: a watch that falls silent, right after it was opened, told of nothing for 11.5 s, and a drain that it missed was broken. What it
@@ -114,7 +114,7 @@
 		if u := <-told; u.Servers[0].Availability != logic.Draining {
 			t.Errorf("told %+v", u)
 		}
-		if took := time.Since(silent); took > countsAsTold {
+		if took := time.Since(silent); took > listDeadline {
 			t.Errorf("pushed %v: told %v after the watch fell silent", pushed, took)
 		}
 		if q := s.next(t).query; !strings.HasPrefix(q, "index=2&wait=") || q == "index=2&wait=0" {
@@ -147,7 +147,7 @@
 				if u := <-told; u.Servers[0].Availability != logic.Draining {
 					t.Errorf("told %+v", u)
 				}
-				if took := time.Since(silent); took > countsAsTold {
+				if took := time.Since(silent); took > listDeadline {
 					t.Errorf("told %v after the watch fell silent", took)
 				}
 			})
@@ -169,7 +169,7 @@
 	returned := time.Now()
 	s.next(t).answer(2, "terminating")
 	<-told
-	if took := time.Since(returned); took > graceOfDrain {
+	if took := time.Since(returned); took > drainGrace {
 		t.Errorf("told %v after the agent came back", took)
 	}
 }
@@ -186,7 +186,7 @@
 		first.say("503 Service Unavailable", "")
 		away := time.Now()
 		first = s.next(t)
-		if took := time.Since(away); took > countsAsTold-graceOfDrain {
+		if took := time.Since(away); took > listDeadline-drainGrace {
 			t.Errorf("asked again after %v", took)
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -26,8 +26,8 @@
 var limits = Limits{Bulk: 0.5, Batch: 50 * time.Millisecond, MaxEntries: 100, MaxAge: 10 * time.Second, MaxFlaps: 3, FlapWindow: 20 * time.Second,
 	RoleOf: func(string) string { return "read" }}
 
-// story is a merger with a clock.
-type story struct {
+// scenario is a merger with a clock.
+type scenario struct {
 	t      *testing.T
 	m      *Merger
 	list   *List
@@ -35,11 +35,11 @@
 	orders Orders
 }
 
-func newStory(t *testing.T, entries ...Entry) *story {
-	return &story{t: t, m: NewMerger(limits), list: listOf(5, entries...), now: time.Second, orders: Orders{}}
+func newScenario(t *testing.T, entries ...Entry) *scenario {
+	return &scenario{t: t, m: NewMerger(limits), list: listOf(5, entries...), now: time.Second, orders: Orders{}}
 }
 
-func (s *story) hears(reader string, index int64, entries ...Entry) {
+func (s *scenario) read(reader string, index int64, entries ...Entry) {
 	s.t.Helper()
 	if err := s.m.AddReading(s.now, Reading{Reader: reader, Index: index, Entries: entries}); err != nil {
 		s.t.Error(err)
@@ -47,7 +47,7 @@
 }
 
 // settles lets what is due come into force, and gives the states by id.
-func (s *story) settles() string {
+func (s *scenario) settle() string {
 	s.t.Helper()
 	for range 40 {
 		if c := s.m.Next(s.now, s.list, s.orders); c != nil {
@@ -64,9 +64,9 @@
 	return strings.Join(words, ", ")
 }
 
-func (s *story) wants(want, held string) {
+func (s *scenario) expect(want, held string) {
 	s.t.Helper()
-	if got := s.settles(); got != want {
+	if got := s.settle(); got != want {
 		s.t.Errorf("agreed on %q, wanted %q", got, want)
 	}
 	why := ""
@@ -82,19 +82,19 @@
 	a, b, c := server("a1", InService), server("b1", InService), server("c1", InService)
 	drained := b
 	drained.State = Terminating
-	s := newStory(t, a, b)
-	s.wants("a1 in_service, b1 in_service", "") // nobody reads: nothing changes
-	s.hears("x", 6, a, drained, c)
-	s.hears("y", 5, a, b) // older: what the register said before
-	s.wants("a1 in_service, b1 terminating, c1 in_service", "")
-	s.hears("y", 6, a, b, c) // the register contradicts itself within one version: the stricter counts
-	s.wants("a1 in_service, b1 terminating, c1 in_service", "")
-	s.hears("y", 7, a, b, c)
-	s.wants("a1 in_service, b1 in_service, c1 in_service", "")
+	s := newScenario(t, a, b)
+	s.expect("a1 in_service, b1 in_service", "") // nobody reads: nothing changes
+	s.read("x", 6, a, drained, c)
+	s.read("y", 5, a, b) // older: what the register said before
+	s.expect("a1 in_service, b1 terminating, c1 in_service", "")
+	s.read("y", 6, a, b, c) // the register contradicts itself within one version: the stricter counts
+	s.expect("a1 in_service, b1 terminating, c1 in_service", "")
+	s.read("y", 7, a, b, c)
+	s.expect("a1 in_service, b1 in_service, c1 in_service", "")
 	again := b
 	again.State, again.StartedMS, again.Addr = InService, 900, "b1:2"
-	s.hears("x", 8, a, again, c)
-	s.wants("a1 in_service, b1 in_service, c1 in_service", "")
+	s.read("x", 8, a, again, c)
+	s.expect("a1 in_service, b1 in_service, c1 in_service", "")
 	if got := s.list.Entries["b1"]; got.Addr != "b1:2" || s.list.RegistryVersion != 8 {
 		t.Errorf("%+v of %d", got, s.list.RegistryVersion)
 	}
@@ -104,7 +104,7 @@
 		}
 	}
 	s.now += time.Minute // readings are old
-	s.wants("a1 in_service, b1 in_service, c1 in_service", "")
+	s.expect("a1 in_service, b1 in_service, c1 in_service", "")
 }
 
 func TestWhatIsHeld(t *testing.T) {
@@ -114,26 +114,26 @@
 	}
 	everyone := "a0 in_service, a2 in_service, a4 in_service, a6 in_service, b1 in_service, b3 in_service, b5 in_service, b7 in_service"
 	few := "a0 in_service, b1 in_service"
-	s := newStory(t, all...)
-	s.hears("x", 6, all[:2]...)
-	s.wants(everyone, "6 of 8 replicas of role read would go at once")
-	s.hears("y", 6, all[:2]...) // a second reading
-	s.wants(few, "")
-	s = newStory(t, all...)
-	s.hears("x", 6, all[:2]...)
-	s.wants(everyone, "zone za")
+	s := newScenario(t, all...)
+	s.read("x", 6, all[:2]...)
+	s.expect(everyone, "6 of 8 replicas of role read would go at once")
+	s.read("y", 6, all[:2]...) // a second reading
+	s.expect(few, "")
+	s = newScenario(t, all...)
+	s.read("x", 6, all[:2]...)
+	s.expect(everyone, "zone za")
 	s.now += time.Second
 	s.m.Refresh(s.now, "x", 0) // it has heard nothing else, which is no second reading
-	s.wants(everyone, "zone za")
-	s.hears("x", 6, all[:2]...) // the same reader, later
-	s.wants(few, "")
-	s = newStory(t, all...)
-	s.hears("x", 6, all[:2]...)
-	s.wants(everyone, "would go")
+	s.expect(everyone, "zone za")
+	s.read("x", 6, all[:2]...) // the same reader, later
+	s.expect(few, "")
+	s = newScenario(t, all...)
+	s.read("x", 6, all[:2]...)
+	s.expect(everyone, "would go")
 	if err := s.m.Confirm(); err != nil {
 		t.Error(err)
 	}
-	s.wants(few, "")
+	s.expect(few, "")
 	if s.m.Confirm() == nil {
 		t.Error("confirmed though nothing is held")
 	}
@@ -142,21 +142,21 @@
 	a, b, c := server("a1", Terminating), server("b1", InService), server("c1", InService)
 	looser, stricter := a, b
 	looser.State, stricter.State = InService, Terminating
-	s = newStory(t, a, b, c)
-	s.hears("x", 3, looser, stricter, c)
-	s.hears("y", 3, looser, stricter, c)
-	s.wants("a1 terminating, b1 terminating, c1 in_service", "went back from version 5 to 3")
+	s = newScenario(t, a, b, c)
+	s.read("x", 3, looser, stricter, c)
+	s.read("y", 3, looser, stricter, c)
+	s.expect("a1 terminating, b1 terminating, c1 in_service", "went back from version 5 to 3")
 	if err := s.m.Confirm(); err != nil {
 		t.Error(err)
 	}
-	s.wants("a1 in_service, b1 terminating, c1 in_service", "")
+	s.expect("a1 in_service, b1 terminating, c1 in_service", "")
 
 	// Another address, or an earlier start, without a start between.
-	s = newStory(t, b, c)
+	s = newScenario(t, b, c)
 	moved := b
 	moved.Addr = "elsewhere:1"
-	s.hears("x", 6, moved, c)
-	s.wants("b1 in_service, c1 in_service", "b1 moved from b1:1 to elsewhere:1")
+	s.read("x", 6, moved, c)
+	s.expect("b1 in_service, c1 in_service", "b1 moved from b1:1 to elsewhere:1")
 	if s.list.Entries["b1"].Addr != "b1:1" {
 		t.Error("it is used at the other address")
 	}
@@ -164,39 +164,39 @@
 
 func TestFlappingIsDamped(t *testing.T) {
 	a, b := server("a1", InService), server("b1", InService)
-	s := newStory(t, a, b)
+	s := newScenario(t, a, b)
 	for i := range 6 {
 		e := b
 		if i%2 == 0 {
 			e.State = Terminating
 		}
-		s.hears("x", int64(6+i), a, e)
-		s.settles()
+		s.read("x", int64(6+i), a, e)
+		s.settle()
 	}
-	s.wants("a1 in_service, b1 terminating", "")
+	s.expect("a1 in_service, b1 terminating", "")
 	if s.m.Flapping()["b1"] < limits.MaxFlaps {
 		t.Errorf("%v", s.m.Flapping())
 	}
 	s.now += limits.FlapWindow
-	s.hears("x", 20, a, b)
-	s.wants("a1 in_service, b1 in_service", "")
+	s.read("x", 20, a, b)
+	s.expect("a1 in_service, b1 in_service", "")
 }
 
 func TestOrders(t *testing.T) {
 	a, b := server("a1", InService), server("b1", InService)
-	s := newStory(t, a, b)
+	s := newScenario(t, a, b)
 	order := Order{ID: "b1", Do: Drain, Owner: "op", Why: "smoke", Version: 5}
 	if err := s.orders.Check(order, s.list); err != nil {
 		t.Error(err)
 	}
 	s.orders["b1"] = order
-	s.wants("a1 in_service, b1 terminating", "") // also where nobody reads
-	s.hears("x", 6, a, b)
-	s.wants("a1 in_service, b1 terminating", "")
+	s.expect("a1 in_service, b1 terminating", "") // also where nobody reads
+	s.read("x", 6, a, b)
+	s.expect("a1 in_service, b1 terminating", "")
 	s.orders["b1"] = Order{ID: "b1", Do: Hold, Owner: "op", Why: "smoke", Version: 5}
-	s.wants("a1 in_service, b1 terminating", "") // it stays as it is
+	s.expect("a1 in_service, b1 terminating", "") // it stays as it is
 	delete(s.orders, "b1")
-	s.wants("a1 in_service, b1 in_service", "")
+	s.expect("a1 in_service, b1 in_service", "")
 	for want, o := range map[string]Order{
 		"neither":          {ID: "b1", Do: "burn", Owner: "op", Why: "x", Version: s.list.Number},
 		"reason":           {ID: "b1", Do: Drain, Owner: "op", Version: s.list.Number},
@@ -347,7 +347,7 @@
 }
 
 // A look at a list of 10,000 of which one entry changed.
-func BenchmarkLook(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	all := make([]Entry, 10000)
 	list := listOf(5)
 	for i := range all {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -38,56 +38,56 @@
 var ErrUnknownBase = errors.New("the reading before is not known here")
 
 // heard is a reader's last reading.
-type heard struct {
+type readerState struct {
 	Reading
-	at      time.Duration // when it was known to hold last
-	read    time.Duration // when it was read
+	seenAt  time.Duration // when it was known to hold last
+	readAt  time.Duration // when it was read
 	entries map[string]Entry
 }
 
 // Held is a change that waits, with its reason. What it makes stricter counts all the same at each dispatcher that heard it.
 type Held struct {
-	Entries []Entry       `json:"entries"`
-	Why     string        `json:"why"`
-	Since   time.Duration `json:"since"`
-	print   uint64
-	readers map[string]bool // that have said the same
-	passed  bool            // it was confirmed, and is on its way
+	Entries       []Entry       `json:"entries"`
+	Why           string        `json:"why"`
+	Since         time.Duration `json:"since"`
+	fingerprint   uint64
+	confirmations map[string]bool // that have said the same
+	confirmed     bool            // it was confirmed, and is on its way
 }
 
 // Merger makes versions out of readings. It belongs to the leader; a new leader begins a new one. A list may be long and the
 // leader has more to do, so the whole of it is looked at once for each reading, and each second while time alone may change
 // something.
 type Merger struct {
-	limits  Limits
-	readers map[string]*heard
-	turns   map[string][]time.Duration // of entries of late, for damping
-	said    map[string]Entry           // what the readings made together last ...
-	by      string                     // ... and whose they were
-	held    *Held
-	waiting time.Duration // since when there is something to look at; 0: nothing
-	confirm uint64        // print of the held change that an operator confirmed
-	seed    maphash.Seed  // of prints
+	limits       Limits
+	readers      map[string]*readerState
+	flips        map[string][]time.Duration // of entries of late, for damping
+	merged       map[string]Entry           // what the readings made together last ...
+	mergedBy     string                     // ... and whose they were
+	held         *Held
+	pendingSince time.Duration // since when there is something to look at; 0: nothing
+	confirmed    uint64        // print of the held change that an operator confirmed
+	seed         maphash.Seed  // of prints
 
-	register int64         // the version that the agreed list goes by
-	dirty    bool          // something was heard since the last look
-	number   uint64        // the version of the list that is looked for next
-	orders   int           // their number at the last look
-	again    time.Duration // when to look all the same, as readings grow old and replicas calm
-	rest     []Change      // versions that are to follow
+	registryVersion  int64         // the version that the agreed list goes by
+	dirty            bool          // something was heard since the last look
+	evaluatedVersion uint64        // the version of the list that is looked for next
+	evaluatedOrders  int           // their number at the last look
+	nextEvaluation   time.Duration // when to look all the same, as readings grow old and replicas calm
+	queue            []Change      // versions that are to follow
 }
 
-// lookAgain is how often Next looks though nothing was heard.
-const lookAgain = time.Second
+// evaluateInterval is how often Next looks though nothing was heard.
+const evaluateInterval = time.Second
 
 // NewMerger makes one.
 func NewMerger(limits Limits) *Merger {
-	return &Merger{limits: limits, dirty: true, seed: maphash.MakeSeed(), readers: map[string]*heard{}, turns: map[string][]time.Duration{}}
+	return &Merger{limits: limits, dirty: true, seed: maphash.MakeSeed(), readers: map[string]*readerState{}, flips: map[string][]time.Duration{}}
 }
 
 // AddReading takes a reading. A list without any replica, or with an id twice, is none. ErrSince asks for the whole list.
 func (m *Merger) AddReading(now time.Duration, r Reading) error {
-	h := &heard{Reading: r, at: now, read: now}
+	h := &readerState{Reading: r, seenAt: now, readAt: now}
 	if r.Since != 0 {
 		before := m.readers[r.Reader]
 		if before == nil || before.Boot != r.Boot || before.Number != r.Since {
@@ -123,13 +123,13 @@
 	if h == nil || h.Boot != boot {
 		return 0
 	}
-	h.at = now
+	h.seenAt = now
 	return h.Number
 }
 
 // Settled tells whether somebody reads the register and all that was heard is in the agreed list.
 func (m *Merger) Settled() bool {
-	return len(m.readers) > 0 && !m.dirty && m.waiting == 0 && len(m.rest) == 0
+	return len(m.readers) > 0 && !m.dirty && m.pendingSince == 0 && len(m.queue) == 0
 }
 
 // RemoveReader drops a reader that reads no more.
@@ -145,27 +145,27 @@
 	if m.Held() == nil {
 		return fmt.Errorf("nothing is held")
 	}
-	m.confirm, m.again = m.held.print, 0
+	m.confirmed, m.nextEvaluation = m.held.fingerprint, 0
 	return nil
 }
 
 // Held gives what waits, nil if nothing does.
 func (m *Merger) Held() *Held {
-	if m.held != nil && m.held.passed {
+	if m.held != nil && m.held.confirmed {
 		return nil
 	}
 	return m.held
 }
 
 // fresh gives the readers that count, the newest by the register's version first.
-func (m *Merger) fresh(now time.Duration) []*heard {
-	var some []*heard
+func (m *Merger) freshReaders(now time.Duration) []*readerState {
+	var some []*readerState
 	for _, h := range m.readers {
-		if now-h.at < m.limits.MaxAge {
+		if now-h.seenAt < m.limits.MaxAge {
 			some = append(some, h)
 		}
 	}
-	slices.SortFunc(some, func(a, b *heard) int {
+	slices.SortFunc(some, func(a, b *readerState) int {
 		return cmp.Or(cmp.Compare(b.Index, a.Index), cmp.Compare(a.Reader, b.Reader))
 	})
 	return some
@@ -173,7 +173,7 @@
 
 // wanted is the list that the readings make. Of one life of a replica the strictest state counts that a reader still holds,
 // unless a reader with a newer version of the register says otherwise; a later start counts over an earlier one.
-func wanted(readers []*heard) map[string]Entry {
+func mergeReadings(readers []*readerState) map[string]Entry {
 	newest := readers[0]
 	all := maps.Clone(newest.entries)
 	for _, h := range readers[1:] {
@@ -197,53 +197,53 @@
 // Next gives the change that is due from an agreed version on, nil where none is. Orders are applied to what the register
 // says. What was given is given again until it is agreed on, unless something was heard meanwhile.
 func (m *Merger) Next(now time.Duration, agreed *List, orders Orders) *Change {
-	if len(m.rest) > 0 && agreed.Number == m.rest[0].Number {
-		m.rest = m.rest[1:]
-		m.number = agreed.Number
+	if len(m.queue) > 0 && agreed.Number == m.queue[0].Number {
+		m.queue = m.queue[1:]
+		m.evaluatedVersion = agreed.Number
 	}
-	if m.dirty && m.waiting == 0 {
-		m.waiting = max(now, 1)
+	if m.dirty && m.pendingSince == 0 {
+		m.pendingSince = max(now, 1)
 	}
-	due := m.dirty && now-m.waiting >= m.limits.Batch
-	if !due && agreed.Number == m.number && len(orders) == m.orders && now < m.again {
-		if len(m.rest) > 0 {
-			return &m.rest[0]
+	due := m.dirty && now-m.pendingSince >= m.limits.Batch
+	if !due && agreed.Number == m.evaluatedVersion && len(orders) == m.evaluatedOrders && now < m.nextEvaluation {
+		if len(m.queue) > 0 {
+			return &m.queue[0]
 		}
 		return nil
 	}
-	diff, index, by := m.look(now, agreed, orders)
-	m.waiting, m.dirty, m.number, m.orders, m.again = 0, false, agreed.Number, len(orders), now+lookAgain
-	m.rest = nil
+	diff, index, by := m.evaluate(now, agreed, orders)
+	m.pendingSince, m.dirty, m.evaluatedVersion, m.evaluatedOrders, m.nextEvaluation = 0, false, agreed.Number, len(orders), now+evaluateInterval
+	m.queue = nil
 	for len(diff) > 0 {
 		part := diff[:min(len(diff), m.limits.MaxEntries)]
 		diff = diff[len(part):]
-		c := Change{Number: agreed.Number + 1 + uint64(len(m.rest)), RegistryVersion: index, Entries: part, By: by}
+		c := Change{Number: agreed.Number + 1 + uint64(len(m.queue)), RegistryVersion: index, Entries: part, By: by}
 		if len(diff) > 0 { // not all of it is there before the last
 			c.RegistryVersion = min(index, agreed.RegistryVersion)
 		}
-		m.rest = append(m.rest, c)
+		m.queue = append(m.queue, c)
 	}
-	if len(m.rest) > 0 {
-		return &m.rest[0]
+	if len(m.queue) > 0 {
+		return &m.queue[0]
 	}
 	return nil
 }
 
 // look gives what is to change, in whole, with the register's version that it goes by and who read it.
-func (m *Merger) look(now time.Duration, agreed *List, orders Orders) (diff []Entry, index int64, by string) {
-	readers := m.fresh(now)
-	m.register = agreed.RegistryVersion
+func (m *Merger) evaluate(now time.Duration, agreed *List, orders Orders) (diff []Entry, index int64, by string) {
+	readers := m.freshReaders(now)
+	m.registryVersion = agreed.RegistryVersion
 	if len(readers) == 0 {
-		return m.ordersAlone(agreed, orders), agreed.RegistryVersion, "orders"
+		return m.ordersOnly(agreed, orders), agreed.RegistryVersion, "orders"
 	}
-	by = names(readers)
-	if m.dirty || m.said == nil || m.by != by {
-		m.by = by
-		next := wanted(readers)
-		m.turn(now, next, agreed)
-		m.said = next
+	by = readerNames(readers)
+	if m.dirty || m.merged == nil || m.mergedBy != by {
+		m.mergedBy = by
+		next := mergeReadings(readers)
+		m.recordFlips(now, next, agreed)
+		m.merged = next
 	}
-	want := maps.Clone(m.said)
+	want := maps.Clone(m.merged)
 	m.damp(now, want)
 	if !m.limits.IgnoreOrders {
 		orders.apply(want, agreed.Entries)
@@ -253,8 +253,8 @@
 		m.held = nil
 		return nil, 0, ""
 	}
-	pass, hold, why := m.sift(readers, agreed, diff)
-	if len(hold) > 0 && !m.passes(now, readers, hold, why) {
+	pass, hold, why := m.partition(readers, agreed, diff)
+	if len(hold) > 0 && !m.isConfirmed(now, readers, hold, why) {
 		diff = pass
 	} else if len(hold) == 0 {
 		m.held = nil
@@ -266,8 +266,8 @@
 	return diff, index, by
 }
 
-// ordersAlone lets operators' orders count where nobody reads the register.
-func (m *Merger) ordersAlone(agreed *List, orders Orders) []Entry {
+// ordersOnly lets operators' orders count where nobody reads the register.
+func (m *Merger) ordersOnly(agreed *List, orders Orders) []Entry {
 	want := maps.Clone(agreed.Entries)
 	orders.apply(want, agreed.Entries)
 	var stricter []Entry
@@ -280,13 +280,13 @@
 }
 
 // sift parts a change into what may pass and what must be confirmed, with the reason.
-func (m *Merger) sift(readers []*heard, agreed *List, diff []Entry) (pass, hold []Entry, why string) {
+func (m *Merger) partition(readers []*readerState, agreed *List, diff []Entry) (pass, hold []Entry, why string) {
 	var reasons []string
 	if newest := readers[0].Index; newest < agreed.RegistryVersion && !m.limits.AllowRollback {
 		// A register that was restored knows less than what was agreed on: it makes stricter, and no looser but by an operator.
 		for _, e := range diff {
 			had, ok := agreed.Entries[e.ID]
-			if Loosens(pick(ok, &had), &e) || e.State == Terminated {
+			if Loosens(entryOrNil(ok, &had), &e) || e.State == Terminated {
 				hold = append(hold, e)
 			} else {
 				pass = append(pass, e)
@@ -294,7 +294,7 @@
 		}
 		return pass, hold, fmt.Sprintf("the register went back from version %d to %d", agreed.RegistryVersion, newest)
 	}
-	bulk := m.bulk(agreed, diff)
+	bulk := m.bulkRemovals(agreed, diff)
 	for _, e := range diff {
 		had, ok := agreed.Entries[e.ID]
 		switch {
@@ -315,7 +315,7 @@
 	return pass, hold, strings.Join(append(bulk, reasons...), "; ")
 }
 
-func pick(ok bool, e *Entry) *Entry {
+func entryOrNil(ok bool, e *Entry) *Entry {
 	if ok {
 		return e
 	}
@@ -323,7 +323,7 @@
 }
 
 // bulk names the roles and zones of which more would go at once than is let.
-func (m *Merger) bulk(agreed *List, diff []Entry) (why []string) {
+func (m *Merger) bulkRemovals(agreed *List, diff []Entry) (why []string) {
 	total, gone := map[string]int{}, map[string]int{}
 	groups := func(e Entry) []string { return []string{"role " + m.limits.RoleOf(e.Kind), "zone " + e.Zone} }
 	for _, e := range agreed.Entries {
@@ -349,26 +349,26 @@
 }
 
 // passes tells whether what must be confirmed was: by a second reader, by a second reading later on, or by an operator.
-func (m *Merger) passes(now time.Duration, readers []*heard, hold []Entry, why string) bool {
-	print := m.print(hold)
-	if m.held == nil || m.held.print != print {
-		m.held = &Held{Entries: hold, Why: why, Since: now, print: print, readers: map[string]bool{}}
+func (m *Merger) isConfirmed(now time.Duration, readers []*readerState, hold []Entry, why string) bool {
+	fingerprint := m.fingerprint(hold)
+	if m.held == nil || m.held.fingerprint != fingerprint {
+		m.held = &Held{Entries: hold, Why: why, Since: now, fingerprint: fingerprint, confirmations: map[string]bool{}}
 	}
 	for _, h := range readers {
-		if says(h, hold) && (h.read > m.held.Since || len(m.held.readers) == 0 || !m.held.readers[h.Reader]) {
-			m.held.readers[h.Reader] = true
-			if h.read > m.held.Since {
-				m.held.readers["again "+h.Reader] = true
+		if containsChange(h, hold) && (h.readAt > m.held.Since || len(m.held.confirmations) == 0 || !m.held.confirmations[h.Reader]) {
+			m.held.confirmations[h.Reader] = true
+			if h.readAt > m.held.Since {
+				m.held.confirmations["again "+h.Reader] = true
 			}
 		}
 	}
-	back := readers[0].Index < m.register && !m.limits.AllowRollback
-	m.held.passed = m.held.passed || len(m.held.readers) >= 2 && !back || m.confirm == print
-	return m.held.passed
+	back := readers[0].Index < m.registryVersion && !m.limits.AllowRollback
+	m.held.confirmed = m.held.confirmed || len(m.held.confirmations) >= 2 && !back || m.confirmed == fingerprint
+	return m.held.confirmed
 }
 
 // says tells whether a reader's list holds a change.
-func says(h *heard, change []Entry) bool {
+func containsChange(h *readerState, change []Entry) bool {
 	for _, e := range change {
 		have, ok := h.entries[e.ID]
 		if ok != (e.State != Terminated) || ok && (have.State != e.State || have.Addr != e.Addr || have.StartedMS != e.StartedMS) {
@@ -379,7 +379,7 @@
 }
 
 // print tells one change from another.
-func (m *Merger) print(change []Entry) uint64 {
+func (m *Merger) fingerprint(change []Entry) uint64 {
 	var h maphash.Hash
 	h.SetSeed(m.seed)
 	for _, e := range change {
@@ -388,7 +388,7 @@
 	return h.Sum64()
 }
 
-func names(readers []*heard) string {
+func readerNames(readers []*readerState) string {
 	var all []string
 	for _, h := range readers {
 		all = append(all, h.Reader)
--- a/internal/membership/part.go
+++ b/internal/membership/part.go
@@ -59,37 +59,37 @@
 type Copy struct {
 	List List
 
-	next  *List // being brought up to date; nil where List is
-	after string
+	pending *List // being brought up to date; nil where List is
+	after   string
 }
 
 // Cursor tells how far it is.
 func (c *Copy) Cursor() Cursor {
-	if c.next == nil {
+	if c.pending == nil {
 		return Cursor{Number: c.List.Number}
 	}
-	return Cursor{c.next.Number, c.after}
+	return Cursor{c.pending.Number, c.after}
 }
 
 // Apply adds a part and tells whether the copy has the agreed version by now. After an error it begins anew.
 func (c *Copy) Apply(p Part) (whole bool, err error) {
 	defer func() {
 		if err != nil {
-			c.next, c.after = &List{}, ""
+			c.pending, c.after = &List{}, ""
 		}
 	}()
 	switch page := p.Page; {
 	case page != nil && page.After == "":
-		c.next = &List{Number: page.Number, RegistryVersion: page.RegistryVersion, Entries: make(map[string]Entry, len(page.Entries))}
-	case page != nil && (c.next == nil || c.after != page.After):
+		c.pending = &List{Number: page.Number, RegistryVersion: page.RegistryVersion, Entries: make(map[string]Entry, len(page.Entries))}
+	case page != nil && (c.pending == nil || c.after != page.After):
 		return false, fmt.Errorf("a page after %q, wanted was one after %q", page.After, c.after)
-	case c.next == nil && len(p.Changes) > 0:
+	case c.pending == nil && len(p.Changes) > 0:
 		next := c.List.Clone()
-		c.next = &next
+		c.pending = &next
 	}
 	if page := p.Page; page != nil {
 		for _, e := range page.Entries {
-			c.next.Entries[e.ID] = e
+			c.pending.Entries[e.ID] = e
 		}
 		c.after = ""
 		if !page.Last {
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, change := range p.Changes {
-		if err := c.next.Apply(change); err != nil {
+		if err := c.pending.Apply(change); err != nil {
 			return false, err
 		}
 	}
@@ -108,8 +108,8 @@
 	case at.Number > p.Number:
 		return false, fmt.Errorf("the copy is at version %d, and %d is agreed on", at.Number, p.Number)
 	}
-	if c.next != nil {
-		c.List, c.next = *c.next, nil
+	if c.pending != nil {
+		c.List, c.pending = *c.pending, nil
 	}
 	return true, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -19,15 +19,15 @@
 }
 
 const (
-	callTime = 500 * time.Millisecond // for a call to come; some callers say nothing
+	callTimeout = 500 * time.Millisecond // for a call to come; some callers say nothing
 	// Calls at once. The one that has been open for the longest makes room for another.
-	callsMost = 16
-	callBytes = 4 << 10 // of bodies, which mean nothing here
+	maxCalls = 16
+	maxBodyBytes = 4 << 10 // of bodies, which mean nothing here
 )
 
 // Listen opens the door's address.
 func Listen(addr string) (*front.Port, error) {
-	return front.Listen(addr, front.NewConnLimiter(callsMost, callBytes), false)
+	return front.Listen(addr, front.NewConnLimiter(maxCalls, maxBodyBytes), false)
 }
 
 // Server gives the door's server.
@@ -50,8 +50,8 @@
 				ctx.Error("no such call", fasthttp.StatusNotFound)
 			}
 		},
-		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, ReadBufferSize: 4 << 10,
-		MaxRequestBodySize: callBytes, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true,
+		DisableKeepalive: true, ReadTimeout: callTimeout, WriteTimeout: callTimeout, ReadBufferSize: 4 << 10,
+		MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true,
 		Logger: front.DiscardLogger{},
 	}
 }
