--- a/internal/membership/join.go
+++ b/internal/membership/effective.go
@@ -1,15 +1,18 @@
 package membership
 
-// OwnList is what a dispatcher's own register says, at a version of it. No entries (nil) mean that it is not read, or has said
-// nothing.
+// OwnList is the list that a dispatcher read from its own registry, at a version of that registry.
+// Entries is nil if this dispatcher does not read the registry or has not received a list yet.
 type OwnList struct {
 	Version int64
 	Entries map[string]Entry
 }
 
-// Effective gives what a dispatcher may act on: the agreed list, made stricter at once by what its own register says. What only the
-// register names is not there yet. What a newer version of the register than the agreed list goes by does not name has ended.
-// What the register does not name otherwise is used only if named says that an agreed list counts as naming it.
+// Effective returns the entries that a dispatcher may act on: the agreed list, made stricter at
+// once by its own list.
+//   - A replica that only the own list names is left out until it is agreed on.
+//   - A replica that the own list does not name is left out if the own list is of a newer registry
+//     version than the agreed list: the replica has ended. Otherwise it is kept only if named is
+//     set, which lets the agreed list alone name a replica.
 func Effective(agreed List, own OwnList, named bool) map[string]Entry {
 	all := make(map[string]Entry, len(agreed.Entries))
 	for id, e := range agreed.Entries {
@@ -18,7 +21,8 @@
 		case !ok && (!named || own.Entries != nil && own.Version > agreed.RegistryVersion):
 			continue
 		case ok && mine.StartedMS > e.StartedMS:
-			// Another life, or another machine under the id: nothing is known of it by agreement yet.
+			// The replica was restarted, or the id belongs to another machine now: that incarnation
+			// is not agreed on yet.
 			e.State = Terminating
 		case ok && mine.StartedMS == e.StartedMS:
 			if strictness(mine.State) > strictness(e.State) {
@@ -33,7 +37,8 @@
 	return all
 }
 
-// DescribeDifference tells how one replica's entry stands at the register beside the agreed one, for people; empty where alike.
+// DescribeDifference describes for operators how a replica's entry in the own list differs from the
+// agreed one. It returns an empty string if they are alike.
 func DescribeDifference(agreed, own *Entry) string {
 	switch {
 	case agreed == nil && own == nil:
--- a/internal/membership/flaps.go
+++ b/internal/membership/flaps.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// turn notes which entries turned from one state to another, in what the readings make together.
+// recordFlips records the time of each state change between two merges of readings; the first merge
+// is compared with the agreed list.
 func (m *Merger) recordFlips(now time.Duration, next map[string]Entry, agreed *List) {
 	for id, e := range next {
 		had, ok := m.merged[id]
@@ -18,7 +19,8 @@
 	}
 }
 
-// damp keeps an entry that turned too often at the strictest it was, until it has been still.
+// damp keeps entries that changed state MaxFlaps times or more within FlapWindow at Terminating,
+// until enough of those changes are older than FlapWindow.
 func (m *Merger) damp(now time.Duration, want map[string]Entry) {
 	for id, at := range m.flips {
 		at = slices.DeleteFunc(at, func(at time.Duration) bool { return now-at > m.limits.FlapWindow })
@@ -33,7 +35,7 @@
 	}
 }
 
-// Flapping gives the entries that are damped, with their turns.
+// Flapping returns the damped replicas with their number of recent state changes.
 func (m *Merger) Flapping() map[string]int {
 	some := map[string]int{}
 	for id, at := range m.flips {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,12 +1,17 @@
-// Package membership decides how dispatchers agree on the list of replicas: what several readers of the register heard is merged
-// into versions, and a dispatcher joins the agreed version with what its own register says. Stricter counts at once, looser
-// only by agreement. It does no I/O, reads no clock and keeps no goroutines.
+// Package membership holds the rules by which dispatchers agree on the list of replicas. Some
+// dispatchers read the list from the registry (the discovery service); the leader merges their
+// readings into numbered versions, and each dispatcher combines the agreed version with the list of
+// its own registry. A stricter state, which allows less to be sent to a replica, takes effect at
+// once; a looser one takes effect only by agreement. The package does no I/O, reads no clock and
+// starts no goroutines.
 //
-//	membership.go  entries, versions, changes, and what is stricter
-//	merge.go   what readers heard, made into the next version or held
-//	orders.go  operators' overrides
-//	join.go    a dispatcher's own register beside the agreed version
-//	count.go   how many dispatchers live, and the share of each
+//	membership.go  entries, versions, changes, and which state is stricter
+//	merge.go       merges readings into the next version, or holds a change for confirmation
+//	flaps.go       damps replicas that change state too often
+//	orders.go      operators' overrides
+//	effective.go   combines the agreed version with a dispatcher's own list
+//	sync.go        changes and pages that bring a dispatcher's copy up to date
+//	census.go      which dispatchers are alive, and the share of each
 package membership
 
 import (
@@ -16,14 +21,15 @@
 	"slices"
 )
 
-// The states of a replica, as the register names them.
+// The states of a replica, as the registry names them.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// Entry is one replica.
+// Entry describes one replica. StartedMS is the time of its last start and tells its incarnations
+// apart.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -35,7 +41,8 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// strictness orders states: a greater one allows less.
+// strictness orders states: a greater value allows less to be sent. Unknown states count as
+// Terminated.
 func strictness(state string) int {
 	switch state {
 	case InService:
@@ -46,8 +53,9 @@
 	return 2
 }
 
-// Loosens tells whether b lets more be sent to a replica than a: that counts only by agreement. No entry (nil) allows
-// nothing. Another life of a replica, or another address, is another replica.
+// Loosens reports whether b allows more to be sent to a replica than a does; such a change takes
+// effect only by agreement. A nil entry allows nothing. An entry with another start time, address
+// or kind counts as another replica, so it loosens.
 func Loosens(a, b *Entry) bool {
 	switch {
 	case b == nil || b.State == Terminated:
@@ -58,23 +66,25 @@
 	return strictness(b.State) < strictness(a.State) || b.Weight > a.Weight || b.StartedMS != a.StartedMS || b.Addr != a.Addr || b.Kind != a.Kind
 }
 
-// List is one version.
+// List is one version of the agreed list of replicas.
 type List struct {
 	Number          uint64           `json:"number"`
-	RegistryVersion int64            `json:"register"` // the register's version that it goes by
+	RegistryVersion int64            `json:"register"` // version of the registry's list that it is based on
 	Entries         map[string]Entry `json:"entries"`
 }
 
-// Change makes one version out of the one before. An entry that is gone stands as terminated.
+// Change turns one version of the list into the next. A removed replica is listed with the state
+// Terminated.
 type Change struct {
-	Number          uint64  `json:"number"` // of the version that it makes
+	Number          uint64  `json:"number"` // of the resulting version
 	RegistryVersion int64   `json:"register"`
 	Entries         []Entry `json:"entries"`
-	By              string  `json:"by"`            // the readers that it goes by, or an operator
-	Why             string  `json:"why,omitempty"` // for people
+	By              string  `json:"by"`            // the readers that reported it, or the operator
+	Why             string  `json:"why,omitempty"` // an operator's reason
 }
 
-// Apply makes the next version. A gap in the numbers is an error: somebody has missed one.
+// Apply turns the list into the next version. It rejects a change whose number does not follow, as
+// one was missed.
 func (l *List) Apply(c Change) error {
 	if c.Number != l.Number+1 {
 		return fmt.Errorf("change %d does not follow version %d", c.Number, l.Number)
@@ -93,11 +103,11 @@
 	return nil
 }
 
-// Clone is a copy of its own.
+// Clone returns a copy that shares no entries with l.
 func (l *List) Clone() List { return List{l.Number, l.RegistryVersion, maps.Clone(l.Entries)} }
 
-// Diff gives the entries that make to out of from, those that are gone as terminated, those first that
-// allow least, then by id.
+// Diff returns the entries that turn from into to, with removed replicas as Terminated. The
+// strictest entries come first, and entries of equal strictness are sorted by id.
 func Diff(from, to map[string]Entry) []Entry {
 	var some []Entry
 	for id, e := range to {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -26,7 +26,7 @@
 var limits = Limits{Bulk: 0.5, Batch: 50 * time.Millisecond, MaxEntries: 100, MaxAge: 10 * time.Second, MaxFlaps: 3, FlapWindow: 20 * time.Second,
 	RoleOf: func(string) string { return "read" }}
 
-// scenario is a merger with a clock.
+// scenario drives a merger with a simulated clock and applies its changes to a list.
 type scenario struct {
 	t      *testing.T
 	m      *Merger
@@ -46,7 +46,7 @@
 	}
 }
 
-// settles lets what is due come into force, and gives the states by id.
+// settle applies all changes that are due and returns the states by id.
 func (s *scenario) settle() string {
 	s.t.Helper()
 	for range 40 {
@@ -57,37 +57,37 @@
 		}
 		s.now += 20 * time.Millisecond
 	}
-	var words []string
+	var states []string
 	for _, id := range slices.Sorted(maps.Keys(s.list.Entries)) {
-		words = append(words, id+" "+s.list.Entries[id].State)
+		states = append(states, id+" "+s.list.Entries[id].State)
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(states, ", ")
 }
 
 func (s *scenario) expect(want, held string) {
 	s.t.Helper()
 	if got := s.settle(); got != want {
-		s.t.Errorf("agreed on %q, wanted %q", got, want)
+		s.t.Errorf("agreed on %q, want %q", got, want)
 	}
 	why := ""
 	if h := s.m.Held(); h != nil {
 		why = h.Why
 	}
 	if held == "" != (why == "") || !strings.Contains(why, held) {
-		s.t.Errorf("held %q, wanted %q", why, held)
+		s.t.Errorf("held %q, want %q", why, held)
 	}
 }
 
-func TestReadersAreMerged(t *testing.T) {
+func TestMergeReadings(t *testing.T) {
 	a, b, c := server("a1", InService), server("b1", InService), server("c1", InService)
 	drained := b
 	drained.State = Terminating
 	s := newScenario(t, a, b)
-	s.expect("a1 in_service, b1 in_service", "") // nobody reads: nothing changes
+	s.expect("a1 in_service, b1 in_service", "") // without readings nothing changes
 	s.read("x", 6, a, drained, c)
-	s.read("y", 5, a, b) // older: what the register said before
+	s.read("y", 5, a, b) // an older version of the registry
 	s.expect("a1 in_service, b1 terminating, c1 in_service", "")
-	s.read("y", 6, a, b, c) // the register contradicts itself within one version: the stricter counts
+	s.read("y", 6, a, b, c) // contradicts x within one version: the stricter state counts
 	s.expect("a1 in_service, b1 terminating, c1 in_service", "")
 	s.read("y", 7, a, b, c)
 	s.expect("a1 in_service, b1 in_service, c1 in_service", "")
@@ -96,18 +96,18 @@
 	s.read("x", 8, a, again, c)
 	s.expect("a1 in_service, b1 in_service, c1 in_service", "")
 	if got := s.list.Entries["b1"]; got.Addr != "b1:2" || s.list.RegistryVersion != 8 {
-		t.Errorf("%+v of %d", got, s.list.RegistryVersion)
+		t.Errorf("b1 is %+v at registry version %d", got, s.list.RegistryVersion)
 	}
 	for name, bad := range map[string][]Entry{"empty": nil, "twice": {a, a}} {
 		if err := s.m.AddReading(s.now, Reading{Reader: "x", Index: 9, Entries: bad}); err == nil {
-			t.Errorf("%s: it counts", name)
+			t.Errorf("%s: the reading was accepted", name)
 		}
 	}
-	s.now += time.Minute // readings are old
+	s.now += time.Minute // the readings expire
 	s.expect("a1 in_service, b1 in_service, c1 in_service", "")
 }
 
-func TestWhatIsHeld(t *testing.T) {
+func TestHeldChanges(t *testing.T) {
 	var all []Entry
 	for i := range 8 {
 		all = append(all, server(fmt.Sprintf("%c%d", 'a'+i%2, i), InService))
@@ -117,15 +117,15 @@
 	s := newScenario(t, all...)
 	s.read("x", 6, all[:2]...)
 	s.expect(everyone, "6 of 8 replicas of role read would go at once")
-	s.read("y", 6, all[:2]...) // a second reading
+	s.read("y", 6, all[:2]...) // a second reader
 	s.expect(few, "")
 	s = newScenario(t, all...)
 	s.read("x", 6, all[:2]...)
 	s.expect(everyone, "zone za")
 	s.now += time.Second
-	s.m.Refresh(s.now, "x", 0) // it has heard nothing else, which is no second reading
+	s.m.Refresh(s.now, "x", 0) // a refresh is not a second reading
 	s.expect(everyone, "zone za")
-	s.read("x", 6, all[:2]...) // the same reader, later
+	s.read("x", 6, all[:2]...) // a later reading by the same reader
 	s.expect(few, "")
 	s = newScenario(t, all...)
 	s.read("x", 6, all[:2]...)
@@ -135,10 +135,11 @@
 	}
 	s.expect(few, "")
 	if s.m.Confirm() == nil {
-		t.Error("confirmed though nothing is held")
+		t.Error("Confirm succeeded although nothing is held")
 	}
 
-	// A register that went back: what it says may be stricter, and looser only by an operator, however many have read it.
+	// If the registry's version went back, only stricter states apply; looser ones need an
+	// operator, however many readers report them.
 	a, b, c := server("a1", Terminating), server("b1", InService), server("c1", InService)
 	looser, stricter := a, b
 	looser.State, stricter.State = InService, Terminating
@@ -151,14 +152,14 @@
 	}
 	s.expect("a1 in_service, b1 terminating, c1 in_service", "")
 
-	// Another address, or an earlier start, without a start between.
+	// Another address without a restart is held.
 	s = newScenario(t, b, c)
 	moved := b
 	moved.Addr = "elsewhere:1"
 	s.read("x", 6, moved, c)
 	s.expect("b1 in_service, c1 in_service", "b1 moved from b1:1 to elsewhere:1")
 	if s.list.Entries["b1"].Addr != "b1:1" {
-		t.Error("it is used at the other address")
+		t.Error("the unconfirmed address is used")
 	}
 }
 
@@ -190,11 +191,11 @@
 		t.Error(err)
 	}
 	s.orders["b1"] = order
-	s.expect("a1 in_service, b1 terminating", "") // also where nobody reads
+	s.expect("a1 in_service, b1 terminating", "") // the order applies also while nobody reads the registry
 	s.read("x", 6, a, b)
 	s.expect("a1 in_service, b1 terminating", "")
 	s.orders["b1"] = Order{ID: "b1", Do: Hold, Owner: "op", Why: "smoke", Version: 5}
-	s.expect("a1 in_service, b1 terminating", "") // it stays as it is
+	s.expect("a1 in_service, b1 terminating", "") // the order holds the present state
 	delete(s.orders, "b1")
 	s.expect("a1 in_service, b1 in_service", "")
 	for want, o := range map[string]Order{
@@ -211,45 +212,46 @@
 	}
 }
 
-func TestJoin(t *testing.T) {
+func TestEffective(t *testing.T) {
 	a, b, c := server("a1", InService), server("b1", InService), server("c1", Terminating)
 	agreed := map[string]Entry{"a1": a, "b1": b, "c1": c}
-	drained, looser, reborn := b, c, a
-	drained.State, looser.State, reborn.StartedMS = Terminating, InService, 9
-	own := map[string]Entry{"b1": drained, "c1": looser, "a1": reborn, "n1": server("n1", InService)}
+	drained, looser, restarted := b, c, a
+	drained.State, looser.State, restarted.StartedMS = Terminating, InService, 9
+	own := map[string]Entry{"b1": drained, "c1": looser, "a1": restarted, "n1": server("n1", InService)}
 	got := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{5, own}, true)
 	for id, want := range map[string]string{"a1": Terminating, "b1": Terminating, "c1": Terminating, "n1": ""} {
 		if got[id].State != want {
-			t.Errorf("%s: %q, wanted %q", id, got[id].State, want)
+			t.Errorf("%s is %q, want %q", id, got[id].State, want)
 		}
 	}
 	delete(own, "b1")
 	if _, ok := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{5, own}, false)["b1"]; ok {
-		t.Error("used though its own register does not name it")
+		t.Error("b1 is used although the own registry does not name it")
 	}
 	if _, ok := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{5, own}, true)["b1"]; !ok {
-		t.Error("not used though agreed lists name it")
+		t.Error("b1 is not used although the agreed list names it")
 	}
 	if _, ok := Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{6, own}, true)["b1"]; ok {
-		t.Error("used though a newer version of its own register has it no more")
+		t.Error("b1 is used although a newer version of the own registry no longer has it")
 	}
 	if len(Effective(List{Entries: agreed}, OwnList{}, true)) != 3 || len(Effective(List{Entries: agreed}, OwnList{}, false)) != 0 {
-		t.Error("without a register of its own")
+		t.Error("wrong entries without an own list")
 	}
 }
 
-func TestGapsAreNoticed(t *testing.T) {
+func TestApplyRejectsGaps(t *testing.T) {
 	l := listOf(5, server("a1", InService))
 	if l.Apply(Change{Number: 7}) == nil || l.Apply(Change{Number: 5}) == nil {
-		t.Error("a gap is taken")
+		t.Error("a change with a gap in the numbers was applied")
 	}
 	if err := l.Apply(Change{Number: 6, Entries: []Entry{server("b1", InService), server("a1", Terminated)}}); err != nil || len(l.Entries) != 1 {
 		t.Errorf("%v %+v", err, l)
 	}
 }
 
-// Whatever is agreed and whatever its own register says, a dispatcher is never looser than either says.
-func TestJoinIsNeverLooser(t *testing.T) {
+// A dispatcher's effective list is never looser than the agreed list, nor than its own list,
+// whatever the two contain.
+func TestEffectiveIsNeverLooser(t *testing.T) {
 	entries := rapid.Custom(func(t *rapid.T) map[string]Entry {
 		all := map[string]Entry{}
 		for _, id := range []string{"a1", "b1", "c1", "d1"} {
@@ -267,25 +269,26 @@
 		for id, e := range Effective(List{RegistryVersion: 5, Entries: agreed}, OwnList{rapid.Int64Range(4, 6).Draw(t, "version"), own}, rapid.Bool().Draw(t, "named")) {
 			a, ok := agreed[id]
 			if !ok || strictness(e.State) < strictness(a.State) || e.Weight > a.Weight {
-				t.Fatalf("%+v, agreed was %+v", e, a)
+				t.Fatalf("effective %+v, agreed %+v", e, a)
 			}
 			if o, ok := own[id]; ok && o.StartedMS >= a.StartedMS && strictness(e.State) < strictness(o.State) {
-				t.Fatalf("%+v, its own register says %+v", e, o)
+				t.Fatalf("effective %+v, own registry %+v", e, o)
 			}
 		}
 	})
 }
 
-// The shares of what is summed over all dispatchers never come to more than one, while dispatchers come, go, hear late of a
-// census and lose their leases. A dispatcher goes by the census that it heard last, for no longer than within after another
-// was decided: then its lease is over. It is counted out only after its lease is over.
+// The shares of all dispatchers never add up to more than one, while dispatchers join, leave,
+// receive a census late and lose their leases. A dispatcher uses the last census that it received
+// until its lease ends, which is within after the next census was decided at the latest. The leader
+// removes a dispatcher from the census only after its lease has ended.
 func TestSharesNeverSumToMoreThanOne(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const within = 1000
 		type node struct {
 			census  Census
 			counted time.Duration // when it learned that it is counted
-			lease   time.Duration // its end
+			lease   time.Duration // end of its lease
 			alive   bool
 		}
 		nodes := map[string]*node{}
@@ -309,7 +312,7 @@
 					n.alive = false
 				case 1:
 					n.alive = true
-				case 2, 3, 4, 5, 6, 7: // a renewal: it hears the census, then its lease runs on
+				case 2, 3, 4, 5, 6, 7: // the lease is renewed and the reply brings the census
 					if n.alive {
 						if census.Names[name] && (!n.census.Names[name] || n.lease < now-within) {
 							n.counted = now
@@ -321,7 +324,7 @@
 			if rapid.IntRange(0, 9).Draw(rt, "comes") == 0 && len(nodes) < 12 {
 				nodes[fmt.Sprint("n", len(nodes))] = &node{alive: true, lease: -within}
 			}
-			if rapid.IntRange(0, 4).Draw(rt, "census") == 0 { // the leader's: who may be acting, by the latest that its lease can run
+			if rapid.IntRange(0, 4).Draw(rt, "census") == 0 { // the leader counts every dispatcher whose lease may still run
 				next := Census{Number: census.Number + 1, Names: map[string]bool{}}
 				for name, n := range nodes {
 					if now < n.lease {
@@ -346,7 +349,7 @@
 	})
 }
 
-// A look at a list of 10,000 of which one entry changed.
+// BenchmarkEvaluate measures the evaluation of a list of 10,000 replicas after one entry changed.
 func BenchmarkEvaluate(b *testing.B) {
 	all := make([]Entry, 10000)
 	list := listOf(5)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -11,81 +11,88 @@
 	"time"
 )
 
-// Limits are those of the merger.
+// Limits configures a Merger.
 type Limits struct {
-	Bulk          float64                  // a share of a role or zone that may go at once; more waits for a second reading or an operator
-	Batch         time.Duration            // changes are gathered for so long
-	MaxEntries    int                      // entries that one version changes; more make several versions
-	MaxAge        time.Duration            // a reading that is older tells nothing
-	AllowRollback bool                     // a register that went back counts like any other; for trials
-	IgnoreOrders  bool                     // operators' orders are not kept; for trials
-	MaxFlaps      int                      // looser turns of one entry within Calm before it is damped ...
-	FlapWindow    time.Duration            // ... until it has been still for so long
-	RoleOf        func(kind string) string // the role of a kind, for Bulk
+	// Bulk is the share of a role or zone that one change may take out of service. A larger change
+	// is held until a second reading or an operator confirms it.
+	Bulk          float64
+	Batch         time.Duration            // how long readings are collected before they make a version
+	MaxEntries    int                      // most entries that one version changes; a larger change makes several versions
+	MaxAge        time.Duration            // readings that were not refreshed for this long are ignored
+	AllowRollback bool                     // accepts a registry whose version went back like any other; for tests only
+	IgnoreOrders  bool                     // ignores operators' orders; for tests only
+	MaxFlaps      int                      // state changes of one entry within FlapWindow before it is damped
+	FlapWindow    time.Duration            // how long a state change counts against an entry
+	RoleOf        func(kind string) string // gives the role of a kind, for Bulk
 }
 
-// Reading is the list as one reader heard it from the register: all of it, or what differs from its reading before.
+// Reading is the list of replicas as one dispatcher read it from the registry: the whole list, or
+// the entries that differ from an earlier reading of the same dispatcher.
 type Reading struct {
 	Reader  string  `json:"reader"`
 	Boot    uint64  `json:"boot"`
-	Index   int64   `json:"index"`           // the register's own version
-	Number  uint64  `json:"number"`          // of this reader's readings
-	Since   uint64  `json:"since,omitempty"` // the reading that Entries differ from; 0: they are the whole list
+	Index   int64   `json:"index"`           // version of the list in the registry
+	Number  uint64  `json:"number"`          // sequence number of this reader's readings
+	Since   uint64  `json:"since,omitempty"` // number of the reading that Entries are a delta to; 0: the whole list
 	Entries []Entry `json:"entries"`
 }
 
-// ErrUnknownBase asks a reader for the whole list: the reading that it goes on from is not known here.
-var ErrUnknownBase = errors.New("the reading before is not known here")
+// ErrUnknownBase reports a delta to a reading that the merger does not have. The reader must send
+// the whole list.
+var ErrUnknownBase = errors.New("the reading that this delta is based on is unknown")
 
-// heard is a reader's last reading.
+// readerState is the last reading of one reader.
 type readerState struct {
 	Reading
-	seenAt  time.Duration // when it was known to hold last
-	readAt  time.Duration // when it was read
+	seenAt  time.Duration // when the reading was last known to be current
+	readAt  time.Duration // when the reading arrived
 	entries map[string]Entry
 }
 
-// Held is a change that waits, with its reason. What it makes stricter counts all the same at each dispatcher that heard it.
+// Held is a change that waits for confirmation, with the reason. A dispatcher whose own registry
+// reports the change applies the stricter parts of it at once all the same.
 type Held struct {
 	Entries       []Entry       `json:"entries"`
 	Why           string        `json:"why"`
 	Since         time.Duration `json:"since"`
 	fingerprint   uint64
-	confirmations map[string]bool // that have said the same
-	confirmed     bool            // it was confirmed, and is on its way
+	confirmations map[string]bool // readers that reported the change; "again " + reader for a later reading of it
+	confirmed     bool            // the change was confirmed and is being proposed
 }
 
-// Merger makes versions out of readings. It belongs to the leader; a new leader begins a new one. A list may be long and the
-// leader has more to do, so the whole of it is looked at once for each reading, and each second while time alone may change
-// something.
+// Merger turns the readings of several registry readers into versions of the list. It runs at the
+// leader; a new leader starts with an empty one. Because a list may be long and the leader has
+// other work, the whole list is evaluated only once per batch of readings, and otherwise once per
+// second, as readings expire and damping ends with time alone.
 type Merger struct {
 	limits       Limits
 	readers      map[string]*readerState
-	flips        map[string][]time.Duration // of entries of late, for damping
-	merged       map[string]Entry           // what the readings made together last ...
-	mergedBy     string                     // ... and whose they were
+	flips        map[string][]time.Duration // times of recent state changes by replica, for damping
+	merged       map[string]Entry           // result of the last merge of readings
+	mergedBy     string                     // names of the readers whose readings made merged
 	held         *Held
-	pendingSince time.Duration // since when there is something to look at; 0: nothing
-	confirmed    uint64        // print of the held change that an operator confirmed
-	seed         maphash.Seed  // of prints
+	pendingSince time.Duration // when the oldest unevaluated reading was noticed; 0: none
+	confirmed    uint64        // fingerprint of the held change that an operator confirmed
+	seed         maphash.Seed  // of fingerprints
 
-	registryVersion  int64         // the version that the agreed list goes by
-	dirty            bool          // something was heard since the last look
-	evaluatedVersion uint64        // the version of the list that is looked for next
-	evaluatedOrders  int           // their number at the last look
-	nextEvaluation   time.Duration // when to look all the same, as readings grow old and replicas calm
-	queue            []Change      // versions that are to follow
+	registryVersion  int64         // registry version of the agreed list at the last evaluation
+	dirty            bool          // readings changed since the last evaluation
+	evaluatedVersion uint64        // agreed list version of the last evaluation
+	evaluatedOrders  int           // number of orders at the last evaluation
+	nextEvaluation   time.Duration // when to evaluate without a new reading, as readings expire and damping ends
+	queue            []Change      // versions still to be proposed, in order
 }
 
-// evaluateInterval is how often Next looks though nothing was heard.
+// evaluateInterval is how often Next evaluates the list when no reading arrives.
 const evaluateInterval = time.Second
 
-// NewMerger makes one.
+// NewMerger returns a Merger without readings.
 func NewMerger(limits Limits) *Merger {
 	return &Merger{limits: limits, dirty: true, seed: maphash.MakeSeed(), readers: map[string]*readerState{}, flips: map[string][]time.Duration{}}
 }
 
-// AddReading takes a reading. A list without any replica, or with an id twice, is none. ErrSince asks for the whole list.
+// AddReading stores a reading. It rejects a whole list that is empty or names an id twice, and
+// returns ErrUnknownBase for a delta to a reading that it does not have.
 func (m *Merger) AddReading(now time.Duration, r Reading) error {
 	h := &readerState{Reading: r, seenAt: now, readAt: now}
 	if r.Since != 0 {
@@ -116,8 +123,8 @@
 	return nil
 }
 
-// Refresh notes that a reader is heard and has heard nothing else since. It gives the number of its last reading, 0 if there is
-// none.
+// Refresh records that a reader is alive and that its last reading is still current. It returns the
+// number of that reading, or 0 if there is none from this boot of the reader.
 func (m *Merger) Refresh(now time.Duration, reader string, boot uint64) uint64 {
 	h := m.readers[reader]
 	if h == nil || h.Boot != boot {
@@ -127,12 +134,13 @@
 	return h.Number
 }
 
-// Settled tells whether somebody reads the register and all that was heard is in the agreed list.
+// Settled reports whether the registry is being read and every reading has been evaluated, with no
+// version left to propose.
 func (m *Merger) Settled() bool {
 	return len(m.readers) > 0 && !m.dirty && m.pendingSince == 0 && len(m.queue) == 0
 }
 
-// RemoveReader drops a reader that reads no more.
+// RemoveReader drops the reading of a dispatcher that no longer reads the registry.
 func (m *Merger) RemoveReader(reader string) {
 	if _, ok := m.readers[reader]; ok {
 		delete(m.readers, reader)
@@ -140,7 +148,7 @@
 	}
 }
 
-// Confirm lets what is held pass, by an operator's word.
+// Confirm releases the held change on behalf of an operator.
 func (m *Merger) Confirm() error {
 	if m.Held() == nil {
 		return fmt.Errorf("nothing is held")
@@ -149,7 +157,7 @@
 	return nil
 }
 
-// Held gives what waits, nil if nothing does.
+// Held returns the change that waits for confirmation, or nil.
 func (m *Merger) Held() *Held {
 	if m.held != nil && m.held.confirmed {
 		return nil
@@ -157,7 +165,8 @@
 	return m.held
 }
 
-// fresh gives the readers that count, the newest by the register's version first.
+// freshReaders returns the readers whose readings have not expired, the newest registry version
+// first.
 func (m *Merger) freshReaders(now time.Duration) []*readerState {
 	var some []*readerState
 	for _, h := range m.readers {
@@ -171,16 +180,18 @@
 	return some
 }
 
-// wanted is the list that the readings make. Of one life of a replica the strictest state counts that a reader still holds,
-// unless a reader with a newer version of the register says otherwise; a later start counts over an earlier one.
+// mergeReadings returns the list that the readings make together; readers are sorted as by
+// freshReaders. The newest registry version decides. Where several readers report that version,
+// only replicas that all of them list are kept, and of the same incarnation of a replica the
+// strictest state counts.
 func mergeReadings(readers []*readerState) map[string]Entry {
 	newest := readers[0]
 	all := maps.Clone(newest.entries)
 	for _, h := range readers[1:] {
 		if h.Index != newest.Index {
-			break // older: what it lacks or has more is what the newest has learned since
+			break // an older version: the newest one contains every change since
 		}
-		for id, have := range all { // the same version, so the register itself contradicts itself: the stricter counts
+		for id, have := range all { // within one version a difference means that the registry contradicts itself
 			e, ok := h.entries[id]
 			switch {
 			case !ok:
@@ -194,8 +205,9 @@
 	return all
 }
 
-// Next gives the change that is due from an agreed version on, nil where none is. Orders are applied to what the register
-// says. What was given is given again until it is agreed on, unless something was heard meanwhile.
+// Next returns the change that should follow the agreed list, or nil. Operators' orders are applied
+// to what the registry reports. The same change is returned again until it is agreed on, unless a
+// new reading or the time leads to another evaluation before.
 func (m *Merger) Next(now time.Duration, agreed *List, orders Orders) *Change {
 	if len(m.queue) > 0 && agreed.Number == m.queue[0].Number {
 		m.queue = m.queue[1:]
@@ -218,7 +230,7 @@
 		part := diff[:min(len(diff), m.limits.MaxEntries)]
 		diff = diff[len(part):]
 		c := Change{Number: agreed.Number + 1 + uint64(len(m.queue)), RegistryVersion: index, Entries: part, By: by}
-		if len(diff) > 0 { // not all of it is there before the last
+		if len(diff) > 0 { // only the last part completes the registry's version
 			c.RegistryVersion = min(index, agreed.RegistryVersion)
 		}
 		m.queue = append(m.queue, c)
@@ -229,7 +241,8 @@
 	return nil
 }
 
-// look gives what is to change, in whole, with the register's version that it goes by and who read it.
+// evaluate returns the whole difference to the agreed list, the registry version behind it, and the
+// readers that reported it.
 func (m *Merger) evaluate(now time.Duration, agreed *List, orders Orders) (diff []Entry, index int64, by string) {
 	readers := m.freshReaders(now)
 	m.registryVersion = agreed.RegistryVersion
@@ -261,12 +274,13 @@
 	}
 	index = readers[0].Index
 	if m.Held() != nil && index < agreed.RegistryVersion {
-		index = agreed.RegistryVersion // what is looser there still waits
+		index = agreed.RegistryVersion // the looser part of the older version is still held
 	}
 	return diff, index, by
 }
 
-// ordersOnly lets operators' orders count where nobody reads the register.
+// ordersOnly returns the entries that operators' orders make stricter; it is used while nobody
+// reads the registry.
 func (m *Merger) ordersOnly(agreed *List, orders Orders) []Entry {
 	want := maps.Clone(agreed.Entries)
 	orders.apply(want, agreed.Entries)
@@ -279,11 +293,13 @@
 	return stricter
 }
 
-// sift parts a change into what may pass and what must be confirmed, with the reason.
+// partition splits a change into the entries that may take effect and those that need confirmation,
+// with the reason.
 func (m *Merger) partition(readers []*readerState, agreed *List, diff []Entry) (pass, hold []Entry, why string) {
 	var reasons []string
 	if newest := readers[0].Index; newest < agreed.RegistryVersion && !m.limits.AllowRollback {
-		// A register that was restored knows less than what was agreed on: it makes stricter, and no looser but by an operator.
+		// A registry restored from a backup knows less than the agreed list. It may make entries
+		// stricter, but an operator must confirm whatever it loosens or removes.
 		for _, e := range diff {
 			had, ok := agreed.Entries[e.ID]
 			if Loosens(entryOrNil(ok, &had), &e) || e.State == Terminated {
@@ -322,7 +338,8 @@
 	return nil
 }
 
-// bulk names the roles and zones of which more would go at once than is let.
+// bulkRemovals returns a reason for each role and zone that would lose more than the share
+// Limits.Bulk at once. A single replica never counts as bulk.
 func (m *Merger) bulkRemovals(agreed *List, diff []Entry) (why []string) {
 	total, gone := map[string]int{}, map[string]int{}
 	groups := func(e Entry) []string { return []string{"role " + m.limits.RoleOf(e.Kind), "zone " + e.Zone} }
@@ -348,7 +365,9 @@
 	return why
 }
 
-// passes tells whether what must be confirmed was: by a second reader, by a second reading later on, or by an operator.
+// isConfirmed reports whether a change that needs confirmation has it: from a second reader, from a
+// later second reading, or from an operator. For a registry whose version went back only an
+// operator's confirmation counts.
 func (m *Merger) isConfirmed(now time.Duration, readers []*readerState, hold []Entry, why string) bool {
 	fingerprint := m.fingerprint(hold)
 	if m.held == nil || m.held.fingerprint != fingerprint {
@@ -367,7 +386,7 @@
 	return m.held.confirmed
 }
 
-// says tells whether a reader's list holds a change.
+// containsChange reports whether a reader's list agrees with every entry of a change.
 func containsChange(h *readerState, change []Entry) bool {
 	for _, e := range change {
 		have, ok := h.entries[e.ID]
@@ -378,7 +397,7 @@
 	return true
 }
 
-// print tells one change from another.
+// fingerprint returns a hash that identifies a change.
 func (m *Merger) fingerprint(change []Entry) uint64 {
 	var h maphash.Hash
 	h.SetSeed(m.seed)
--- a/internal/membership/orders.go
+++ b/internal/membership/orders.go
@@ -2,26 +2,27 @@
 
 import "fmt"
 
-// Order is an operator's override of one replica.
+// Order is an operator's override of the state of one replica.
 type Order struct {
 	ID      string `json:"id"`
 	Do      string `json:"do"` // drain or hold
 	Owner   string `json:"owner"`
 	Why     string `json:"why"`
-	ForMS   int64  `json:"for_ms"`  // it runs out so long after a leader has it on record
+	ForMS   int64  `json:"for_ms"`  // expires this long after a leader first sees it in the record
 	Version uint64 `json:"version"` // the list version that the operator saw
 }
 
-// What orders do.
+// The values of Order.Do.
 const (
-	Drain = "drain" // nothing new to it
-	Hold  = "hold"  // its entry stays as it is, whatever the register says, unless that is stricter
+	Drain = "drain" // sends the replica nothing new
+	Hold  = "hold"  // keeps the replica's entry as it is; only stricter states from the registry still apply
 )
 
-// Orders are those in force, by replica.
+// Orders holds the orders in force by replica id.
 type Orders map[string]Order
 
-// apply makes what the register says stricter by the orders; have is what is agreed on.
+// apply makes want, the list from the registry, stricter where orders say so; have is the agreed
+// list.
 func (o Orders) apply(want, have map[string]Entry) {
 	for id, order := range o {
 		e, ok := want[id]
@@ -36,7 +37,9 @@
 	}
 }
 
-// Check says why an order can't be given: to a replica that nobody knows, without a reason, or over somebody else's.
+// Check returns why an order is not acceptable: an unknown action or replica, no reason, a list
+// version that the operator saw and that is outdated, or an order by another operator on the same
+// replica.
 func (o Orders) Check(order Order, list *List) error {
 	switch {
 	case order.Do != Drain && order.Do != Hold:
--- a/internal/membership/part.go
+++ b/internal/membership/sync.go
@@ -6,39 +6,43 @@
 	"slices"
 )
 
-// MaxPartEntries bounds the entries that one answer brings, but for a change that holds more by itself.
+// MaxPartEntries bounds the entries of one Part. Only a single change that holds more entries may
+// exceed it.
 const MaxPartEntries = 500
 
-// Part brings a copy of the list nearer to the agreed one: changes that follow it, or a page of the whole list.
+// Part is one step of bringing a copy of the list up to date: the changes that follow the copy's
+// version, or a page of the whole list.
 type Part struct {
-	Number  uint64   `json:"number"` // of the agreed list
+	Number  uint64   `json:"number"` // version of the agreed list
 	Changes []Change `json:"changes,omitempty"`
 	Page    *Page    `json:"page,omitempty"`
 }
 
-// Page holds the entries of the list that follow an id, in order. Pages of one copy may be cut from different versions: the
-// changes since the first page's version follow the last page, and make up for that, as a change says what an entry is.
+// Page holds the entries of the list that follow the id After, sorted by id. The pages that make up
+// one copy may come from different versions. That is safe because the changes since the first
+// page's version are applied after the last page, and a change holds whole entries.
 type Page struct {
-	Number          uint64  `json:"number"` // the version that it was cut from
+	Number          uint64  `json:"number"` // version of the list that the page is taken from
 	RegistryVersion int64   `json:"register"`
 	After           string  `json:"after,omitempty"`
 	Entries         []Entry `json:"entries"`
 	Last            bool    `json:"last,omitempty"`
 }
 
-// Cursor is how far a copy is: it holds Number, and is taking pages up to After if that is set.
+// Cursor tells how far a copy is: it is at version Number and, if After is set, has received the
+// pages up to that id.
 type Cursor struct {
 	Number uint64 `json:"number"`
 	After  string `json:"after,omitempty"`
 }
 
-// Pager cuts pages. It keeps the order of ids of the list that it saw last.
+// Pager splits lists into pages. It caches the sorted ids of the last list version.
 type Pager struct {
 	number uint64
 	ids    []string
 }
 
-// PageAfter gives the page that follows an id.
+// PageAfter returns the page of l that starts after an id.
 func (p *Pager) PageAfter(l *List, after string) *Page {
 	if p.ids == nil || p.number != l.Number {
 		p.number, p.ids = l.Number, slices.Sorted(maps.Keys(l.Entries))
@@ -55,15 +59,15 @@
 	return page
 }
 
-// Copy is a dispatcher's copy of the list. List is the last version that it has whole.
+// Copy is a dispatcher's copy of the list. List is the last complete version.
 type Copy struct {
 	List List
 
-	pending *List // being brought up to date; nil where List is
+	pending *List // the version being received; nil if List is up to date
 	after   string
 }
 
-// Cursor tells how far it is.
+// Cursor returns how far the copy is.
 func (c *Copy) Cursor() Cursor {
 	if c.pending == nil {
 		return Cursor{Number: c.List.Number}
@@ -71,7 +75,8 @@
 	return Cursor{c.pending.Number, c.after}
 }
 
-// Apply adds a part and tells whether the copy has the agreed version by now. After an error it begins anew.
+// Apply adds a part and reports whether the copy has reached the agreed version. After an error the
+// copy is received again from the first page.
 func (c *Copy) Apply(p Part) (whole bool, err error) {
 	defer func() {
 		if err != nil {
@@ -82,7 +87,7 @@
 	case page != nil && page.After == "":
 		c.pending = &List{Number: page.Number, RegistryVersion: page.RegistryVersion, Entries: make(map[string]Entry, len(page.Entries))}
 	case page != nil && (c.pending == nil || c.after != page.After):
-		return false, fmt.Errorf("a page after %q, wanted was one after %q", page.After, c.after)
+		return false, fmt.Errorf("got the page after %q, want the one after %q", page.After, c.after)
 	case c.pending == nil && len(p.Changes) > 0:
 		next := c.List.Clone()
 		c.pending = &next
@@ -106,7 +111,7 @@
 	case at.After != "" || at.Number < p.Number:
 		return false, nil
 	case at.Number > p.Number:
-		return false, fmt.Errorf("the copy is at version %d, and %d is agreed on", at.Number, p.Number)
+		return false, fmt.Errorf("the copy is at version %d, beyond the agreed version %d", at.Number, p.Number)
 	}
 	if c.pending != nil {
 		c.List, c.pending = *c.pending, nil
