--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"standpulley/logic"
 )
 
-func TestDecodeNamesTheFault(t *testing.T) {
+func TestDecodeNamesInvalidEntry(t *testing.T) {
 	l, err := discovery.Decode([]byte(`{"version":43,"full":false,"servers":[{"id":"s","addr":"a:1","zone":"z","kind":"k","cell":3,
 		"state":"terminating","weight":2.5,"started_ms":1500}]}`))
 	if err != nil {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards: the watch begins with the whole list, goes on from the version it knows, and survives an agent that
-// ends its connection or says what can't be read.
+// The watch begins with the full list, continues from the version it has, and survives an agent
+// that closes its connection or sends an unreadable list.
 func TestWatch(t *testing.T) {
 	entry := standin.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"}
 	a, err := standin.StartAgent("127.0.0.1:0", entry)
@@ -45,19 +45,19 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	told := make(chan dispatch.Update, 8)
+	updates := make(chan dispatch.Update, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	w := &discovery.Watcher{Addr: a.Addr, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { told <- u }}
+	w := &discovery.Watcher{Addr: a.Addr, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { updates <- u }}
 	go func() { w.Run(ctx); close(ended) }()
-	if u := <-told; !u.Full || len(u.Servers) != 1 {
+	if u := <-updates; !u.Full || len(u.Servers) != 1 {
 		t.Errorf("got %+v", u)
 	}
 	a.Set(standin.Entry{ID: "s", State: "nonsense"})
 	entry.State = "terminating"
-	for { // the agent's nonsense is passed over, and the list after it is heard
+	for { // the invalid list is ignored, and the next one is passed on
 		a.Set(entry)
-		if u := <-told; u.Servers[0].Availability == logic.Draining {
+		if u := <-updates; u.Servers[0].Availability == logic.Draining {
 			break
 		}
 	}
@@ -68,13 +68,13 @@
 	<-ended
 }
 
-// A list that no dispatcher can work with names its fault, and the one in force stays.
+// CheckKinds rejects lists that no dispatcher can use, with an error that names the cause.
 func TestCheckKinds(t *testing.T) {
 	kinds := []logic.Kind{{Name: "k"}}
 	entry := discovery.Entry{ID: "s", Addr: "a:1", Kind: "k", State: "in_service"}
-	odd := entry
-	odd.Kind = "unheard"
-	gone := odd
+	unknownKind := entry
+	unknownKind.Kind = "unheard"
+	gone := unknownKind
 	gone.State = "terminated"
 	for i, c := range []struct {
 		list discovery.List
@@ -84,7 +84,7 @@
 		{discovery.List{Servers: []discovery.Entry{gone}}, ""},
 		{discovery.List{}, ""},
 		{discovery.List{Full: true}, "no replica"},
-		{discovery.List{Servers: []discovery.Entry{entry, odd}}, `servers[1].kind: "unheard"`},
+		{discovery.List{Servers: []discovery.Entry{entry, unknownKind}}, `servers[1].kind: "unheard"`},
 	} {
 		if err := c.list.CheckKinds(kinds); (err == nil) != (c.word == "") || err != nil && !strings.Contains(err.Error(), c.word) {
 			t.Errorf("case %d: %v, want %q", i, err, c.word)
@@ -92,23 +92,24 @@
 	}
 }
 
-// Where discovery turns calls away, a dispatcher of many leaves it alone for seconds: 80 that asked every 50 ms kept it from
-// answering any of them for a whole day. One of few hears of the end soon.
-func TestOverloadedDiscoveryIsLeftAlone(t *testing.T) {
+// When discovery rejects calls, each of many dispatchers pauses for seconds: 80 dispatchers that
+// retried every 50 ms kept it from answering any of them for a whole day. One of few
+// dispatchers must notice the end of the overload soon.
+func TestBackoffFromOverloadedDiscovery(t *testing.T) {
 	watch := func(siblings int) (*standin.Agent, chan dispatch.Update, func()) {
 		a, err := standin.StartAgent("127.0.0.1:0", standin.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		a.Overload(true)
-		told := make(chan dispatch.Update, 8)
+		updates := make(chan dispatch.Update, 8)
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &discovery.Watcher{Addr: a.Addr, Siblings: siblings, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { told <- u }}
+		w := &discovery.Watcher{Addr: a.Addr, Siblings: siblings, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { updates <- u }}
 		ended := make(chan struct{})
 		go func() { w.Run(ctx); close(ended) }()
-		return a, told, func() { cancel(); <-ended; a.Close() }
+		return a, updates, func() { cancel(); <-ended; a.Close() }
 	}
-	few, told, stop := watch(1)
+	few, updates, stop := watch(1)
 	defer stop()
 	many, _, stopMany := watch(80)
 	defer stopMany()
@@ -116,10 +117,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	few.Overload(false)
-	if u := <-told; len(u.Servers) != 1 {
-		t.Errorf("told %+v", u)
+	if u := <-updates; len(u.Servers) != 1 {
+		t.Errorf("got %+v", u)
 	}
 	if n := len(many.Asked()); n != 1 {
-		t.Errorf("one of 80 asked %d times while discovery turned it away, want once in four seconds", n)
+		t.Errorf("one of 80 dispatchers made %d calls while discovery rejected them, want 1 in four seconds", n)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,5 @@
-// Package discovery keeps the dispatcher told of the replicas: it decodes the lists and runs the watch.
+// Package discovery keeps the dispatcher's list of replicas current: it watches the discovery agent
+// and decodes its lists.
 package discovery
 
 import (
@@ -16,17 +17,17 @@
 
 var states = map[string]logic.Availability{membership.InService: logic.Ready, membership.Terminating: logic.Draining, membership.Terminated: logic.Gone}
 
-// List is the whole list of replicas, or the entries of it that changed.
+// List is the full list of replicas, or the entries that changed since an earlier version.
 type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// Entry is one replica as discovery names it.
+// Entry is one replica as discovery describes it.
 type Entry = membership.Entry
 
-// Decode reads a list and says which entry is at fault.
+// Decode decodes and checks a list. The error names the invalid entry.
 func Decode(body []byte) (List, error) {
 	var l List
 	if err := jsoniter.Unmarshal(body, &l); err != nil {
@@ -35,12 +36,13 @@
 	return l, l.Check()
 }
 
-// Check names the first entry that no dispatcher can work with.
+// Check returns an error that names the first invalid entry: a duplicate id, an unknown state, or a
+// missing id or address.
 func (l List) Check() error {
 	seen := make(map[string]bool, len(l.Servers))
 	for i, e := range l.Servers {
 		if seen[e.ID] {
-			return fmt.Errorf("servers[%d].id: %q stands in the list before", i, e.ID)
+			return fmt.Errorf("servers[%d].id: %q is listed twice", i, e.ID)
 		}
 		seen[e.ID] = true
 		if _, ok := states[e.State]; !ok {
@@ -53,8 +55,9 @@
 	return nil
 }
 
-// CheckKinds names the first entry of a kind that the settings don't know, whose role nobody could tell. It also turns down
-// a whole list without any replica: what was known before serves better.
+// CheckKinds returns an error that names the first entry whose kind is not in the settings, as its
+// role would be unknown. It also rejects a full list without replicas: the previous list serves
+// better.
 func (l List) CheckKinds(kinds []logic.Kind) error {
 	if l.Full && len(l.Servers) == 0 {
 		return errors.New("servers: the whole list names no replica")
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// Update puts a checked list into the core's form.
+// Update converts a checked list into an update for the core.
 func (l List) Update() dispatch.Update {
 	u := dispatch.Update{Version: l.Version, Full: l.Full, Servers: make([]dispatch.Server, len(l.Servers))}
 	for i, e := range l.Servers {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,57 +17,66 @@
 	"standpulley/logic"
 )
 
-// What discovery has counts as told 6 s after it had it and could be reached, whatever calls failed, were refused or were given up
-// before (the standing test's page), and a drain that is told of has a second more. So the sum is bounded below that, from the moment in
-// which a watch falls silent, through one further call that goes wrong in any way, to the next one that is answered:
+// The requirement, as the standing test states it: a dispatcher is held to know a change 6 s after
+// discovery had the change and could be reached, whatever calls failed, were refused or timed out
+// before. A drain has to be obeyed one second after that. The timeouts below therefore keep the
+// following sum under 6 s: a watch that stalls, then one more call that fails in any way, until the
+// next call that is answered.
 //
-//	a watch that has fallen silent   the wait + maxStallDelay + reconnectDelay + dialTimeout
-//	a call that is not answered      replyTimeout + reconnectDelay + dialTimeout
-//	a call that is turned away       maxBackoff + dialTimeout
+//	stalled watch         watchWait + maxStallDelay + reconnectDelay + dialTimeout
+//	call without answer   replyTimeout + reconnectDelay + dialTimeout
+//	rejected call         maxBackoff + dialTimeout
 //
-// All dispatchers may lose discovery at one moment; where they share a service, what follows is drawn for each.
+// All dispatchers may lose discovery at the same moment. Where they share one service, the delays
+// that follow are randomised.
 const (
-	watchWait     = 2 * time.Second
-	minStallDelay = 300 * time.Millisecond // after the wait's end a watch without an answer is broken: from this ...
+	watchWait = 2 * time.Second
+	// A watch that is not answered counts as stalled after its wait plus a random delay between
+	// these two.
+	minStallDelay = 300 * time.Millisecond
 	maxStallDelay = time.Second
-	replyTimeout  = 2200 * time.Millisecond // for a call that does not wait, at a service whose callers wait in turn
-	// Where lists are pushed the agent answers at once and at no cost, and what it gets when discovery returns is told in that moment.
+	replyTimeout  = 2200 * time.Millisecond // for a call that does not wait, at a service that queues its callers
+	// In push mode the agent answers at once and at no cost, and a change counts as known as soon
+	// as the agent has it when discovery returns. The dispatcher therefore asks a silent agent more
+	// often.
 	agentWait    = time.Second
 	agentTimeout = 600 * time.Millisecond
 	dialTimeout  = 250 * time.Millisecond
 	maxListBytes = 4 << 20
 
-	reconnectDelay       = 50 * time.Millisecond   // after a broken connection: a watch goes on only if the next call comes within 200 ms
-	backoffPerDispatcher = 100 * time.Millisecond  // for each dispatcher that asks the same service, after it turned a call away
-	maxBackoff           = 2250 * time.Millisecond // to this the pause doubles
+	reconnectDelay       = 50 * time.Millisecond   // after a broken connection; a watch continues only if the next call comes within 200 ms
+	backoffPerDispatcher = 100 * time.Millisecond  // after a rejected call, times the number of dispatchers that share the service
+	maxBackoff           = 2250 * time.Millisecond // limit of the exponential backoff
 )
 
-// Watcher follows the agent at Addr and hands each list to Tell. Behind the agents of all dispatchers stands one service:
-// where it turns a call away or answers what can't be used, the next comes after a pause drawn from a time that grows with
-// their number, Siblings (0 counts as 1), and doubles up to maxBackoff. Asked again at once by all, it would never have time
-// to answer any.
+// Watcher watches the discovery agent at Addr and passes each list to OnUpdate. The agents of all
+// dispatchers use the same service. After a rejected call or an unusable answer the watcher waits
+// for a random time that grows with the number of dispatchers, Siblings (0 counts as 1), and
+// doubles with each rejection up to maxBackoff. If all dispatchers retried at once, an overloaded
+// service would never have time to answer any of them.
 type Watcher struct {
 	Addr         string
 	Siblings     int
-	PushMode     bool         // lists are pushed to the agent, which answers by itself
-	KnownVersion *int64       // version of the list that is known already; nil: none
-	Kinds        []logic.Kind // those that lists may name
+	PushMode     bool         // lists are pushed to the agent, which answers without asking the service
+	KnownVersion *int64       // version of the list that the caller already has; nil: none
+	Kinds        []logic.Kind // kinds that lists may contain
 	OnUpdate     func(dispatch.Update)
-	OnResult     func(bool) // after each call, whether it was answered; may be nil
+	OnResult     func(bool) // called after each call with whether it returned a usable list; may be nil
 
 	index int64 // version of the last list
 
-	mu   sync.Mutex // guards conn, which the end of the context closes from outside
+	mu   sync.Mutex // guards conn, which is closed from another goroutine when the context ends
 	conn net.Conn
 	br   *bufio.Reader
 }
 
-// errUnusable tells that the agent can be reached, but its answer is of no use.
+// errUnusable reports that the agent was reached but did not answer with a usable list.
 var errUnusable = errors.New("no list")
 
-// Run watches until ctx ends. It begins with the whole list, or with what has changed of the one that is known, and tells of the first
-// answer also where nothing has. After a call that nobody answered it asks for what it missed before it waits again: a call that waits
-// would tell only by the end of its wait that nobody hears it.
+// Run watches until ctx ends. It begins with the full list or, given KnownVersion, with the changes
+// since that version, and passes on the first answer even if nothing has changed. After a call
+// without an answer it first makes a call that does not wait, to fetch what it missed: a waiting
+// call that nobody answers is noticed only at the end of its wait.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.closeConn()
 	stop := context.AfterFunc(ctx, w.closeConn)
@@ -79,7 +88,7 @@
 	for ctx.Err() == nil {
 		path, limit := "/api/targets", w.replyTimeout()
 		switch {
-		case first && w.KnownVersion == nil: // the whole list
+		case first && w.KnownVersion == nil: // the full list
 		case catchUp:
 			path += fmt.Sprintf("?index=%d&wait=0", w.index)
 		default:
@@ -96,7 +105,7 @@
 			}
 			w.closeConn()
 			wait := reconnectDelay
-			if errors.Is(err, errUnusable) { // it is there, and answers a watch at once if there is news: one call is enough
+			if errors.Is(err, errUnusable) { // the agent is reachable; the next watch returns changes at once, so no catch-up call is needed
 				wait = w.backoff(rejected)
 				rejected++
 			} else {
@@ -113,7 +122,7 @@
 	}
 }
 
-// replyTimeout is how long a call that does not wait may take.
+// replyTimeout returns how long a call that does not wait may take.
 func (w *Watcher) replyTimeout() time.Duration {
 	if w.PushMode {
 		return agentTimeout
@@ -121,7 +130,7 @@
 	return replyTimeout
 }
 
-// wait is how long a watch waits for news.
+// watchWait returns how long the agent may hold a watch open while nothing changes.
 func (w *Watcher) watchWait() time.Duration {
 	if w.PushMode {
 		return agentWait
@@ -129,19 +138,19 @@
 	return watchWait
 }
 
-// silence draws how long a watch may take before it counts as silent.
+// watchTimeout returns a random time after which an unanswered watch counts as stalled.
 func (w *Watcher) watchTimeout() time.Duration {
 	return w.watchWait() + minStallDelay + rand.N(maxStallDelay-minStallDelay)
 }
 
-// backoff draws the pause after a call that was turned away, as were so many before it in a row: from half of the time to
-// all of it.
+// backoff returns the random pause after a rejected call that followed so many other rejections in
+// a row: between half of the backoff time and all of it.
 func (w *Watcher) backoff(before int) time.Duration {
 	most := min(backoffPerDispatcher*time.Duration(max(w.Siblings, 1))<<min(before, 10), maxBackoff)
 	return most/2 + rand.N(most/2)
 }
 
-// call makes one call on the connection that is kept for it.
+// call makes one request over the persistent connection, which it opens if necessary.
 func (w *Watcher) call(path string, limit time.Duration) (List, error) {
 	w.mu.Lock()
 	c := w.conn
@@ -161,7 +170,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI(path)
 	req.Header.SetHost(w.Addr)
-	_ = c.SetDeadline(time.Now().Add(limit)) // a failure shows in the write below
+	_ = c.SetDeadline(time.Now().Add(limit)) // an error shows up in the write below
 	bw := bufio.NewWriter(c)
 	if err := req.Write(bw); err != nil {
 		return List{}, err
@@ -192,7 +201,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.conn != nil {
-		_ = w.conn.Close() // nothing is lost with it
+		_ = w.conn.Close() // the connection is not used again
 		w.conn = nil
 	}
 }
