--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -18,24 +18,25 @@
 	"standpulley/internal/agree"
 )
 
-// Agree sets up settings on which dispatchers agree. It is off where the operator's file has none.
+// Agree configures the cluster in which dispatchers agree on settings. It is off if the operator's
+// file lacks it.
 type Agree struct {
-	Cluster string            `json:"cluster"` // its name
-	Voters  map[string]string `json:"voters"`  // address by name of dispatcher: three or five
-	Others  []string          `json:"others"`  // names of the other dispatchers, or patterns of them
-	Within  string            `json:"within"`  // after this nobody acts on a version that another took the place of
-	Alone   agree.Alone       `json:"alone"`   // what a dispatcher does that has lost contact
-	Lists   *Lists            `json:"lists"`   // nil: each goes by its own register
+	Cluster string            `json:"cluster"` // name of the cluster
+	Voters  map[string]string `json:"voters"`  // addresses by dispatcher name; three or five
+	Others  []string          `json:"others"`  // names or patterns of names of the other dispatchers
+	Within  string            `json:"within"`  // time after which no dispatcher acts on a superseded version
+	Alone   agree.Alone       `json:"alone"`   // what a dispatcher does after it has lost contact
+	Lists   *Lists            `json:"lists"`   // nil: each dispatcher uses the list of its own registry
 }
 
-// Lists sets up lists of replicas on which dispatchers agree.
+// Lists configures how dispatchers agree on the list of replicas.
 type Lists struct {
-	Readers int     `json:"readers"`  // of the register, at once; 2 if not set
-	NamedBy string  `json:"named_by"` // "agreed" (if not set): an agreed list names a replica; "own": the own register must, too
-	Bulk    float64 `json:"bulk"`     // part of a role or zone that may go at once without a second reading; 0.5 if not set
+	Readers int     `json:"readers"`  // how many dispatchers read the registry at once; 2 if not set
+	NamedBy string  `json:"named_by"` // "agreed" (default): the agreed list names a replica; "own": the own registry must name it too
+	Bulk    float64 `json:"bulk"`     // share of a role or zone that may leave at once without a second reading; 0.5 if not set
 }
 
-// The words of NamedBy.
+// The values of Lists.NamedBy.
 const (
 	ByAgreed = "agreed"
 	ByOwn    = "own"
@@ -62,36 +63,37 @@
 	return nil
 }
 
-// Peers is the address at which other dispatchers speak to this one.
+// Peers configures the address at which other dispatchers connect to this one.
 type Peers struct {
 	Listen         string `json:"listen"`
-	TrustedNetwork bool   `json:"trusted_network"` // whoever can reach the address is trusted
+	TrustedNetwork bool   `json:"trusted_network"` // everyone who can reach the address is trusted
 }
 
-// VoterNames gives the voters' names, in order.
+// VoterNames returns the sorted names of the voters.
 func (a Agree) VoterNames() []string { return slices.Sorted(maps.Keys(a.Voters)) }
 
-// Enabled tells whether dispatchers agree.
+// Enabled reports whether the dispatcher belongs to a cluster.
 func (a Agree) Enabled() bool { return a.Cluster != "" }
 
-// Timing gives the times that follow from Within.
+// Timing returns the timeouts and intervals that follow from Within.
 func (a Agree) Timing() agree.Timing {
 	within, err := time.ParseDuration(a.Within)
 	if err != nil {
-		within = agree.WithinDefault // the checks have seen to it
+		within = agree.WithinDefault // only if Within is not set, as checkAgree rejects invalid ones
 	}
 	return agree.TimingOf(within)
 }
 
-// CheckNoCluster refuses what a platform does not have, on which dispatchers share nothing.
+// CheckNoCluster rejects a cluster on a platform, where dispatchers share nothing.
 func (c Config) CheckNoCluster() error {
 	if c.Agree.Enabled() {
-		return &Fault{"agree", "not where the environment starts the program (EDGE_CONFIG): dispatchers there may not talk to each other"}
+		return &Fault{"agree", "not allowed where the environment (EDGE_CONFIG) configures the program: dispatchers there may not talk to each other"}
 	}
 	return nil
 }
 
-// parseAgree decodes both parts. Without the first one the second means nothing here.
+// parseAgree decodes and checks the sections agree, peers, ledger and recovery. Without agree the
+// other three are ignored.
 func (c *Config) parseAgree(f file) error {
 	if len(f.Agree) == 0 {
 		return nil
@@ -125,17 +127,17 @@
 	return c.checkAgree()
 }
 
-// checkAgree checks and completes both parts.
+// checkAgree checks the sections agree and peers and fills in defaults.
 func (c *Config) checkAgree() error {
 	a := &c.Agree
 	if a.Cluster == "" {
 		return &Fault{"agree.cluster", "missing: the cluster's name"}
 	}
 	if c.Name == "" {
-		return &Fault{"name", "missing: dispatchers that agree know each other by name"}
+		return &Fault{"name", "missing: dispatchers in a cluster know each other by name"}
 	}
 	if n := len(a.Voters); n != 3 && n != 5 {
-		return &Fault{"agree.voters", fmt.Sprintf("%d are named: three or five vote", n)}
+		return &Fault{"agree.voters", fmt.Sprintf("%d voters are set, there must be three or five", n)}
 	}
 	seen := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(a.Voters)) {
@@ -144,7 +146,7 @@
 			return err
 		}
 		if other, twice := seen[a.Voters[name]]; twice {
-			return &Fault{key, "the address of " + other}
+			return &Fault{key, "the same address as voter " + other}
 		}
 		seen[a.Voters[name]] = name
 	}
@@ -160,7 +162,7 @@
 	case votes && c.Peers.Listen == "":
 		return &Fault{"peers.listen", "missing: this dispatcher is a voter"}
 	case !votes && c.Peers.Listen != "":
-		return &Fault{"peers.listen", "set, and this dispatcher is no voter: nobody comes to it"}
+		return &Fault{"peers.listen", "set, but this dispatcher is not a voter, so no other dispatcher connects to it"}
 	}
 	if votes {
 		if err := c.checkPeer("peers.listen", c.Peers.Listen); err != nil {
@@ -185,17 +187,18 @@
 		a.Alone = agree.Safe
 	}
 	if !a.Alone.Valid() {
-		return &Fault{"agree.alone", fmt.Sprintf("%q is none of stop, safe and hold", a.Alone)}
+		return &Fault{"agree.alone", fmt.Sprintf("%q is not one of stop, safe and hold", a.Alone)}
 	}
 	return nil
 }
 
-// MatchesOthers tells whether a name is one of the others.
+// MatchesOthers reports whether Others contains a name or a pattern that matches it.
 func (a Agree) MatchesOthers(name string) bool {
 	return slices.ContainsFunc(a.Others, func(pattern string) bool { ok, _ := path.Match(pattern, name); return ok })
 }
 
-// checkPeer wants a loopback address unless the network is trusted.
+// checkPeer checks the address of a dispatcher. It must be a loopback address unless the network is
+// trusted.
 func (c *Config) checkPeer(key, addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -207,8 +210,8 @@
 	return nil
 }
 
-// Content gives the settings of the file in the form on which dispatchers agree: JSON with its keys in order, without
-// what is each dispatcher's own.
+// Content returns the settings of the file in the form on which dispatchers agree: JSON with sorted
+// keys, without the settings that are local to each dispatcher.
 func (c Config) Content() (string, error) { return marshalContent(c.rawSettings) }
 
 func marshalContent(settings map[string]any) (string, error) {
@@ -218,7 +221,8 @@
 	return string(text), err
 }
 
-// ReadContent reads a proposal: an operator's file, or the settings alone.
+// ReadContent returns the content of a proposal, which is either an operator's file or the settings
+// alone.
 func ReadContent(text []byte) (string, error) {
 	var all map[string]any
 	if err := jsoniter.Unmarshal(text, &all); err != nil {
@@ -230,14 +234,14 @@
 	return marshalContent(all)
 }
 
-// Fingerprint is the fingerprint of a content.
+// Fingerprint returns a short hash that identifies a content.
 func Fingerprint(content string) string {
 	sum := sha256.Sum256([]byte(content))
 	return hex.EncodeToString(sum[:16])
 }
 
-// WithSettings gives the configuration with agreed settings in place of the file's, or says which key of theirs this dispatcher
-// can't act on.
+// WithSettings returns the configuration with agreed settings in place of the file's. The local
+// settings are kept. The error names the agreed key that this dispatcher can't act on.
 func (c Config) WithSettings(content string) (Config, error) {
 	val, err := Flatten([]byte(content))
 	if err != nil {
@@ -254,8 +258,8 @@
 	return c, c.applySettings(val)
 }
 
-// CheckReload refuses a file whose settings have changed since the one before, to what is not the agreed content: settings
-// change by a proposal.
+// CheckReload rejects a file that changes a setting, compared with the file before, to anything but
+// its agreed value, as settings change only by a proposal. It also rejects a change of the cluster.
 func (c Config) CheckReload(before Config, agreed string) error {
 	if !before.Agree.Enabled() && !c.Agree.Enabled() {
 		return nil
@@ -275,18 +279,18 @@
 	if err != nil {
 		return err
 	}
-	then, err := Flatten([]byte(beforeText))
+	previous, err := Flatten([]byte(beforeText))
 	if err != nil {
 		return err
 	}
-	force, err := Flatten([]byte(agreed))
+	inForce, err := Flatten([]byte(agreed))
 	if err != nil {
 		return err
 	}
-	for _, key := range agree.Differs(then, now) {
-		if now[key] != force[key] {
+	for _, key := range agree.Differs(previous, now) {
+		if now[key] != inForce[key] {
 			return &Fault{"settings." + key, fmt.Sprintf("changed to %q, and the agreed value is %q: propose it (standpulley settings propose)",
-				now[key], force[key])}
+				now[key], inForce[key])}
 		}
 	}
 	return nil
@@ -297,7 +301,7 @@
 		a.Agree.Alone == b.Agree.Alone && reflect.DeepEqual(a.Agree.Lists, b.Agree.Lists) && maps.Equal(a.Agree.Voters, b.Agree.Voters) && slices.Equal(a.Agree.Others, b.Agree.Others)
 }
 
-// AgreeFault gives an error the form in which a version is turned down.
+// AgreeFault converts an error to the form in which a dispatcher reports that it rejects a version.
 func AgreeFault(err error) *agree.Fault {
 	if err == nil {
 		return nil
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("%+v %v", c.Agree, err)
 	}
 	if !c.Agree.MatchesOthers("m7") || c.Agree.MatchesOthers("n7") {
-		t.Error("others")
+		t.Error("MatchesOthers does not follow agree.others")
 	}
 	if err := c.CheckNoCluster(); err == nil || !strings.Contains(err.Error(), "key agree:") {
 		t.Errorf("on the platform: %v", err)
@@ -80,15 +80,15 @@
 	}
 }
 
-// Guards: what others mean by keys of these names does not stop a start on the platform.
-func TestPeersAloneMeanNothing(t *testing.T) {
+// A platform's file may use the key peers for something else. That must not prevent a start.
+func TestPeersWithoutAgreeAreIgnored(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","peers":["10.0.0.1"]`, 1)), noEnv)
 	if err != nil || c.Agree.Enabled() || c.CheckNoCluster() != nil {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestContents(t *testing.T) {
+func TestAgreedContent(t *testing.T) {
 	c, err := Parse([]byte(withAgree()), noEnv)
 	if err != nil {
 		t.Fatal(err)
@@ -99,12 +99,12 @@
 	}
 	again, err := ReadContent([]byte(withAgree()))
 	if err != nil || again != content || Fingerprint(again) != Fingerprint(content) {
-		t.Errorf("from the file: %v\n%s", err, again)
+		t.Errorf("ReadContent of the file: %v\n%s", err, again)
 	}
 	next := strings.Replace(content, `"try_limit": 6`, `"try_limit": 5`, 1)
-	with, err := c.WithSettings(next)
-	if err != nil || with.Settings.MaxAttempts != 5 || with.Settings.Zone != "z" || c.Settings.MaxAttempts != 6 {
-		t.Errorf("%v %+v", err, with.Settings)
+	agreed, err := c.WithSettings(next)
+	if err != nil || agreed.Settings.MaxAttempts != 5 || agreed.Settings.Zone != "z" || c.Settings.MaxAttempts != 6 {
+		t.Errorf("%v %+v", err, agreed.Settings)
 	}
 	for old, key := range map[string]string{`"try_limit": 6`: "settings.limits.try_limt", `"siblings": 3`: "settings.zone", `"repeat": "idempotent"`: "settings.services.0.repeat"} {
 		bad := map[string]string{"settings.limits.try_limt": `"try_limt": 6`, "settings.zone": `"siblings": 3, "zone": "z"`, "settings.services.0.repeat": `"repeat": "often"`}[key]
@@ -112,7 +112,8 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	// A file that is read anew may have what is agreed on, or what it had; no other settings, and no other cluster.
+	// A reloaded file may have the agreed settings or those it had before, but no other settings
+	// and no other cluster.
 	change := func(old, new string) Config {
 		t.Helper()
 		c, err := Parse([]byte(strings.Replace(withAgree(), old, new, 1)), noEnv)
@@ -121,14 +122,14 @@
 		}
 		return c
 	}
-	five, four := change(`"try_limit":6`, `"try_limit":5`), change(`"try_limit":6`, `"try_limit":4`)
-	if err := five.CheckReload(c, next); err != nil {
-		t.Errorf("what is agreed on: %v", err)
+	agreedFile, otherFile := change(`"try_limit":6`, `"try_limit":5`), change(`"try_limit":6`, `"try_limit":4`)
+	if err := agreedFile.CheckReload(c, next); err != nil {
+		t.Errorf("a file with the agreed settings: %v", err)
 	}
 	if err := c.CheckReload(c, next); err != nil {
-		t.Errorf("what it had: %v", err)
+		t.Errorf("an unchanged file: %v", err)
 	}
-	if err := four.CheckReload(c, next); err == nil || !strings.Contains(err.Error(), "key settings.limits.try_limit:") {
+	if err := otherFile.CheckReload(c, next); err == nil || !strings.Contains(err.Error(), "key settings.limits.try_limit:") {
 		t.Errorf("%v", err)
 	}
 	if err := change(`"within":"1s"`, `"within":"3s"`).CheckReload(c, content); err == nil || !strings.Contains(err.Error(), "key agree:") {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where configuration is read, checked and given defaults. What is wrong is
-// reported with the key at fault.
+// Package config reads and checks the configuration and fills in defaults. No other package does.
+// Errors name the key at fault.
 package config
 
 import (
@@ -19,41 +19,42 @@
 	"standpulley/logic"
 )
 
-// Config is all that a dispatcher is told.
+// Config is the whole configuration of a dispatcher.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Operator  string // a door for operators alone; none if empty
+	Operator  string // address of the admin endpoint; none if empty
 	Seed      uint64
 	Limits    Limits
-	Known     discovery.List
+	Known     discovery.List // replicas known before discovery answers
 	Chat      Chat
-	Agree     Agree // off unless it names a cluster
+	Agree     Agree // off unless a cluster is named
 	Peers     Peers
 	Ledger    *Ledger   // nil: off
 	Recovery  *Recovery // nil: off
 	Settings  logic.Settings
 
-	rawSettings map[string]any  // the settings of the file, loose
-	presentKeys map[string]bool // that the file holds, but for those of lists
+	rawSettings map[string]any  // the settings as decoded from the file
+	presentKeys map[string]bool // keys that the file sets, without those of services and tenants
 }
 
-// Chat sets up the front for the chat API; it is off unless the operator's file has it.
+// Chat configures the front for the chat API. It is off unless the operator's file has it.
 type Chat struct {
 	Listen    string            `json:"listen"`
 	Models    map[string]string `json:"models"`     // class by model
-	MaxOutput int64             `json:"max_output"` // tokens, where a request names no limit
+	MaxOutput int64             `json:"max_output"` // tokens, for requests without a limit of their own
 }
 
-// Limits bound the machine.
+// Limits are the resources of the machine that the program may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// file is the form on disk. Settings stay loose until they are flattened: logic.Settings is their only type.
+// file is the configuration as stored on disk. Settings are decoded into a plain map and flattened
+// later, as logic.Settings is their only type.
 type file struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -63,7 +64,8 @@
 	Limits    Limits         `json:"limits"`
 	Known     discovery.List `json:"known"`
 	Chat      Chat           `json:"chat"`
-	// These four only an operator's file has. They are decoded there alone: what others mean by such keys does not matter.
+	// Only an operator's file has the next four. They are decoded only if agree is set, because a
+	// platform's file may use keys of the same names for something else.
 	Agree    jsoniter.RawMessage `json:"agree"`
 	Peers    jsoniter.RawMessage `json:"peers"`
 	Ledger   jsoniter.RawMessage `json:"ledger"`
@@ -71,8 +73,8 @@
 	Settings map[string]any      `json:"settings"`
 }
 
-// FromEnvironment reads the file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_OPERATOR
-// stand in for keys that it lacks.
+// FromEnvironment reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
+// EDGE_OPERATOR replace keys that the file lacks.
 func FromEnvironment() (Config, error) {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
@@ -91,7 +93,8 @@
 
 var strictJSON = jsoniter.Config{DisallowUnknownFields: true}.Froze()
 
-// ParseStrict reads an operator's file, in which a key that is not known is a slip. The platform's may hold more.
+// ParseStrict parses an operator's file, in which an unknown key is an error. A platform's file may
+// have other keys, so Parse accepts them.
 func ParseStrict(text []byte, env func(string) string) (Config, error) {
 	var f file
 	if err := strictJSON.Unmarshal(text, &f); err != nil {
@@ -101,12 +104,12 @@
 		return Config{}, &Fault{"ledger", "agree is not set: the voters hold the ledger"}
 	}
 	if len(f.Recovery) > 0 && len(f.Agree) == 0 {
-		return Config{}, &Fault{"recovery", "agree is not set: a dispatcher that goes by itself has nobody to come back with"}
+		return Config{}, &Fault{"recovery", "agree is not set: a dispatcher without a cluster has no peers to recover with"}
 	}
 	return Parse(text, env)
 }
 
-// Parse reads a configuration; env gives what the file lacks.
+// Parse parses a configuration; env returns the environment variables for keys that the file lacks.
 func Parse(text []byte, env func(string) string) (Config, error) {
 	var f file
 	if err := jsoniter.Unmarshal(text, &f); err != nil {
@@ -124,20 +127,20 @@
 	if err := c.checkAddresses(); err != nil {
 		return c, err
 	}
-	c.Seed = rand.Uint64() // where none is told
+	c.Seed = rand.Uint64() // unless the file sets one
 	if f.Seed != "" {
 		seed, err := strconv.ParseUint(f.Seed, 16, 64)
 		if err != nil {
-			return c, &Fault{"seed", fmt.Sprintf("%q is not a number of hex digits", f.Seed)}
+			return c, &Fault{"seed", fmt.Sprintf("%q is not a hexadecimal number", f.Seed)}
 		}
 		c.Seed = seed
 	}
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
-		return c, &Fault{"limits", "a negative figure"}
+		return c, &Fault{"limits", "must not be negative"}
 	}
 	c.Limits.setDefaults()
 	if c.Limits.Sockets < minSockets {
-		return c, &Fault{"limits.sockets", fmt.Sprintf("%d are too few: at least %d", c.Limits.Sockets, minSockets)}
+		return c, &Fault{"limits.sockets", fmt.Sprintf("%d is too low, the minimum is %d", c.Limits.Sockets, minSockets)}
 	}
 	if err := c.Known.Check(); err != nil {
 		return c, &Fault{"known", err.Error()}
@@ -152,7 +155,7 @@
 	return c, c.applySettings(val)
 }
 
-// settle takes settings up and checks them against all else.
+// applySettings decodes settings into c and checks them against the rest of the configuration.
 func (c *Config) applySettings(val Values) error {
 	settings, err := Settings(val)
 	if fault, ok := err.(*Fault); ok {
@@ -170,7 +173,8 @@
 	return nil
 }
 
-// keys gives what a file holds, of the keys that it can't do without once it had them.
+// presentKeys returns which keys the file sets, of those that the next version of the file must not
+// lose.
 func (f *file) presentKeys(settings Values) map[string]bool {
 	keys := map[string]bool{"name": f.Name != "", "listen": f.Listen != "", "discovery": f.Discovery != "",
 		"operator": f.Operator != "", "seed": f.Seed != "", "limits": f.Limits != Limits{}}
@@ -182,7 +186,8 @@
 	return keys
 }
 
-// CheckMissingKeys names a key that the file in force has and this one has lost: half a file must not be taken for a whole one.
+// CheckMissingKeys returns an error that names a key that the file in force sets and c lacks. A
+// truncated file must not be taken for a complete one.
 func (c Config) CheckMissingKeys(inForce Config) error {
 	for _, key := range slices.Sorted(maps.Keys(inForce.presentKeys)) {
 		if inForce.presentKeys[key] && !c.presentKeys[key] {
@@ -192,8 +197,8 @@
 	return nil
 }
 
-// DiffersInDiscoveryOnly tells whether what serves o can serve c with another watch. The seed and the list of
-// replicas are for a start.
+// DiffersInDiscoveryOnly reports whether a stack that serves o can serve c by changing only its
+// discovery watch. The seed and the known replicas are ignored, as they matter only at a start.
 func (c Config) DiffersInDiscoveryOnly(o Config) bool {
 	o.Name, o.Discovery, o.Seed, o.Known, o.presentKeys, o.rawSettings = c.Name, c.Discovery, c.Seed, c.Known, c.presentKeys, c.rawSettings
 	return reflect.DeepEqual(c, o)
@@ -204,7 +209,8 @@
 	defaultMaxOutput = 500 // tokens
 )
 
-// checkAddresses wants at least one front, and replicas from discovery or from the file.
+// checkAddresses checks the addresses. At least one front must be set, and replicas must come from
+// discovery or from the file.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"operator", c.Operator}, {"chat.listen", c.Chat.Listen}} {
 		if a.addr == "" {
@@ -220,13 +226,13 @@
 	case c.Listen == c.Chat.Listen:
 		return &Fault{"chat.listen", "the same address as listen"}
 	case c.Operator != "" && (c.Operator == c.Listen || c.Operator == c.Chat.Listen):
-		return &Fault{"operator", "clients have this address"}
+		return &Fault{"operator", "the same address as listen or chat.listen"}
 	case c.Discovery == "" && len(c.Known.Servers) == 0:
 		return &Fault{"discovery", "not set, and known.servers lists no replica"}
 	case c.Chat.Listen != "" && len(c.Chat.Models) == 0:
 		return &Fault{"chat.models", "no model is served"}
 	case c.Chat.MaxOutput < 0:
-		return &Fault{"chat.max_output", "a negative figure"}
+		return &Fault{"chat.max_output", "must not be negative"}
 	}
 	if c.Chat.MaxOutput == 0 {
 		c.Chat.MaxOutput = defaultMaxOutput
@@ -234,7 +240,7 @@
 	return nil
 }
 
-// defaults are the limits of a small machine.
+// setDefaults fills in the limits of a small machine.
 func (l *Limits) setDefaults() {
 	if l.Cores == 0 {
 		l.Cores = 1
@@ -247,7 +253,7 @@
 	}
 }
 
-// Flatten gives every key of a configuration with its value as text; nothing gives none.
+// Flatten returns every key of a configuration with its value as text. An empty text has no keys.
 func Flatten(text []byte) (Values, error) {
 	val := Values{}
 	if len(text) == 0 {
@@ -261,8 +267,8 @@
 	return val, nil
 }
 
-// flatten spells nested settings as the simulator's wire does: paths with dots, lists of simple values joined by
-// commas, lists of objects by .count and their numbers.
+// flatten converts nested settings to the simulator's wire form: paths with dots, lists of simple
+// values joined by commas, and lists of objects as .count and a path per index.
 func flatten(to Values, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,8 +17,8 @@
 
 func noEnv(string) string { return "" }
 
-// Guards: the nested JSON form and the simulator's flat form are read by the same mapping.
-func TestNestedAndFlatAreTheSame(t *testing.T) {
+// The nested JSON form and the simulator's flat form of the same settings must give equal results.
+func TestNestedAndFlatSettingsAreEqual(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards: a slip in an operator's file would be passed over in silence.
-func TestUnknownKeysOfAnOperatorsFile(t *testing.T) {
+// A misspelt key in an operator's file must be reported, not ignored.
+func TestUnknownKeysInOperatorFile(t *testing.T) {
 	text := []byte(strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","chatt":{}`, 1))
 	if _, err := Parse(text, noEnv); err != nil {
 		t.Errorf("the platform's file may hold more: %v", err)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards: the files that the README names must be ones that the program takes.
-func TestFilesOfTheRepository(t *testing.T) {
+// The configuration files that the README names must be valid.
+func TestRepositoryFilesAreValid(t *testing.T) {
 	for _, path := range []string{"../../deploy/chat.json", "../../example/config.json"} {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestEnvironmentStandsIn(t *testing.T) {
+func TestEnvironmentReplacesMissingKeys(t *testing.T) {
 	text := strings.Replace(validConfig, `"listen":"127.0.0.1:1",`, ``, 1)
 	c, err := Parse([]byte(text), func(key string) string { return map[string]string{"EDGE_LISTEN": "127.0.0.1:9"}[key] })
 	if err != nil || c.Listen != "127.0.0.1:9" {
@@ -104,8 +104,9 @@
 	}
 }
 
-// Guards: half of a file was taken for a whole one, as defaults and the environment filled what it lacked.
-func TestLostKeysAreNamed(t *testing.T) {
+// A truncated file was accepted as complete, because defaults and the environment replaced the
+// missing keys.
+func TestMissingKeysAreNamed(t *testing.T) {
 	inForce, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -8,17 +8,17 @@
 	"standpulley/internal/ledger"
 )
 
-// Ledger sets up what dispatchers that agree remember together of what must not run twice. It is off where the operator's file has
-// none.
+// Ledger configures the ledger in which the dispatchers of a cluster record requests that must not
+// run twice. It is off if the operator's file lacks it.
 type Ledger struct {
-	Keep    string              `json:"keep"`    // for so long after its last attempt; 24h if not set
-	Entries int                 `json:"entries"` // at most; a million if not set
-	Share   float64             `json:"share"`   // of the room that is free, a customer may hold so many times as much; 2 if not set
-	Find    string              `json:"find"`    // that an intent or a repeat may take; 200ms if not set
-	Survive bookkeeping.Survive `json:"survive"` // process, site, disk; site if not set
+	Keep    string              `json:"keep"`    // how long an entry is kept after its last attempt; 24h if not set
+	Entries int                 `json:"entries"` // most entries; a million if not set
+	Share   float64             `json:"share"`   // a customer may hold up to this multiple of the free room; 2 if not set
+	Find    string              `json:"find"`    // how long recording an intent or looking up a repeat may take; 200ms if not set
+	Survive bookkeeping.Survive `json:"survive"` // which loss entries survive: process, site or disk; site if not set
 }
 
-// The defaults, and bounds.
+// Defaults and bounds.
 const (
 	defaultLedgerKeep    = 24 * time.Hour
 	defaultLedgerEntries = 1_000_000
@@ -48,26 +48,26 @@
 	}
 	keep, err := time.ParseDuration(l.Keep)
 	if err != nil || keep < minLedgerKeep {
-		return &Fault{"ledger.keep", fmt.Sprintf("%q is no time of %v or more", l.Keep, minLedgerKeep)}
+		return &Fault{"ledger.keep", fmt.Sprintf("%q is not a duration of %v or more", l.Keep, minLedgerKeep)}
 	}
 	find, err := time.ParseDuration(l.Find)
 	switch {
 	case err != nil || find < minLedgerFind || find > maxLedgerFind:
-		return &Fault{"ledger.find", fmt.Sprintf("%q is no time from %v to %v", l.Find, minLedgerFind, maxLedgerFind)}
+		return &Fault{"ledger.find", fmt.Sprintf("%q is not a duration from %v to %v", l.Find, minLedgerFind, maxLedgerFind)}
 	case l.Entries < 0:
-		return &Fault{"ledger.entries", "a negative figure"}
+		return &Fault{"ledger.entries", "must not be negative"}
 	case l.Share < 0:
-		return &Fault{"ledger.share", "a negative figure"}
+		return &Fault{"ledger.share", "must not be negative"}
 	case !l.Survive.Known():
-		return &Fault{"ledger.survive", fmt.Sprintf("%q is none of process, site, disk", l.Survive)}
+		return &Fault{"ledger.survive", fmt.Sprintf("%q is not one of process, site and disk", l.Survive)}
 	}
 	return nil
 }
 
-// Limits are those of its table.
+// Limits returns the limits of the ledger's table.
 func (l *Ledger) Limits() ledger.Limits {
 	return ledger.Limits{Entries: l.Entries, Keep: durationOf(l.Keep), Share: l.Share}
 }
 
-// FindTimeout bounds what an intent or a repeat may take.
+// FindTimeout returns how long recording an intent or looking up a repeat may take.
 func (l *Ledger) FindTimeout() time.Duration { return durationOf(l.Find) }
--- a/internal/config/recovery.go
+++ b/internal/config/recovery.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Recovery sets up in which order a dispatcher comes back. It is off where the operator's file has none.
+// Recovery configures the stages in which a dispatcher returns to service after a start. It is off
+// if the operator's file lacks it.
 type Recovery struct {
-	Find  string `json:"find"`  // how long all voters are waited for, where a majority has answered; 2s if not set
-	Learn string `json:"learn"` // how long peers are asked for what they know of replicas; 500ms if not set
+	Find  string `json:"find"`  // how long to wait for the other voters once a majority has answered; 2s if not set
+	Learn string `json:"learn"` // how long to wait for the registry to be read after the start; 500ms if not set
 }
 
 const (
@@ -22,27 +23,27 @@
 		return &Fault{"recovery", "agree.lists is not set: without agreed lists nobody knows which replicas are cold"}
 	}
 	for _, d := range []struct {
-		key  string
-		text *string
-		none time.Duration
+		key          string
+		text         *string
+		defaultValue time.Duration
 	}{{"recovery.find", &r.Find, defaultRecoveryFind}, {"recovery.learn", &r.Learn, defaultRecoveryLearn}} {
 		if *d.text == "" {
-			*d.text = d.none.String()
+			*d.text = d.defaultValue.String()
 		}
 		if t, err := time.ParseDuration(*d.text); err != nil || t < 0 || t > maxRecoveryWait {
-			return &Fault{d.key, fmt.Sprintf("%q is no time up to %v", *d.text, maxRecoveryWait)}
+			return &Fault{d.key, fmt.Sprintf("%q is not a duration up to %v", *d.text, maxRecoveryWait)}
 		}
 	}
 	return nil
 }
 
-// FindTimeout is Find.
+// FindTimeout returns Find as a duration.
 func (r *Recovery) FindTimeout() time.Duration { return durationOf(r.Find) }
 
-// LearnTimeout is Learn.
+// LearnTimeout returns Learn as a duration.
 func (r *Recovery) LearnTimeout() time.Duration { return durationOf(r.Learn) }
 
-// checked reads a time that the checks have seen.
+// durationOf parses a duration that has been checked before.
 func durationOf(text string) time.Duration {
 	d, _ := time.ParseDuration(text)
 	return d
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,13 +12,13 @@
 	"standpulley/logic"
 )
 
-// Fault names the key at fault and says what is wrong with it.
+// Fault is an error in a configuration: the key at fault and what is wrong with its value.
 type Fault struct{ Key, Text string }
 
 func (f *Fault) Error() string { return fmt.Sprintf("key %s: %s", f.Key, f.Text) }
 
-// Values holds settings by path, as the simulator's wire spells them. Nested JSON is flattened into it, so
-// that both forms share the one mapping below.
+// Values holds settings by path, in the form of the simulator's wire. Nested JSON is flattened into
+// it, so that both forms use the same mapping in Settings.
 type Values map[string]string
 
 // decoder reads Values and keeps the first fault.
@@ -69,7 +69,7 @@
 	return strings.Split(c.values[path], ",")
 }
 
-// at takes the i-th number of a list; a list of one stands for all.
+// element returns the i-th number of a list. The last number also applies to all further indexes.
 func (c *decoder) element(path string, i int) float64 {
 	l := c.list(path)
 	if len(l) == 0 {
@@ -82,7 +82,7 @@
 	return v
 }
 
-// count is the length of a list of objects.
+// count returns the length of a list of objects.
 func (c *decoder) count(path string) int {
 	n := c.number(path + ".count")
 	if n < 0 || n > 10000 {
@@ -108,7 +108,7 @@
 	scopes = map[string]logic.Scope{"all": logic.AllServers, "zone": logic.SameZone, "cell": logic.SameCell}
 )
 
-// Settings maps the values onto the module's settings, the only type that holds them.
+// Settings converts values to logic.Settings, the only type that holds decoded settings.
 func Settings(val Values) (logic.Settings, error) {
 	c, s := &decoder{values: val}, &logic.Settings{}
 	s.Siblings = int(c.number("siblings"))
