--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -12,7 +12,8 @@
 	"standpulley/internal/dispatch"
 )
 
-// writeSiteFile gives a file of the repository with some of its text replaced.
+// writeSiteFile writes a copy of deploy/chat.json with some of its text replaced, and returns its
+// path.
 func writeSiteFile(t *testing.T, change ...string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/chat.json")
@@ -26,7 +27,7 @@
 	return path
 }
 
-func TestPlanChangesNothingAndApplyDoes(t *testing.T) {
+func TestPlanAndApply(t *testing.T) {
 	dir := Dir(filepath.Join(t.TempDir(), "state"))
 	first := writeSiteFile(t)
 	changes, err := dir.Plan(first)
@@ -34,7 +35,7 @@
 		t.Fatalf("%v, %v", changes, err)
 	}
 	if _, err := os.Stat(string(dir)); !os.IsNotExist(err) {
-		t.Errorf("plan left something: %v", err)
+		t.Errorf("plan created the state folder: %v", err)
 	}
 	if _, err := dir.Load(); err == nil || !strings.Contains(err.Error(), "apply a file first") {
 		t.Errorf("got %v", err)
@@ -54,8 +55,8 @@
 	}
 }
 
-// Guards: a file that can't be served must not take the place of one that is.
-func TestApplyKeepsWhatIsInForce(t *testing.T) {
+// A file that the program can't serve must not replace the one in force.
+func TestFailedApplyKeepsConfiguration(t *testing.T) {
 	dir := Dir(t.TempDir())
 	good := writeSiteFile(t)
 	if _, err := dir.Apply(good); err != nil {
@@ -69,17 +70,17 @@
 		t.Errorf("got %v", err)
 	}
 	if changes, err := dir.Plan(good); err != nil || len(changes) != 0 {
-		t.Errorf("the file before is not in force: %v, %v", changes, err)
+		t.Errorf("the previous file is not in force: %v, %v", changes, err)
 	}
 	if left, _ := filepath.Glob(filepath.Join(string(dir), "next-*")); len(left) != 0 {
 		t.Errorf("left behind: %v", left)
 	}
 	if _, err := dir.Listen(); err == nil {
-		t.Error("two programs on one folder")
+		t.Error("two programs can listen on one state folder")
 	}
 }
 
-// serveConsole answers consoles on a folder for as long as the test lasts.
+// serveConsole answers consoles of a state folder until the test ends.
 func serveConsole(t *testing.T, dir Dir) {
 	t.Helper()
 	ln, err := dir.Listen()
@@ -90,7 +91,7 @@
 	go Serve(ln, failingProgram{})
 }
 
-// failingProgram is a program that can't take up a configuration.
+// failingProgram is a program that rejects every new configuration.
 type failingProgram struct{}
 
 func (failingProgram) Settings([]byte) []byte { return nil }
@@ -120,6 +121,6 @@
 		}
 	}
 	if strings.Contains(out.String(), "old") {
-		t.Error("more lines than wanted")
+		t.Error("the page has more outcomes than requested")
 	}
 }
--- a/internal/appliance/console.go
+++ b/internal/appliance/console.go
@@ -24,36 +24,36 @@
 	reloadCommand   = "reload"
 	settingsCommand = "settings"
 	callTimeout     = 5 * time.Second
-	maxConsoles     = 8                // calls served at once
+	maxConsoles     = 8                // connections served at once
 	settingsTimeout = 20 * time.Second // the voters may be electing a leader
 	maxLineBytes    = 4 << 20
 )
 
 var errNotRunning = errors.New("no program runs on this state folder")
 
-// Reply is what a running program says to a console or an apply.
+// Reply is a running program's answer to the console or to apply.
 type Reply struct {
 	Error string        `json:"error,omitempty"`
 	Name  string        `json:"name"`
 	Since time.Time     `json:"since"`
 	View  dispatch.View `json:"view"`
-	Stage string        `json:"stage,omitempty"` // where it stands on its way back, and what it waits for; empty once it serves
-	Why   string        `json:"why,omitempty"`   // it can't act on agreed settings
+	Stage string        `json:"stage,omitempty"` // recovery stage and what it waits for; empty once it serves
+	Why   string        `json:"why,omitempty"`   // why it can't act on the agreed settings
 }
 
-// Program is what the console speaks to.
+// Program is the running program that answers the console.
 type Program interface {
 	State() Reply
 	Reload() error
-	Settings(ask []byte) []byte // a command about the agreed settings, JSON both ways
+	Settings(ask []byte) []byte // handles a command about the agreed settings; request and answer are JSON
 }
 
-// Listen opens the state folder's socket. Only its owner can speak to it.
+// Listen opens the socket of the state folder. Only the owner of the folder can connect to it.
 func (d Dir) Listen() (net.Listener, error) {
 	if d.call(stateCommand, &Reply{}) == nil {
-		return nil, fmt.Errorf("%s: a program runs on it already", d)
+		return nil, fmt.Errorf("%s: another program already uses this state folder", d)
 	}
-	if err := os.Remove(d.Socket()); err != nil && !errors.Is(err, fs.ErrNotExist) { // left by one that was killed
+	if err := os.Remove(d.Socket()); err != nil && !errors.Is(err, fs.ErrNotExist) { // left behind by a program that was killed
 		return nil, err
 	}
 	ln, err := net.Listen("unix", d.Socket())
@@ -63,7 +63,7 @@
 	return ln, os.Chmod(d.Socket(), 0o600)
 }
 
-// Serve answers consoles until the listener is closed.
+// Serve answers connections until the listener is closed.
 func Serve(ln net.Listener, p Program) {
 	slots := make(chan struct{}, maxConsoles)
 	for {
@@ -74,7 +74,7 @@
 		slots <- struct{}{}
 		go func() {
 			defer func() { _ = c.Close(); <-slots }()
-			_ = c.SetDeadline(time.Now().Add(callTimeout)) // a failure shows in the read
+			_ = c.SetDeadline(time.Now().Add(callTimeout)) // an error shows up in the read
 			line, err := bufio.NewReader(io.LimitReader(c, maxLineBytes)).ReadString('\n')
 			if err != nil {
 				return
@@ -89,25 +89,26 @@
 					r.Error = err.Error()
 				}
 			case settingsCommand:
-				_ = c.SetDeadline(time.Now().Add(settingsTimeout)) // likewise
-				_, _ = c.Write(p.Settings([]byte(rest)))           // likewise
+				_ = c.SetDeadline(time.Now().Add(settingsTimeout)) // an error shows up in the write
+				_, _ = c.Write(p.Settings([]byte(rest)))           // the console sees a broken connection
 				return
 			default:
 				r.Error = "unknown command"
 			}
-			_ = jsoniter.NewEncoder(c).Encode(r) // a console that has gone misses nothing
+			_ = jsoniter.NewEncoder(c).Encode(r) // fails only if the console has disconnected
 		}()
 	}
 }
 
-// State asks the running program.
+// State asks the running program for its state.
 func (d Dir) State() (Reply, error) {
 	var r Reply
 	err := d.call(stateCommand, &r)
 	return r, err
 }
 
-// Settings asks the running program something about the agreed settings.
+// Settings sends the running program a command about the agreed settings and decodes the answer
+// into reply.
 func (d Dir) Settings(ask, reply any) error {
 	text, err := jsoniter.MarshalToString(ask)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return jsoniter.NewDecoder(c).Decode(reply)
 }
 
-// Show draws a program's state as a page of at most lines recent outcomes.
+// Show writes a program's state as a page with at most lines recent outcomes.
 func Show(out io.Writer, r Reply, lines int) {
 	v := r.View
 	fmt.Fprintf(out, "%s  %s  up %s  open %d\n", r.Name, v.Phase, time.Since(r.Since).Round(time.Second), v.Open)
@@ -157,7 +158,7 @@
 	for _, l := range v.Recent[max(len(v.Recent)-lines, 0):] {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", l.At.Format("15:04:05.000"), l.ID, l.Class, l.What, l.Took, l.Server, l.Detail)
 	}
-	_ = w.Flush() // out is a terminal or a buffer
+	_ = w.Flush() // out is a terminal or a buffer, so an error is of no use
 }
 
 func formatCounts(m map[string]int) string {
--- a/internal/appliance/plan.go
+++ b/internal/appliance/plan.go
@@ -1,6 +1,6 @@
-// Package appliance is how a small site is operated: the operator's file is the desired state, plan shows what
-// would change, apply puts it in force, and a console shows what the program does. It stands outside the path of
-// requests.
+// Package appliance operates the dispatcher of a small site. The operator's file is the desired
+// state: plan shows what would change, apply puts the file in force, and the console shows the
+// state of the running program. None of it is on the path of requests.
 package appliance
 
 import (
@@ -16,15 +16,15 @@
 	"standpulley/internal/config"
 )
 
-// Dir is the folder that holds an appliance's state.
+// Dir is the state folder of an appliance.
 type Dir string
 
 func (d Dir) active() string { return filepath.Join(string(d), "active.json") }
 
-// Socket is where a running program listens for the console and for apply.
+// Socket returns the path of the socket on which a running program answers the console and apply.
 func (d Dir) Socket() string { return filepath.Join(string(d), "console.sock") }
 
-// Load reads the configuration in force.
+// Load reads and parses the configuration in force.
 func (d Dir) Load() (config.Config, error) {
 	text, err := os.ReadFile(d.active())
 	if errors.Is(err, fs.ErrNotExist) {
@@ -36,7 +36,7 @@
 	return config.Parse(text, os.Getenv)
 }
 
-// Change is one key that differs between what is in force and what is desired.
+// Change is a key whose value differs between the configuration in force and the desired one.
 type Change struct{ Key, Now, Next string }
 
 func (c Change) String() string {
@@ -49,7 +49,8 @@
 	return fmt.Sprintf("~ %s = %s -> %s", c.Key, c.Now, c.Next)
 }
 
-// Plan checks the operator's file and tells how it differs from what is in force. It changes nothing.
+// Plan checks the operator's file and returns how it differs from the configuration in force. It
+// changes nothing.
 func (d Dir) Plan(file string) ([]Change, error) {
 	_, changes, err := d.plan(file)
 	return changes, err
@@ -88,8 +89,9 @@
 	return desired, changes, nil
 }
 
-// Apply puts the operator's file in force: it takes the place of the one before in one step, and a running
-// program takes it up. If the program can't, the one before is put back. It returns what has changed.
+// Apply puts the operator's file in force. The file replaces the previous configuration atomically,
+// and a running program reloads it; if the program rejects it, the previous configuration is
+// restored. Apply returns what has changed.
 func (d Dir) Apply(file string) ([]Change, error) {
 	if err := os.MkdirAll(string(d), 0o700); err != nil {
 		return nil, err
@@ -113,7 +115,7 @@
 	var reply Reply
 	err = d.call(reloadCommand, &reply)
 	if errors.Is(err, errNotRunning) {
-		return changes, nil // it will be in force at the next start
+		return changes, nil // the next start uses it
 	}
 	if err == nil && reply.Error != "" {
 		err = errors.New(reply.Error)
@@ -124,11 +126,11 @@
 	if before == nil {
 		return nil, errors.Join(err, os.Remove(d.active()))
 	}
-	return nil, errors.Join(fmt.Errorf("the program can't take it up, so the configuration before stays in force: %w", err),
+	return nil, errors.Join(fmt.Errorf("the running program rejected the file, so the previous configuration stays in force: %w", err),
 		d.replace(before))
 }
 
-// lock keeps two applies from crossing.
+// lock prevents two applies at the same time.
 func (d Dir) lock() (unlock func(), err error) {
 	f, err := os.OpenFile(filepath.Join(string(d), "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -137,10 +139,11 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: another apply is under way", d), f.Close())
 	}
-	return func() { _ = f.Close() }, nil // which unlocks
+	return func() { _ = f.Close() }, nil // closing the file releases the lock
 }
 
-// replace writes the configuration in force so that a reader finds the old one or the new one, and never a part.
+// replace replaces the configuration in force atomically: a reader finds the whole old file or the
+// whole new one. Both the file and the folder are synced to disk.
 func (d Dir) replace(text []byte) error {
 	f, err := os.CreateTemp(string(d), "next-*.json")
 	if err != nil {
@@ -163,7 +166,7 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Print writes a plan for people.
+// Print writes a plan in readable form.
 func Print(out io.Writer, changes []Change) {
 	if len(changes) == 0 {
 		fmt.Fprintln(out, "No changes: the file is in force.")
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -45,7 +45,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(withAgree(), f.old, f.new, 1)), noEnv)
 		if err == nil || !strings.Contains(err.Error(), "key "+f.key+":") {
-			t.Errorf("%s: %v, wanted %s", f.new, err, f.key)
+			t.Errorf("%s: %v, want %s", f.new, err, f.key)
 		}
 	}
 	trusted := strings.Replace(withAgree(), `{"listen":"127.0.0.1:71"}`, `{"listen":"10.1.0.1:71","trusted_network":true}`, 1)
@@ -68,7 +68,7 @@
 		`{"share":-1}`: "ledger.share", `{"survive":"all"}`: "ledger.survive", `{"kep":"1h"}`: "ledger", `7`: "ledger",
 	} {
 		if _, err := Parse([]byte(with(text)), noEnv); err == nil || !strings.Contains(err.Error(), "key "+key+":") {
-			t.Errorf("%s: %v, wanted %s", text, err, key)
+			t.Errorf("%s: %v, want %s", text, err, key)
 		}
 	}
 	alone := strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","ledger":{}`, 1)
--- a/internal/earlyhup/ignore.go
+++ b/internal/earlyhup/ignore.go
@@ -2,7 +2,8 @@
 
 package earlyhup
 
-// The constructor runs before the Go runtime starts, which keeps SIGHUP ignored where it finds it so until os/signal is told of it.
+// The C constructor runs before the Go runtime starts. The runtime leaves SIGHUP ignored if it
+// finds it ignored, until os/signal.Notify is called for it.
 
 /*
 #include <signal.h>
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator is the door for operators: an address of its own at which they ask whether the program serves, fetch
-// its figures, empty it and put it back to work. One call per connection; whatever clients do, it answers at once.
+// Package operator is the admin endpoint. At an address of its own, operators ask whether the
+// program is ready, fetch its metrics, drain it and resume it. Each connection serves one call, and
+// calls are answered at once whatever clients do.
 package operator
 
 import (
@@ -10,27 +11,28 @@
 	"standpulley/internal/front"
 )
 
-// Program is what the door leads to. Its methods are called from the door's own goroutines and must not block.
+// Program is the program behind the admin endpoint. Its methods are called from the endpoint's own
+// goroutines and must not block.
 type Program interface {
-	Ready() bool     // it can serve
-	Metrics() []byte // one a line
-	Drain()          // send clients away
-	Resume()         // and take them again
+	Ready() bool     // reports whether it can serve
+	Metrics() []byte // returns one metric per line
+	Drain()          // sends clients away
+	Resume()         // accepts clients again
 }
 
 const (
-	callTimeout = 500 * time.Millisecond // for a call to come; some callers say nothing
-	// Calls at once. The one that has been open for the longest makes room for another.
-	maxCalls = 16
-	maxBodyBytes = 4 << 10 // of bodies, which mean nothing here
+	callTimeout = 500 * time.Millisecond // for reading a call and for writing its answer; some callers connect and send nothing
+	// Connections served at once. A further one closes the connection that has been open longest.
+	maxCalls     = 16
+	maxBodyBytes = 4 << 10 // request bodies are ignored
 )
 
-// Listen opens the door's address.
+// Listen opens the address of the admin endpoint.
 func Listen(addr string) (*front.Port, error) {
 	return front.Listen(addr, front.NewConnLimiter(maxCalls, maxBodyBytes), false)
 }
 
-// Server gives the door's server.
+// Server returns the HTTP server of the admin endpoint.
 func Server(p Program) *fasthttp.Server {
 	calls := map[string]func(ctx *fasthttp.RequestCtx){
 		"GET /-/ready": func(ctx *fasthttp.RequestCtx) {
