--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -215,9 +215,9 @@
 func (c Config) Content() (string, error) { return marshalContent(c.rawSettings) }
 
 func marshalContent(settings map[string]any) (string, error) {
-	own := maps.Clone(settings)
-	maps.DeleteFunc(own, func(key string, _ any) bool { effect, _ := agree.EffectOf(key); return effect == agree.Local })
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(own, "", " ")
+	shared := maps.Clone(settings)
+	maps.DeleteFunc(shared, func(key string, _ any) bool { effect, _ := agree.EffectOf(key); return effect == agree.Local })
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(shared, "", " ")
 	return string(text), err
 }
 
@@ -243,19 +243,19 @@
 // WithSettings returns the configuration with agreed settings in place of the file's. The local
 // settings are kept. The error names the agreed key that this dispatcher can't act on.
 func (c Config) WithSettings(content string) (Config, error) {
-	val, err := Flatten([]byte(content))
+	values, err := Flatten([]byte(content))
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if fault := agree.Check(val); fault != nil {
+	if fault := agree.Check(values); fault != nil {
 		return c, &Fault{"settings." + fault.Key, fault.Reason}
 	}
 	for key, v := range c.rawSettings {
 		if effect, _ := agree.EffectOf(key); effect == agree.Local {
-			flatten(val, key, v)
+			flatten(values, key, v)
 		}
 	}
-	return c, c.applySettings(val)
+	return c, c.applySettings(values)
 }
 
 // CheckReload rejects a file that changes a setting, compared with the file before, to anything but
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the configuration and fills in defaults. No other package does.
-// Errors name the key at fault.
+// Package config is the one place where the configuration is read, checked and given defaults. Errors
+// name the key at fault.
 package config
 
 import (
@@ -149,15 +149,15 @@
 	if err := c.parseAgree(f); err != nil {
 		return c, err
 	}
-	val := Values{}
-	flatten(val, "", f.Settings)
-	c.presentKeys, c.rawSettings = f.presentKeys(val), f.Settings
-	return c, c.applySettings(val)
+	values := Values{}
+	flatten(values, "", f.Settings)
+	c.presentKeys, c.rawSettings = f.presentKeys(values), f.Settings
+	return c, c.applySettings(values)
 }
 
 // applySettings decodes settings into c and checks them against the rest of the configuration.
-func (c *Config) applySettings(val Values) error {
-	settings, err := Settings(val)
+func (c *Config) applySettings(values Values) error {
+	settings, err := Settings(values)
 	if fault, ok := err.(*Fault); ok {
 		return &Fault{"settings." + fault.Key, fault.Text}
 	}
@@ -255,16 +255,16 @@
 
 // Flatten returns every key of a configuration with its value as text. An empty text has no keys.
 func Flatten(text []byte) (Values, error) {
-	val := Values{}
+	values := Values{}
 	if len(text) == 0 {
-		return val, nil
+		return values, nil
 	}
 	var all map[string]any
 	if err := jsoniter.Unmarshal(text, &all); err != nil {
 		return nil, err
 	}
-	flatten(val, "", all)
-	return val, nil
+	flatten(values, "", all)
+	return values, nil
 }
 
 // flatten converts nested settings to the simulator's wire form: paths with dots, lists of simple
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -109,8 +109,8 @@
 )
 
 // Settings converts values to logic.Settings, the only type that holds decoded settings.
-func Settings(val Values) (logic.Settings, error) {
-	c, s := &decoder{values: val}, &logic.Settings{}
+func Settings(values Values) (logic.Settings, error) {
+	c, s := &decoder{values: values}, &logic.Settings{}
 	s.Siblings = int(c.number("siblings"))
 	s.Zone = c.values["zone"]
 	duties := c.list("family_info.duty_by_kind")
@@ -171,7 +171,7 @@
 	if s.Siblings < 1 {
 		c.fail("siblings", "the setting must be the number of dispatchers, 1 or more")
 	}
-	for _, path := range slices.Sorted(maps.Keys(val)) {
+	for _, path := range slices.Sorted(maps.Keys(values)) {
 		if strings.HasPrefix(path, "prices.") && c.number(path) < 0 {
 			c.fail(path, "a price may not be negative")
 		}
--- a/internal/membership/effective.go
+++ b/internal/membership/effective.go
@@ -16,19 +16,19 @@
 func Effective(agreed List, own OwnList, named bool) map[string]Entry {
 	all := make(map[string]Entry, len(agreed.Entries))
 	for id, e := range agreed.Entries {
-		mine, ok := own.Entries[id]
+		ownEntry, ok := own.Entries[id]
 		switch {
 		case !ok && (!named || own.Entries != nil && own.Version > agreed.RegistryVersion):
 			continue
-		case ok && mine.StartedMS > e.StartedMS:
+		case ok && ownEntry.StartedMS > e.StartedMS:
 			// The replica was restarted, or the id belongs to another machine now: that incarnation
 			// is not agreed on yet.
 			e.State = Terminating
-		case ok && mine.StartedMS == e.StartedMS:
-			if strictness(mine.State) > strictness(e.State) {
-				e.State = mine.State
+		case ok && ownEntry.StartedMS == e.StartedMS:
+			if strictness(ownEntry.State) > strictness(e.State) {
+				e.State = ownEntry.State
 			}
-			e.Weight = min(e.Weight, mine.Weight)
+			e.Weight = min(e.Weight, ownEntry.Weight)
 		}
 		if e.State != Terminated {
 			all[id] = e
--- a/internal/membership/flaps.go
+++ b/internal/membership/flaps.go
@@ -9,11 +9,11 @@
 // is compared with the agreed list.
 func (m *Merger) recordFlips(now time.Duration, next map[string]Entry, agreed *List) {
 	for id, e := range next {
-		had, ok := m.merged[id]
+		old, ok := m.merged[id]
 		if m.merged == nil {
-			had, ok = agreed.Entries[id]
+			old, ok = agreed.Entries[id]
 		}
-		if ok && had.State != e.State {
+		if ok && old.State != e.State {
 			m.flips[id] = append(m.flips[id], now)
 		}
 	}
@@ -37,11 +37,11 @@
 
 // Flapping returns the damped replicas with their number of recent state changes.
 func (m *Merger) Flapping() map[string]int {
-	some := map[string]int{}
+	damped := map[string]int{}
 	for id, at := range m.flips {
 		if len(at) >= m.limits.MaxFlaps {
-			some[id] = len(at)
+			damped[id] = len(at)
 		}
 	}
-	return some
+	return damped
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -109,20 +109,20 @@
 // Diff returns the entries that turn from into to, with removed replicas as Terminated. The
 // strictest entries come first, and entries of equal strictness are sorted by id.
 func Diff(from, to map[string]Entry) []Entry {
-	var some []Entry
+	var changed []Entry
 	for id, e := range to {
 		if from[id] != e {
-			some = append(some, e)
+			changed = append(changed, e)
 		}
 	}
 	for id, e := range from {
 		if _, ok := to[id]; !ok {
 			e.State = Terminated
-			some = append(some, e)
+			changed = append(changed, e)
 		}
 	}
-	slices.SortFunc(some, func(a, b Entry) int {
+	slices.SortFunc(changed, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(strictness(b.State), strictness(a.State)), cmp.Compare(a.ID, b.ID))
 	})
-	return some
+	return changed
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -19,8 +19,8 @@
 	Batch         time.Duration            // how long readings are collected before they make a version
 	MaxEntries    int                      // most entries that one version changes; a larger change makes several versions
 	MaxAge        time.Duration            // readings that were not refreshed for this long are ignored
-	AllowRollback bool                     // accepts a registry whose version went back like any other; for tests only
-	IgnoreOrders  bool                     // ignores operators' orders; for tests only
+	AllowRollback bool                     // accepts a registry whose version went back like any other; for fault injection in tests only
+	IgnoreOrders  bool                     // ignores operators' orders; for fault injection in tests only
 	MaxFlaps      int                      // state changes of one entry within FlapWindow before it is damped
 	FlapWindow    time.Duration            // how long a state change counts against an entry
 	RoleOf        func(kind string) string // gives the role of a kind, for Bulk
@@ -168,16 +168,16 @@
 // freshReaders returns the readers whose readings have not expired, the newest registry version
 // first.
 func (m *Merger) freshReaders(now time.Duration) []*readerState {
-	var some []*readerState
+	var fresh []*readerState
 	for _, h := range m.readers {
 		if now-h.seenAt < m.limits.MaxAge {
-			some = append(some, h)
+			fresh = append(fresh, h)
 		}
 	}
-	slices.SortFunc(some, func(a, b *readerState) int {
+	slices.SortFunc(fresh, func(a, b *readerState) int {
 		return cmp.Or(cmp.Compare(b.Index, a.Index), cmp.Compare(a.Reader, b.Reader))
 	})
-	return some
+	return fresh
 }
 
 // mergeReadings returns the list that the readings make together; readers are sorted as by
@@ -286,7 +286,7 @@
 	orders.apply(want, agreed.Entries)
 	var stricter []Entry
 	for _, e := range Diff(agreed.Entries, want) {
-		if had := agreed.Entries[e.ID]; !Loosens(&had, &e) {
+		if old := agreed.Entries[e.ID]; !Loosens(&old, &e) {
 			stricter = append(stricter, e)
 		}
 	}
@@ -301,8 +301,8 @@
 		// A registry restored from a backup knows less than the agreed list. It may make entries
 		// stricter, but an operator must confirm whatever it loosens or removes.
 		for _, e := range diff {
-			had, ok := agreed.Entries[e.ID]
-			if Loosens(entryOrNil(ok, &had), &e) || e.State == Terminated {
+			old, ok := agreed.Entries[e.ID]
+			if Loosens(entryOrNil(ok, &old), &e) || e.State == Terminated {
 				hold = append(hold, e)
 			} else {
 				pass = append(pass, e)
@@ -312,18 +312,18 @@
 	}
 	bulk := m.bulkRemovals(agreed, diff)
 	for _, e := range diff {
-		had, ok := agreed.Entries[e.ID]
+		old, ok := agreed.Entries[e.ID]
 		switch {
 		case len(bulk) > 0 && e.State == Terminated:
 			hold = append(hold, e)
-		case len(bulk) > 0 && ok && strictness(e.State) > strictness(had.State):
+		case len(bulk) > 0 && ok && strictness(e.State) > strictness(old.State):
 			hold = append(hold, e)
-		case ok && e.State != Terminated && had.Addr != e.Addr && had.StartedMS == e.StartedMS:
+		case ok && e.State != Terminated && old.Addr != e.Addr && old.StartedMS == e.StartedMS:
 			hold = append(hold, e)
-			reasons = append(reasons, fmt.Sprintf("%s moved from %s to %s without a start", e.ID, had.Addr, e.Addr))
-		case ok && e.State != Terminated && e.StartedMS < had.StartedMS:
+			reasons = append(reasons, fmt.Sprintf("%s moved from %s to %s without a start", e.ID, old.Addr, e.Addr))
+		case ok && e.State != Terminated && e.StartedMS < old.StartedMS:
 			hold = append(hold, e)
-			reasons = append(reasons, fmt.Sprintf("%s started at %d and now says %d", e.ID, had.StartedMS, e.StartedMS))
+			reasons = append(reasons, fmt.Sprintf("%s started at %d and now says %d", e.ID, old.StartedMS, e.StartedMS))
 		default:
 			pass = append(pass, e)
 		}
@@ -351,8 +351,8 @@
 		}
 	}
 	for _, e := range diff {
-		if had, ok := agreed.Entries[e.ID]; ok && had.State == InService && e.State != InService {
-			for _, g := range groups(had) {
+		if old, ok := agreed.Entries[e.ID]; ok && old.State == InService && e.State != InService {
+			for _, g := range groups(old) {
 				gone[g]++
 			}
 		}
--- a/internal/membership/orders.go
+++ b/internal/membership/orders.go
@@ -26,13 +26,13 @@
 func (o Orders) apply(want, have map[string]Entry) {
 	for id, order := range o {
 		e, ok := want[id]
-		had, agreed := have[id]
+		old, agreed := have[id]
 		switch {
 		case ok && order.Do == Drain && strictness(e.State) < strictness(Terminating):
 			e.State = Terminating
 			want[id] = e
-		case ok && agreed && order.Do == Hold && Loosens(&had, &e):
-			want[id] = had
+		case ok && agreed && order.Do == Hold && Loosens(&old, &e):
+			want[id] = old
 		}
 	}
 }
@@ -52,8 +52,8 @@
 	if _, ok := list.Entries[order.ID]; !ok {
 		return fmt.Errorf("%s is not in the list", order.ID)
 	}
-	if had, ok := o[order.ID]; ok && had.Owner != order.Owner {
-		return fmt.Errorf("%s has an order by %s (%s: %s)", order.ID, had.Owner, had.Do, had.Why)
+	if old, ok := o[order.ID]; ok && old.Owner != order.Owner {
+		return fmt.Errorf("%s has an order by %s (%s: %s)", order.ID, old.Owner, old.Do, old.Why)
 	}
 	return nil
 }
