--- a/internal/appliance/console.go
+++ b/internal/appliance/console.go
@@ -80,8 +80,8 @@
 				return
 			}
 			var r Reply
-			word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-			switch word {
+			command, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
+			switch command {
 			case stateCommand:
 				r = p.State()
 			case reloadCommand:
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -32,7 +32,7 @@
 // Lists configures how dispatchers agree on the list of replicas.
 type Lists struct {
 	Readers int     `json:"readers"`  // how many dispatchers read the registry at once; 2 if not set
-	NamedBy string  `json:"named_by"` // "agreed" (default): the agreed list names a replica; "own": the own registry must name it too
+	NamedBy string  `json:"named_by"` // ByAgreed (default): the agreed list names a replica; ByOwn: the own registry must name it too
 	Bulk    float64 `json:"bulk"`     // share of a role or zone that may leave at once without a second reading; 0.5 if not set
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where the configuration is read, checked and given defaults. Errors
-// name the key at fault.
+// Package config is the one place where the configuration is read, checked and given defaults.
+// Errors name the key at fault.
 package config
 
 import (
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,14 +23,14 @@
 		!u.Servers[0].LastBoot.Equal(time.UnixMilli(1500)) {
 		t.Errorf("got %+v", u)
 	}
-	for text, word := range map[string]string{
+	for text, substring := range map[string]string{
 		`{"servers":[{"id":"s","addr":"a:1","state":"lost"}]}`: "servers[0].state",
 		`{"servers":[{"addr":"a:1","state":"in_service"}]}`:    "servers[0]",
 		`{"servers":[{"id":"s","state":"in_service"}]}`:        "servers[0]",
 		`{"servers":7}`: "list of replicas",
 		`{"servers":[{"id":"s","addr":"a:1","state":"in_service"},{"id":"s","addr":"b:1","state":"in_service"}]}`: "servers[1].id",
 	} {
-		if _, err := discovery.Decode([]byte(text)); err == nil || !strings.Contains(err.Error(), word) {
+		if _, err := discovery.Decode([]byte(text)); err == nil || !strings.Contains(err.Error(), substring) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -77,8 +77,8 @@
 	gone := unknownKind
 	gone.State = "terminated"
 	for i, c := range []struct {
-		list discovery.List
-		word string // of the error; "" for none
+		list      discovery.List
+		substring string // of the error; "" for none
 	}{
 		{discovery.List{Full: true, Servers: []discovery.Entry{entry}}, ""},
 		{discovery.List{Servers: []discovery.Entry{gone}}, ""},
@@ -86,8 +86,8 @@
 		{discovery.List{Full: true}, "no replica"},
 		{discovery.List{Servers: []discovery.Entry{entry, unknownKind}}, `servers[1].kind: "unheard"`},
 	} {
-		if err := c.list.CheckKinds(kinds); (err == nil) != (c.word == "") || err != nil && !strings.Contains(err.Error(), c.word) {
-			t.Errorf("case %d: %v, want %q", i, err, c.word)
+		if err := c.list.CheckKinds(kinds); (err == nil) != (c.substring == "") || err != nil && !strings.Contains(err.Error(), c.substring) {
+			t.Errorf("case %d: %v, want %q", i, err, c.substring)
 		}
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,7 +44,8 @@
 	dialTimeout  = 250 * time.Millisecond
 	maxListBytes = 4 << 20
 
-	reconnectDelay       = 50 * time.Millisecond   // after a broken connection; a watch continues only if the next call comes within 200 ms
+	// After a broken connection. A watch continues only if the next call comes within 200 ms.
+	reconnectDelay       = 50 * time.Millisecond
 	backoffPerDispatcher = 100 * time.Millisecond  // after a rejected call, times the number of dispatchers that share the service
 	maxBackoff           = 2250 * time.Millisecond // limit of the exponential backoff
 )
@@ -105,7 +106,9 @@
 			}
 			w.closeConn()
 			wait := reconnectDelay
-			if errors.Is(err, errUnusable) { // the agent is reachable; the next watch returns changes at once, so no catch-up call is needed
+			if errors.Is(err, errUnusable) {
+				// The agent is reachable. The next watch returns any change at once, so no catch-up call is
+				// needed.
 				wait = w.backoff(rejected)
 				rejected++
 			} else {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -74,7 +74,8 @@
 }
 
 func (c call) reply(status, text string) {
-	_, _ = fmt.Fprintf(c.conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text) // fails if the watcher has closed the connection
+	// Fails if the watcher has closed the connection.
+	_, _ = fmt.Fprintf(c.conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text)
 }
 
 func startWatcher(t *testing.T, w *discovery.Watcher) chan dispatch.Update {
