--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -87,7 +87,7 @@
 	case page != nil && page.After == "":
 		c.pending = &List{Number: page.Number, RegistryVersion: page.RegistryVersion, Entries: make(map[string]Entry, len(page.Entries))}
 	case page != nil && (c.pending == nil || c.after != page.After):
-		return false, fmt.Errorf("got the page after %q, want the one after %q", page.After, c.after)
+		return false, fmt.Errorf("a page after %q, wanted was one after %q", page.After, c.after)
 	case c.pending == nil && len(p.Changes) > 0:
 		next := c.List.Clone()
 		c.pending = &next
@@ -111,7 +111,7 @@
 	case at.After != "" || at.Number < p.Number:
 		return false, nil
 	case at.Number > p.Number:
-		return false, fmt.Errorf("the copy is at version %d, beyond the agreed version %d", at.Number, p.Number)
+		return false, fmt.Errorf("the copy is at version %d, and %d is agreed on", at.Number, p.Number)
 	}
 	if c.pending != nil {
 		c.List, c.pending = *c.pending, nil
