--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -28,9 +28,9 @@
 )
 
 const (
-	maxBody = 256 << 10
-	path    = "/v1/chat/completions"
-	models  = "/v1/models"
+	maxBody         = 256 << 10
+	completionsPath = "/v1/chat/completions"
+	modelsPath      = "/v1/models"
 
 	// statusMayHaveRun answers an instruction that may have run. The common libraries retry 408, 409, 429 and
 	// everything from 500 on by themselves, and broken connections; they leave this one alone, and
@@ -49,7 +49,7 @@
 type Front struct {
 	core    *dispatch.Dispatcher
 	pool    *replica.Pool
-	set     Options
+	options Options
 	classes atomic.Pointer[map[string]logic.Class] // by model
 	ledger  *ledger
 	json    jsoniter.API
@@ -57,14 +57,14 @@
 
 // New makes the front of a core; its requests travel by the pool.
 func New(core *dispatch.Dispatcher, pool *replica.Pool, classes []logic.Class, set Options) (*Front, error) {
-	f := &Front{core: core, pool: pool, set: set, ledger: newLedger(), json: jsoniter.ConfigCompatibleWithStandardLibrary}
+	f := &Front{core: core, pool: pool, options: set, ledger: newLedger(), json: jsoniter.ConfigCompatibleWithStandardLibrary}
 	return f, f.UpdateClasses(classes)
 }
 
 // UpdateClasses puts other classes in force for the requests to come, or says which model lacks its own.
 func (f *Front) UpdateClasses(classes []logic.Class) error {
 	byModel := map[string]logic.Class{}
-	for model, name := range f.set.Models {
+	for model, name := range f.options.Models {
 		for _, c := range classes {
 			if c.Name == name {
 				byModel[model] = c
@@ -81,25 +81,25 @@
 // Server gives the front's server.
 func (f *Front) Server() *fasthttp.Server {
 	return front.NewServer(f.core, f.serve, func(ctx *fasthttp.RequestCtx, status int, text string) {
-		f.fail(ctx, &fault{status, "invalid_request", "", text})
+		f.writeError(ctx, &requestError{status, "invalid_request", "", text})
 	}, maxBody)
 }
 
 func (f *Front) serve(ctx *fasthttp.RequestCtx, body []byte) {
 	received := front.ReceivedAt(ctx)
 	switch p := string(ctx.Path()); {
-	case p == path && ctx.IsPost():
+	case p == completionsPath && ctx.IsPost():
 		if err := f.complete(ctx, body, received); err != nil {
-			f.fail(ctx, err)
+			f.writeError(ctx, err)
 		}
-	case p == models && ctx.IsGet():
-		f.list(ctx)
+	case p == modelsPath && ctx.IsGet():
+		f.listModels(ctx)
 	case p == "/-/ready":
 		front.ServeReadiness(ctx, f.core)
-	case p == path || p == models:
-		f.fail(ctx, &fault{fasthttp.StatusMethodNotAllowed, "method_not_allowed", "", "the method is not allowed here"})
+	case p == completionsPath || p == modelsPath:
+		f.writeError(ctx, &requestError{fasthttp.StatusMethodNotAllowed, "method_not_allowed", "", "the method is not allowed here"})
 	default:
-		f.fail(ctx, &fault{fasthttp.StatusNotFound, "unknown_url", "", "no such path"})
+		f.writeError(ctx, &requestError{fasthttp.StatusNotFound, "unknown_url", "", "no such path"})
 	}
 }
 
@@ -111,60 +111,60 @@
 	}
 	class, ok := (*f.classes.Load())[b.Model]
 	if !ok {
-		return &fault{fasthttp.StatusNotFound, "model_not_found", "model", fmt.Sprintf("the model %q does not exist", b.Model)}
+		return &requestError{fasthttp.StatusNotFound, "model_not_found", "model", fmt.Sprintf("the model %q does not exist", b.Model)}
 	}
-	ask, err := b.ask(class, f.set.MaxOutput)
+	ask, err := b.toRequest(class, f.options.MaxOutput)
 	if err != nil {
 		return err
 	}
 	h := &ctx.Request.Header
-	ask.Remaining = patience(h, class, ask.PromptTokens)
-	ask.Retried = repeated(h)
+	ask.Remaining = clientTimeout(h, class, ask.PromptTokens)
+	ask.Retried = isRetry(h)
 	if !b.Stream {
-		if text, err = streamed(text); err != nil {
+		if text, err = withStreaming(text); err != nil {
 			return invalid("", err.Error())
 		}
 	}
-	id := newID()
+	id := newRequestID()
 	ctx.Response.Header.Set("X-Request-Id", id)
 
 	done := func(mayHaveRun bool) {}
-	var noted dispatch.IntentRecorder
+	var recorded dispatch.IntentRecorder
 	switch {
-	case class.Repeat == logic.Unsafe && f.set.Ledger != nil:
-		noted, err = once.Admit(f.set.Ledger, h, customer(h, b), text, ask.Retried, received.Add(ask.Remaining))
+	case class.Repeat == logic.Unsafe && f.options.Ledger != nil:
+		recorded, err = once.Admit(f.options.Ledger, h, customerOf(h, b), text, ask.Retried, received.Add(ask.Remaining))
 		if bookkeeping.MayHaveRun(err) {
-			f.mayHaveRun(ctx, err.Error())
+			f.writeMayHaveRun(ctx, err.Error())
 			return nil
 		} else if err != nil {
-			f.overloaded(ctx, time.Second, err.Error())
+			f.writeOverloaded(ctx, time.Second, err.Error())
 			return nil
 		}
 	case class.Repeat != logic.Safe:
-		key, named := f.mark(h, b, text)
-		known, full := f.ledger.enter(key, named || ask.Retried)
+		key, named := f.instructionKey(h, b, text)
+		known, full := f.ledger.begin(key, named || ask.Retried)
 		switch {
 		case known:
-			f.mayHaveRun(ctx, "this instruction was taken before and may have run: it is not sent again")
+			f.writeMayHaveRun(ctx, "this instruction was taken before and may have run: it is not sent again")
 			return nil
 		case full:
-			f.overloaded(ctx, time.Second, "too many instructions are remembered")
+			f.writeOverloaded(ctx, time.Second, "too many instructions are remembered")
 			return nil
 		}
-		done = func(mayHaveRun bool) { f.ledger.close(key, mayHaveRun) }
+		done = func(mayHaveRun bool) { f.ledger.finish(key, mayHaveRun) }
 	}
-	t := f.core.Submit(dispatch.Request{ID: id, Spec: ask, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: noted, Payload: &replica.Parcel{
-		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: path, Host: string(h.Host()), Body: text,
-		Headers: headers(ask, h)}})
+	t := f.core.Submit(dispatch.Request{ID: id, Spec: ask, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: recorded, Payload: &replica.Parcel{
+		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: completionsPath, Host: string(h.Host()), Body: text,
+		Headers: upstreamHeaders(ask, h)}})
 	a, stop := front.AwaitAnswer(ctx, t)
 	done(a.MayRun || a.Verdict == dispatch.Served)
-	f.answer(ctx, t, a, stop, b, class)
+	f.writeAnswer(ctx, t, a, stop, b, class)
 	front.SetSettingsHeader(ctx, a)
 	return nil
 }
 
-// answer words the final answer.
-func (f *Front) answer(ctx *fasthttp.RequestCtx, t *dispatch.Ticket, a dispatch.Answer, stop func(), b *body, class logic.Class) {
+// writeAnswer words the final writeAnswer.
+func (f *Front) writeAnswer(ctx *fasthttp.RequestCtx, t *dispatch.Ticket, a dispatch.Answer, stop func(), b *body, class logic.Class) {
 	unsafe := class.Repeat != logic.Safe
 	switch a.Verdict {
 	case dispatch.Served:
@@ -172,7 +172,7 @@
 		if b.Stream {
 			ctx.SetContentType("text/event-stream")
 			ctx.Response.Header.Set("Cache-Control", "no-cache")
-			ctx.Response.SetBodyStream(&events{StreamBody: relay}, -1)
+			ctx.Response.SetBodyStream(&eventRelay{StreamBody: relay}, -1)
 			return
 		}
 		defer relay.Close() //nolint:errcheck // it has no error
@@ -181,76 +181,76 @@
 		err := collect(a.Stream, c)
 		switch {
 		case err == nil:
-			f.write(ctx, fasthttp.StatusOK, c)
+			f.writeJSON(ctx, fasthttp.StatusOK, c)
 		case unsafe:
-			f.mayHaveRun(ctx, "the answer broke off; the instruction may have run")
+			f.writeMayHaveRun(ctx, "the answer broke off; the instruction may have run")
 		default:
-			f.fail(ctx, &fault{fasthttp.StatusBadGateway, "upstream_error", "", "the answer broke off"})
+			f.writeError(ctx, &requestError{fasthttp.StatusBadGateway, "upstream_error", "", "the answer broke off"})
 		}
 	case dispatch.Refused:
-		f.overloaded(ctx, a.RetryAfter, a.Reason)
+		f.writeOverloaded(ctx, a.RetryAfter, a.Reason)
 	case dispatch.Failed:
 		if unsafe && a.MayRun {
-			f.mayHaveRun(ctx, "no answer came; the instruction may have run")
+			f.writeMayHaveRun(ctx, "no answer came; the instruction may have run")
 		} else {
-			f.fail(ctx, &fault{fasthttp.StatusBadGateway, "upstream_error", "", a.Reason})
+			f.writeError(ctx, &requestError{fasthttp.StatusBadGateway, "upstream_error", "", a.Reason})
 		}
 	case dispatch.ClientLeft:
 		ctx.SetConnectionClose()
 	}
 }
 
-// events passes a stream's events on unchanged. A stream that breaks off ends with an error event and without
-// the last chunk: libraries raise either, and none sends the request anew once events have come.
-type events struct {
+// eventRelay passes a stream's eventRelay on unchanged. A stream that breaks off ends with an error event and without
+// the last chunk: libraries raise either, and none sends the request anew once eventRelay have come.
+type eventRelay struct {
 	*front.StreamBody
-	tail   [64]byte // the last bytes passed on
-	n      int
-	broken error
+	tail    [64]byte // the last bytes passed on
+	tailLen int
+	broken  error
 }
 
 var doneEvent = []byte("data: [DONE]\n\n")
 
-func (e *events) Read(p []byte) (int, error) {
+func (e *eventRelay) Read(p []byte) (int, error) {
 	if e.broken != nil {
 		return 0, e.broken
 	}
 	n, err := e.StreamBody.Read(p)
-	e.keep(p[:n])
+	e.recordTail(p[:n])
 	switch {
 	case err == nil:
 		return n, nil
-	case err == io.EOF && bytes.Contains(e.tail[:e.n], []byte("[DONE]")):
+	case err == io.EOF && bytes.Contains(e.tail[:e.tailLen], []byte("[DONE]")):
 		return 0, io.EOF
 	case err == io.EOF:
-		e.keep(doneEvent)
+		e.recordTail(doneEvent)
 		return copy(p, doneEvent), nil
 	}
 	e.broken = err
 	return copy(p, "\n\ndata: {\"error\":{\"message\":\"the answer broke off\",\"type\":\"server_error\",\"param\":null,\"code\":\"stream_broken\"}}\n\n"), nil
 }
 
-func (e *events) keep(p []byte) {
+func (e *eventRelay) recordTail(p []byte) {
 	if len(p) >= len(e.tail) {
-		e.n = copy(e.tail[:], p[len(p)-len(e.tail):])
+		e.tailLen = copy(e.tail[:], p[len(p)-len(e.tail):])
 		return
 	}
-	if over := e.n + len(p) - len(e.tail); over > 0 {
-		e.n = copy(e.tail[:], e.tail[over:e.n])
+	if over := e.tailLen + len(p) - len(e.tail); over > 0 {
+		e.tailLen = copy(e.tail[:], e.tail[over:e.tailLen])
 	}
-	e.n += copy(e.tail[e.n:], p)
+	e.tailLen += copy(e.tail[e.tailLen:], p)
 }
 
-// mark names an instruction: by the client's key if it gave one, else by its words.
-func (f *Front) mark(h *fasthttp.RequestHeader, b *body, text []byte) (key uint64, named bool) {
+// instructionKey names an instruction: by the client's key if it gave one, else by its words.
+func (f *Front) instructionKey(h *fasthttp.RequestHeader, b *body, text []byte) (key uint64, named bool) {
 	if k := h.Peek(once.KeyHeader); len(k) > 0 {
 		return hash("key", b.User, string(k)), true
 	}
 	return hash("words", string(h.Peek("Authorization")), string(text)), false
 }
 
-// customer names who asks: as the request's user, or by what it authorises itself with.
-func customer(h *fasthttp.RequestHeader, b *body) string {
+// customerOf names who asks: as the request's user, or by what it authorises itself with.
+func customerOf(h *fasthttp.RequestHeader, b *body) string {
 	if b.User != "" {
 		return b.User
 	}
@@ -258,12 +258,12 @@
 }
 
 // repeated tells whether a library says that it sends the request anew.
-func repeated(h *fasthttp.RequestHeader) bool {
+func isRetry(h *fasthttp.RequestHeader) bool {
 	n, err := strconv.Atoi(string(h.Peek("X-Stainless-Retry-Count")))
 	return err == nil && n > 0
 }
 
-func headers(q logic.Request, h *fasthttp.RequestHeader) [][2]string {
+func upstreamHeaders(q logic.Request, h *fasthttp.RequestHeader) [][2]string {
 	props := fmt.Sprintf("prompt_len=%d,max_out=%d", q.PromptTokens, q.MaxOutput)
 	if q.Prefix != 0 {
 		props = fmt.Sprintf("prefix=%016x,prefix_len=%d,", q.Prefix, q.PrefixTokens) + props
@@ -276,7 +276,7 @@
 	return all
 }
 
-func newID() string {
+func newRequestID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
@@ -294,10 +294,10 @@
 	} `json:"error"`
 }
 
-func (f *Front) fail(ctx *fasthttp.RequestCtx, err error) {
-	var x *fault
+func (f *Front) writeError(ctx *fasthttp.RequestCtx, err error) {
+	var x *requestError
 	if !errors.As(err, &x) {
-		x = &fault{fasthttp.StatusInternalServerError, "internal_error", "", err.Error()}
+		x = &requestError{fasthttp.StatusInternalServerError, "internal_error", "", err.Error()}
 	}
 	var e apiError
 	e.Error.Message, e.Error.Code, e.Error.Type = x.text, x.code, "invalid_request_error"
@@ -307,24 +307,24 @@
 	if x.param != "" {
 		e.Error.Param = &x.param
 	}
-	f.write(ctx, x.status, &e)
+	f.writeJSON(ctx, x.status, &e)
 }
 
-func (f *Front) mayHaveRun(ctx *fasthttp.RequestCtx, text string) {
-	f.fail(ctx, &fault{statusMayHaveRun, "may_have_run", "", text})
+func (f *Front) writeMayHaveRun(ctx *fasthttp.RequestCtx, text string) {
+	f.writeError(ctx, &requestError{statusMayHaveRun, "may_have_run", "", text})
 	ctx.Response.Header.Set("X-Should-Retry", "false")
 }
 
 // overloaded refuses: nothing has run, and the client learns when to come back. Retry-After is in whole seconds,
 // as most clients read it; Retry-After-Ms is exact.
-func (f *Front) overloaded(ctx *fasthttp.RequestCtx, after time.Duration, text string) {
-	f.fail(ctx, &fault{fasthttp.StatusServiceUnavailable, "overloaded", "", text})
+func (f *Front) writeOverloaded(ctx *fasthttp.RequestCtx, after time.Duration, text string) {
+	f.writeError(ctx, &requestError{fasthttp.StatusServiceUnavailable, "overloaded", "", text})
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	ctx.Response.Header.Set("Retry-After-Ms", strconv.FormatInt(after.Milliseconds(), 10))
 	ctx.Response.Header.Set("X-Should-Retry", "true")
 }
 
-func (f *Front) write(ctx *fasthttp.RequestCtx, status int, v any) {
+func (f *Front) writeJSON(ctx *fasthttp.RequestCtx, status int, v any) {
 	text, err := f.json.Marshal(v)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
@@ -335,8 +335,8 @@
 	ctx.SetBody(text)
 }
 
-// list names the models.
-func (f *Front) list(ctx *fasthttp.RequestCtx) {
+// listModels names the models.
+func (f *Front) listModels(ctx *fasthttp.RequestCtx) {
 	type model struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
@@ -351,5 +351,5 @@
 		all.Data = append(all.Data, model{name, "model", 0, "standpulley"})
 	}
 	sort.Slice(all.Data, func(i, j int) bool { return all.Data[i].ID < all.Data[j].ID })
-	f.write(ctx, fasthttp.StatusOK, &all)
+	f.writeJSON(ctx, fasthttp.StatusOK, &all)
 }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -36,13 +36,13 @@
 }
 
 // sdk is a client as members' applications use it, with its retries as they are by default.
-func sdk(addr string, more ...option.RequestOption) *openai.Client {
+func newSDKClient(addr string, more ...option.RequestOption) *openai.Client {
 	c := openai.NewClient(append([]option.RequestOption{option.WithBaseURL("http://" + addr + "/v1"),
 		option.WithAPIKey("none")}, more...)...)
 	return &c
 }
 
-func params(model string) openai.ChatCompletionNewParams {
+func sdkParams(model string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{Model: model, Messages: []openai.ChatCompletionMessageParamUnion{
 		openai.SystemMessage("You serve the members of a credit union."), openai.UserMessage("Pay the light bill.")}}
 }
@@ -50,7 +50,7 @@
 // post sends a request by hand.
 func post(t *testing.T, addr, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
-	req, err := http.NewRequest("POST", "http://"+addr+path, strings.NewReader(body))
+	req, err := http.NewRequest("POST", "http://"+addr+completionsPath, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 }
 
 // first plays one script once and the other from then on, whichever replica is asked.
-func first(once, then func(*standin.Exchange)) func(*standin.Exchange) {
+func firstThen(once, then func(*standin.Exchange)) func(*standin.Exchange) {
 	var played atomic.Bool
 	return func(x *standin.Exchange) {
 		if played.CompareAndSwap(false, true) {
@@ -84,13 +84,13 @@
 	}
 }
 
-func one(model string, stream bool) string {
+func requestBody(model string, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":"hello"}]}`, model, stream)
 }
 
-func TestStreamedAnswerComesWholeAndUnchanged(t *testing.T) {
+func TestStreamIsRelayedUnchanged(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("light ", "bill ", "paid") })
-	s := sdk(addr).Chat.Completions.NewStreaming(context.Background(), params("act"))
+	s := newSDKClient(addr).Chat.Completions.NewStreaming(context.Background(), sdkParams("act"))
 	text := ""
 	for s.Next() {
 		for _, c := range s.Current().Choices {
@@ -105,40 +105,40 @@
 		!strings.Contains(call.Header["X-Props"], "max_out=400") || call.Header["X-Object"] == "" {
 		t.Errorf("the replica was told %v", call.Header)
 	}
-	if resp, body := post(t, addr, one("ask", true)); resp.Header.Get("Content-Type") != "text/event-stream" ||
+	if resp, body := post(t, addr, requestBody("ask", true)); resp.Header.Get("Content-Type") != "text/event-stream" ||
 		!strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "[DONE]") != 1 {
 		t.Errorf("%v: %q", resp.Header, body)
 	}
 }
 
 // Guards: servers that know one stage only, as plain servers of the API do, stand behind the same core and rules.
-func TestPlainServers(t *testing.T) {
+func TestMixedServers(t *testing.T) {
 	rig, addr := start(t, nil, func(x *standin.Exchange) { x.Answer("one ", "stage") })
-	c, err := sdk(addr).Chat.Completions.New(context.Background(), params("act"))
+	c, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act"))
 	if err != nil || c.Choices[0].Message.Content != "one stage" || rig.WriterRequests() != 1 {
 		t.Errorf("got %v, %v after %d sends", c, err, rig.WriterRequests())
 	}
 	broken, addr := start(t, nil, func(x *standin.Exchange) { x.Break() })
-	if _, err := sdk(addr).Chat.Completions.New(context.Background(), params("act")); err == nil || broken.WriterRequests() != 1 {
+	if _, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act")); err == nil || broken.WriterRequests() != 1 {
 		t.Errorf("got %v after %d sends", err, broken.WriterRequests())
 	}
 }
 
 // Guards: replicas may end a whole stream without [DONE], which libraries of the API wait for.
-func TestDoneIsAddedWhereItLacks(t *testing.T) {
+func TestMissingDoneEventIsAdded(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		x.Token("x")
 		_, _ = io.WriteString(x.Conn, "0\r\n\r\n")
 	})
-	if _, body := post(t, addr, one("ask", true)); !strings.HasSuffix(body, "data: [DONE]\n\n") {
+	if _, body := post(t, addr, requestBody("ask", true)); !strings.HasSuffix(body, "data: [DONE]\n\n") {
 		t.Errorf("got %q", body)
 	}
 }
 
-func TestAnswerInOnePiece(t *testing.T) {
+func TestNonStreamingAnswer(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("a", "b") })
-	c, err := sdk(addr).Chat.Completions.New(context.Background(), params("ask"))
+	c, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("ask"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	if body := rig.Writers[0].Calls("POST")[0].Body; !strings.Contains(body, `"stream":true`) {
 		t.Errorf("the replica was sent %s", body)
 	}
-	if page, err := sdk(addr).Models.List(context.Background()); err != nil || len(page.Data) != 2 {
+	if page, err := newSDKClient(addr).Models.List(context.Background()); err != nil || len(page.Data) != 2 {
 		t.Errorf("models: %v, %v", page, err)
 	}
 }
@@ -163,7 +163,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig, addr := start(t, fronttest.HealthyReader, act, act)
-			_, err := sdk(addr).Chat.Completions.New(context.Background(), params("act"))
+			_, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act"))
 			var e *openai.Error
 			if !errors.As(err, &e) || e.StatusCode != statusMayHaveRun || e.Code != "may_have_run" {
 				t.Errorf("got %v", err)
@@ -181,7 +181,7 @@
 // Guards: the library gives up by its own time and sends the instruction anew, while the first may be running.
 func TestInstructionAbandonedByItsClientIsNotRunAgain(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone() })
-	_, err := sdk(addr, option.WithRequestTimeout(time.Second)).Chat.Completions.New(context.Background(), params("act"))
+	_, err := newSDKClient(addr, option.WithRequestTimeout(time.Second)).Chat.Completions.New(context.Background(), sdkParams("act"))
 	if err == nil {
 		t.Error("it was answered")
 	}
@@ -195,7 +195,7 @@
 // nothing more goes out, also when its library comes again.
 func TestClientDropsMidStreamDuringAnInstruction(t *testing.T) {
 	gone := make(chan bool, 1)
-	act := first(func(x *standin.Exchange) {
+	act := firstThen(func(x *standin.Exchange) {
 		x.Head()
 		x.Token("half")
 		x.Gone()
@@ -207,8 +207,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body := one("act", true)
-	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k1\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
+	body := requestBody("act", true)
+	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k1\r\nContent-Length: %d\r\n\r\n%s", completionsPath, len(body), body)
 	br := bufio.NewReader(c)
 	for line := ""; !strings.Contains(line, "data:"); {
 		if line, err = br.ReadString('\n'); err != nil {
@@ -236,7 +236,7 @@
 		stall := func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Gone() }
 		rig, addr := start(t, fronttest.HealthyReader, stall, stall)
 		from := time.Now()
-		_, body := post(t, addr, one(model, true))
+		_, body := post(t, addr, requestBody(model, true))
 		if !strings.Contains(body, "half") || !strings.Contains(body, "stream_broken") || !strings.HasSuffix(body, "(cut)") ||
 			strings.Contains(body, "[DONE]") {
 			t.Errorf("%s: got %q", model, body)
@@ -248,7 +248,7 @@
 			t.Errorf("%s: %d sends to writers", model, n)
 		}
 		want := map[string]int{"ask": 502, "act": statusMayHaveRun}[model]
-		if resp, body := post(t, addr, one(model, false)); resp.StatusCode != want || rig.WriterRequests() != 2 {
+		if resp, body := post(t, addr, requestBody(model, false)); resp.StatusCode != want || rig.WriterRequests() != 2 {
 			t.Errorf("%s in one piece: %d %s after %d sends in all", model, resp.StatusCode, body, rig.WriterRequests())
 		}
 	}
@@ -266,7 +266,7 @@
 	}
 	const requests = 20
 	var mu sync.Mutex
-	runs, turned := map[int]int{}, map[int]bool{}
+	runs, rejected := map[int]int{}, map[int]bool{}
 	act := func(x *standin.Exchange) {
 		var n int
 		text := string(x.Req.Body())
@@ -274,13 +274,13 @@
 			t.Error(err)
 		}
 		mu.Lock()
-		turnAway := n%2 == 0 && !turned[n] // every other one is turned away first, which proves that it never ran
-		turned[n] = true
-		if !turnAway {
+		reject := n%2 == 0 && !rejected[n] // every other one is turned away first, which proves that it never ran
+		rejected[n] = true
+		if !reject {
 			runs[n]++
 		}
 		mu.Unlock()
-		if turnAway {
+		if reject {
 			x.Status(503, true, "")
 			return
 		}
@@ -290,13 +290,13 @@
 	var wg sync.WaitGroup
 	for n := range requests {
 		wg.Go(func() {
-			q := params("act")
+			q := sdkParams("act")
 			q.Messages[1] = openai.UserMessage(fmt.Sprintf("pay #%d", n))
 			if n%4 < 2 {
-				_, _ = sdk(addr).Chat.Completions.New(context.Background(), q) // what counts is what ran
+				_, _ = newSDKClient(addr).Chat.Completions.New(context.Background(), q) // what counts is what ran
 				return
 			}
-			for s := sdk(addr).Chat.Completions.NewStreaming(context.Background(), q); s.Next(); {
+			for s := newSDKClient(addr).Chat.Completions.NewStreaming(context.Background(), q); s.Next(); {
 			}
 		})
 	}
@@ -322,10 +322,10 @@
 }
 
 // Guards: an enquiry may be repeated, and its client sees nothing of it.
-func TestEnquiryIsSentAgain(t *testing.T) {
-	act := first(func(x *standin.Exchange) { x.Break() }, func(x *standin.Exchange) { x.Answer("ok") })
+func TestEnquiryIsRetried(t *testing.T) {
+	act := firstThen(func(x *standin.Exchange) { x.Break() }, func(x *standin.Exchange) { x.Answer("ok") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
-	c, err := sdk(addr, option.WithMaxRetries(0)).Chat.Completions.New(context.Background(), params("ask"))
+	c, err := newSDKClient(addr, option.WithMaxRetries(0)).Chat.Completions.New(context.Background(), sdkParams("ask"))
 	if err != nil || c.Choices[0].Message.Content != "ok" {
 		t.Errorf("got %v, %v", c, err)
 	}
@@ -335,15 +335,15 @@
 }
 
 // Guards: a refusal proves that nothing ran: it tells when to come back, and an instruction may come again.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full)
-	resp, body := post(t, addr, one("act", false))
+	resp, body := post(t, addr, requestBody("act", false))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Should-Retry") != "true" ||
 		!strings.Contains(body, `"code":"overloaded"`) || !strings.Contains(body, `"type":"server_error"`) {
 		t.Errorf("%d %v %s", resp.StatusCode, resp.Header, body)
 	}
-	if resp, _ := post(t, addr, one("act", false), "X-Stainless-Retry-Count", "1"); resp.StatusCode != 503 {
+	if resp, _ := post(t, addr, requestBody("act", false), "X-Stainless-Retry-Count", "1"); resp.StatusCode != 503 {
 		t.Errorf("its repeat got %d", resp.StatusCode)
 	}
 	fronttest.WaitFor(t, "the release of what was read", func() bool {
@@ -378,14 +378,14 @@
 }
 
 // Guards: turns of a conversation share a session, conversations with the same opening share a prefix.
-func TestSessionAndOpening(t *testing.T) {
+func TestSessionAndPrefix(t *testing.T) {
 	class := fronttest.Settings().Classes[0]
 	ask := func(text string) (session, prefix uint64) {
 		b, err := parse([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		q, err := b.ask(class, 10)
+		q, err := b.toRequest(class, 10)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -399,7 +399,7 @@
 	}
 }
 
-func TestModelsMustNameClasses(t *testing.T) {
+func TestModelsMustNameKnownClasses(t *testing.T) {
 	rig := fronttest.Start(t, fronttest.HealthyReader)
 	if _, err := New(rig.Core, rig.Pool, fronttest.Settings().Classes, Options{Models: map[string]string{"m": "none"}}); err == nil || !strings.Contains(err.Error(), "chat.models.m") {
 		t.Errorf("got %v", err)
--- a/internal/front/chat/collect.go
+++ b/internal/front/chat/collect.go
@@ -69,8 +69,8 @@
 func collect(s dispatch.Stream, c *completion) error {
 	var text, refusal bytes.Buffer
 	tools := map[int]*toolCall{}
-	one := choice{Message: reply{Role: "assistant"}}
-	var rest []byte
+	result := choice{Message: reply{Role: "assistant"}}
+	var buffered []byte
 	total := 0
 	for {
 		piece, err := s.Next()
@@ -83,25 +83,25 @@
 		if total += len(piece); total > maxAnswer {
 			return errTooLong
 		}
-		rest = append(rest, piece...)
+		buffered = append(buffered, piece...)
 		for {
-			line, after, whole := bytes.Cut(rest, []byte("\n"))
-			if !whole {
+			line, after, complete := bytes.Cut(buffered, []byte("\n"))
+			if !complete {
 				break
 			}
-			rest = after
+			buffered = after
 			data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data:"))
 			if data = bytes.TrimSpace(data); !ok || string(data) == "[DONE]" {
 				continue
 			}
-			var k chunk
-			if err := jsoniter.Unmarshal(data, &k); err != nil {
+			var event chunk
+			if err := jsoniter.Unmarshal(data, &event); err != nil {
 				return err
 			}
-			if len(k.Usage) > 0 && string(k.Usage) != "null" {
-				c.Usage = append(jsoniter.RawMessage(nil), k.Usage...)
+			if len(event.Usage) > 0 && string(event.Usage) != "null" {
+				c.Usage = append(jsoniter.RawMessage(nil), event.Usage...)
 			}
-			for _, x := range k.Choices {
+			for _, x := range event.Choices {
 				if x.Delta.Content != nil {
 					text.WriteString(*x.Delta.Content)
 				}
@@ -109,33 +109,33 @@
 					refusal.WriteString(*x.Delta.Refusal)
 				}
 				if x.FinishReason != nil {
-					one.FinishReason = x.FinishReason
+					result.FinishReason = x.FinishReason
 				}
 				for _, t := range x.Delta.ToolCalls {
-					have := tools[t.Index]
-					if have == nil {
-						have = &toolCall{Index: t.Index, Type: "function"}
-						tools[t.Index] = have
+					call := tools[t.Index]
+					if call == nil {
+						call = &toolCall{Index: t.Index, Type: "function"}
+						tools[t.Index] = call
 					}
-					have.ID += t.ID
-					have.Function.Name += t.Function.Name
-					have.Function.Arguments += t.Function.Arguments
+					call.ID += t.ID
+					call.Function.Name += t.Function.Name
+					call.Function.Arguments += t.Function.Arguments
 				}
 			}
 		}
 	}
 	for _, t := range tools {
-		one.Message.ToolCalls = append(one.Message.ToolCalls, *t)
+		result.Message.ToolCalls = append(result.Message.ToolCalls, *t)
 	}
-	sort.Slice(one.Message.ToolCalls, func(i, j int) bool { return one.Message.ToolCalls[i].Index < one.Message.ToolCalls[j].Index })
+	sort.Slice(result.Message.ToolCalls, func(i, j int) bool { return result.Message.ToolCalls[i].Index < result.Message.ToolCalls[j].Index })
 	if text.Len() > 0 || len(tools) == 0 {
 		content := text.String()
-		one.Message.Content = &content
+		result.Message.Content = &content
 	}
 	if refusal.Len() > 0 {
-		said := refusal.String()
-		one.Message.Refusal = &said
+		refusalText := refusal.String()
+		result.Message.Refusal = &refusalText
 	}
-	c.Choices = []choice{one}
+	c.Choices = []choice{result}
 	return nil
 }
--- a/internal/front/chat/request.go
+++ b/internal/front/chat/request.go
@@ -30,29 +30,29 @@
 	Content jsoniter.RawMessage `json:"content"`
 }
 
-// fault is a request that is turned away before the core sees it, as the API words it.
-type fault struct {
+// requestError is a request that is turned away before the core sees it, as the API words it.
+type requestError struct {
 	status            int
 	code, param, text string
 }
 
-func (f *fault) Error() string { return f.text }
+func (f *requestError) Error() string { return f.text }
 
-func invalid(param, text string) *fault {
-	return &fault{fasthttp.StatusBadRequest, "invalid_value", param, text}
+func invalid(param, text string) *requestError {
+	return &requestError{fasthttp.StatusBadRequest, "invalid_value", param, text}
 }
 
 const (
-	tokenSize  = 4 // characters
-	maxOutput  = 1 << 20
-	maxWaitSec = 3600
+	charsPerToken = 4 // characters
+	maxOutput     = 1 << 20
+	maxTimeoutSec = 3600
 )
 
 // parse reads a request and checks what the front relies on.
 func parse(text []byte) (*body, error) {
 	var b body
 	if err := jsoniter.Unmarshal(text, &b); err != nil {
-		return nil, &fault{fasthttp.StatusBadRequest, "invalid_json", "", "the body is not a chat completion request: " + err.Error()}
+		return nil, &requestError{fasthttp.StatusBadRequest, "invalid_json", "", "the body is not a chat completion request: " + err.Error()}
 	}
 	switch {
 	case b.Model == "":
@@ -62,19 +62,19 @@
 	case b.N != nil && *b.N != 1:
 		return nil, invalid("n", "only n=1 is served")
 	}
-	for _, most := range []struct {
+	for _, limit := range []struct {
 		name string
 		v    *int64
 	}{{"max_tokens", b.MaxTokens}, {"max_completion_tokens", b.MaxCompletionTokens}} {
-		if most.v != nil && (*most.v < 1 || *most.v > maxOutput) {
-			return nil, invalid(most.name, most.name+" is out of range")
+		if limit.v != nil && (*limit.v < 1 || *limit.v > maxOutput) {
+			return nil, invalid(limit.name, limit.name+" is out of range")
 		}
 	}
 	return &b, nil
 }
 
-// content is the text of a message: a string, or parts of which the texts count.
-func (m *message) content() (string, error) {
+// contentText is the text of a message: a string, or parts of which the texts count.
+func (m *message) contentText() (string, error) {
 	var text string
 	if len(m.Content) == 0 || string(m.Content) == "null" {
 		return "", nil
@@ -95,10 +95,10 @@
 	return text, nil
 }
 
-// ask puts a request into the core's terms. The messages tell the conversation: its opening is the system's or
+// toRequest puts a request into the core's terms. The messages tell the conversation: its opening is the system's or
 // developer's first message, which other conversations may share, and each turn begins with the texts of the turn
 // before, so the opening with the user's first message names the session.
-func (b *body) ask(class logic.Class, output int64) (logic.Request, error) {
+func (b *body) toRequest(class logic.Class, output int64) (logic.Request, error) {
 	q := logic.Request{Class: class.Name, MaxOutput: output}
 	for _, v := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
 		if v != nil {
@@ -109,7 +109,7 @@
 	chars := 0
 	for i := range b.Messages {
 		m := &b.Messages[i]
-		text, err := m.content()
+		text, err := m.contentText()
 		if err != nil {
 			return q, invalid(fmt.Sprintf("messages[%d].content", i), err.Error())
 		}
@@ -119,7 +119,7 @@
 			if i == 0 {
 				opening = text
 				q.Prefix = hash(b.Model, text)
-				q.PrefixTokens = int64(utf8.RuneCountInString(text) / tokenSize)
+				q.PrefixTokens = int64(utf8.RuneCountInString(text) / charsPerToken)
 			}
 		case "user":
 			if first == "" {
@@ -130,7 +130,7 @@
 			return q, invalid(fmt.Sprintf("messages[%d].role", i), fmt.Sprintf("role %q is not known", m.Role))
 		}
 	}
-	q.PromptTokens = max(int64(chars/tokenSize), 1)
+	q.PromptTokens = max(int64(chars/charsPerToken), 1)
 	q.Session = hash(b.Model, b.User, opening, first)
 	return q, nil
 }
@@ -144,10 +144,10 @@
 }
 
 // patience is how long the client waits: what its library tells, but no longer than its class allows.
-func patience(h *fasthttp.RequestHeader, class logic.Class, tokens int64) time.Duration {
+func clientTimeout(h *fasthttp.RequestHeader, class logic.Class, tokens int64) time.Duration {
 	wait := class.Deadline + 2*time.Duration(tokens)*class.AimPer1K/1000 // the deadline grows twice as much as the aim
 	for _, name := range []string{"X-Stainless-Timeout", "X-Stainless-Read-Timeout"} {
-		if v, err := strconv.ParseFloat(string(h.Peek(name)), 64); err == nil && v > 0 && v < maxWaitSec {
+		if v, err := strconv.ParseFloat(string(h.Peek(name)), 64); err == nil && v > 0 && v < maxTimeoutSec {
 			wait = min(wait, time.Duration(v*float64(time.Second)))
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // streamed gives the body that asks replicas for a stream, which is the only form in which they answer.
-func streamed(text []byte) ([]byte, error) {
+func withStreaming(text []byte) ([]byte, error) {
 	all := map[string]jsoniter.RawMessage{}
 	if err := jsoniter.Unmarshal(text, &all); err != nil {
 		return nil, err
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -22,40 +22,40 @@
 // Conn is a client's connection. fasthttp does not notice a client that leaves while a handler runs; Watch does.
 type Conn struct {
 	net.Conn
-	readAt time.Time // when bytes last came
-	ahead  []byte    // what came behind the request that is being answered, and was read while its client was watched
-
-	gate   *ConnLimiter
-	owner  *Listener     // that has it, guarded by the gate
-	place  *list.Element // among the waiting, guarded by the gate
-	since  time.Time     // it has been among them since, guarded by the gate
-	began  bool          // bytes of a request were read since the last answer, guarded by the gate
-	served bool          // a request was answered on it, guarded by the gate
-	gone   bool          // guarded by the gate
-
-	coming *list.Element // among those that read a body, guarded by the gate
-	held   int           // bytes of it
+	lastRead  time.Time // when bytes last came
+	readAhead []byte    // what came behind the request that is being answered, and was read while its client was watched
+
+	limiter      *ConnLimiter
+	listener     *Listener     // that has it, guarded by the gate
+	idleElem     *list.Element // among the waiting, guarded by the gate
+	idleSince    time.Time     // it has been among them since, guarded by the gate
+	requestBegun bool          // bytes of a request were read since the last answer, guarded by the gate
+	served       bool          // a request was answered on it, guarded by the gate
+	removed      bool          // guarded by the gate
+
+	bodyElem  *list.Element // among those that read a body, guarded by the gate
+	bodyBytes int           // bytes of it
 }
 
 const (
-	lingerTime = time.Second
-	lingerMost = 4 << 20
+	lingerTimeout  = time.Second
+	lingerMaxBytes = 4 << 20
 	// So much of what a client sends behind its request is read to find out whether it leaves. Behind more than that the machine is asked.
-	aheadMost = 16 << 10
-	aheadStep = 512
-	lookEvery = 40 * time.Millisecond // a client that has left is noticed within 100
+	maxReadAhead       = 16 << 10
+	readAheadStep      = 512
+	hangupPollInterval = 40 * time.Millisecond // a client that has left is noticed within 100
 )
 
 // Close ends the connection. What was just answered has to reach the client, so it is told of the end first, and what it still sends is
 // read: closing over unread bytes would reset the connection, and the answer might go with it.
 func (c *Conn) Close() error {
-	if c.hasBegun() {
-		c.rest(true) // it may be closed sooner where its place is wanted
+	if c.requestHasBegun() {
+		c.markIdle(true) // it may be closed sooner where its place is wanted
 		linger(c.Conn)
 	}
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	c.gate.leave(c)
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	c.limiter.removeAndClose(c)
 	return nil
 }
 
@@ -63,25 +63,25 @@
 func linger(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite() // if it fails, so does the read
-		_ = t.SetReadDeadline(time.Now().Add(lingerTime))
-		_, _ = io.CopyN(io.Discard, t, lingerMost) // its end is the point
+		_ = t.SetReadDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.CopyN(io.Discard, t, lingerMaxBytes) // its end is the point
 	}
 }
 
 // Read gives back first what a watch has read.
 func (c *Conn) Read(p []byte) (int, error) {
-	if len(c.ahead) > 0 && len(p) > 0 {
-		n := copy(p, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
+	if len(c.readAhead) > 0 && len(p) > 0 {
+		n := copy(p, c.readAhead)
+		if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+			c.readAhead = nil
 		}
 		return n, nil
 	}
-	if !c.hasBegun() {
+	if !c.requestHasBegun() {
 		return c.readFirst(p)
 	}
 	n, err := c.Conn.Read(p)
-	c.came(n)
+	c.recordRead(n)
 	return n, err
 }
 
@@ -92,7 +92,7 @@
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		n, err = c.Conn.Read(p)
-		c.came(n)
+		c.recordRead(n)
 		return n, err
 	}
 	raw, err := sc.SyscallConn()
@@ -100,12 +100,12 @@
 		return 0, err
 	}
 	for {
-		waited := raw.Read(func(fd uintptr) (come bool) { return peeked(int(fd)) })
+		waited := raw.Read(func(fd uintptr) (come bool) { return readable(int(fd)) })
 		if waited != nil && !errors.Is(waited, os.ErrDeadlineExceeded) {
 			return 0, waited
 		}
-		n, err = c.take(raw, p)
-		c.came(n)
+		n, err = c.readRequestStart(raw, p)
+		c.recordRead(n)
 		switch {
 		case err != syscall.EAGAIN && err != syscall.EINTR:
 			return n, err
@@ -116,7 +116,7 @@
 }
 
 // peeked tells whether a read would not have to wait.
-func peeked(fd int) bool {
+func readable(fd int) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err != syscall.EAGAIN && err != syscall.EINTR
@@ -124,10 +124,10 @@
 
 // take reads what has come, without waiting, and notes that a request has begun. A connection that was ended gives nothing. The gate is
 // locked before the descriptor is held, as whoever closes it waits under the lock until nobody holds it.
-func (c *Conn) take(raw syscall.RawConn, p []byte) (n int, err error) {
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	if c.gone {
+func (c *Conn) readRequestStart(raw syscall.RawConn, p []byte) (n int, err error) {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if c.removed {
 		return 0, net.ErrClosed
 	}
 	held := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT) })
@@ -139,13 +139,13 @@
 	case n == 0:
 		return 0, io.EOF
 	}
-	c.began = true
+	c.requestBegun = true
 	return n, nil
 }
 
 // waits tells whether bytes have come that nobody has read.
-func (c *Conn) waits() (some bool) {
-	c.look(func(fd int) bool {
+func (c *Conn) hasUnread() (some bool) {
+	c.inspectFD(func(fd int) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		some = n > 0 && err == nil
@@ -156,7 +156,7 @@
 
 // look lets a client's descriptor be looked at, without waiting. It tells whether that, or the descriptor itself, shows that the client has
 // ended the connection.
-func (c *Conn) look(ended func(fd int) bool) (end bool) {
+func (c *Conn) inspectFD(ended func(fd int) bool) (end bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -170,28 +170,28 @@
 }
 
 // arrived reads what has come already, without waiting. It tells whether the client has ended the connection.
-func (c *Conn) arrived(p []byte) (n int, end bool) {
-	end = c.look(func(fd int) bool {
+func (c *Conn) readNonblocking(p []byte) (n int, end bool) {
+	end = c.inspectFD(func(fd int) bool {
 		var err error
 		n, _, err = syscall.Recvfrom(fd, p, syscall.MSG_DONTWAIT)
 		return n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
-	c.came(n)
+	c.recordRead(n)
 	return max(n, 0), end
 }
 
 // came notes when bytes were read from the client.
-func (c *Conn) came(n int) {
+func (c *Conn) recordRead(n int) {
 	if n > 0 {
-		c.readAt = time.Now()
+		c.lastRead = time.Now()
 	}
 }
 
 // ClientClosed tells whether the client has ended the connection, whatever it sent before that. Nothing else may read meanwhile.
 func (c *Conn) ClientClosed() bool {
-	for len(c.ahead) < aheadMost {
-		n, end := c.arrived(c.room())
-		c.ahead = c.ahead[:len(c.ahead)+n]
+	for len(c.readAhead) < maxReadAhead {
+		n, end := c.readNonblocking(c.readAheadSpace())
+		c.readAhead = c.readAhead[:len(c.readAhead)+n]
 		if end || n == 0 {
 			return end
 		}
@@ -202,8 +202,8 @@
 // ReceivedAt is when the last byte of the request that is being answered came, at the latest: it may have waited behind the one before. Its
 // client's time runs from then.
 func ReceivedAt(ctx *fasthttp.RequestCtx) time.Time {
-	if c, ok := ctx.Conn().(*Conn); ok && !c.readAt.IsZero() {
-		return c.readAt
+	if c, ok := ctx.Conn().(*Conn); ok && !c.lastRead.IsZero() {
+		return c.lastRead
 	}
 	return time.Now()
 }
@@ -218,7 +218,7 @@
 
 // hungUp tells whether the machine has heard that the client has ended the connection, whatever it sent before that and is not read yet.
 func (c *Conn) hungUp() bool {
-	return c.look(func(fd int) bool {
+	return c.inspectFD(func(fd int) bool {
 		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(ask, 0)
 		return err == nil && n > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
@@ -226,11 +226,11 @@
 }
 
 // room gives space behind what was read ahead.
-func (c *Conn) room() []byte {
-	if cap(c.ahead) == len(c.ahead) {
-		c.ahead = slices.Grow(c.ahead, max(len(c.ahead), aheadStep))
+func (c *Conn) readAheadSpace() []byte {
+	if cap(c.readAhead) == len(c.readAhead) {
+		c.readAhead = slices.Grow(c.readAhead, max(len(c.readAhead), readAheadStep))
 	}
-	return c.ahead[len(c.ahead):min(cap(c.ahead), aheadMost)]
+	return c.readAhead[len(c.readAhead):min(cap(c.readAhead), maxReadAhead)]
 }
 
 // Write gives each write a time of its own: a stream may go on for long, but a client that takes nothing has gone.
@@ -251,15 +251,15 @@
 		defer close(done)
 		for {
 			left := false
-			if len(c.ahead) < aheadMost {
-				n, err := c.Conn.Read(c.room())
-				c.came(n)
-				c.ahead = c.ahead[:len(c.ahead)+n]
+			if len(c.readAhead) < maxReadAhead {
+				n, err := c.Conn.Read(c.readAheadSpace())
+				c.recordRead(n)
+				c.readAhead = c.readAhead[:len(c.readAhead)+n]
 				left = err != nil
 			} else if left = c.hungUp(); !left {
 				select {
 				case <-stopped:
-				case <-time.After(lookEvery):
+				case <-time.After(hangupPollInterval):
 				}
 			}
 			mu.Lock()
@@ -327,19 +327,19 @@
 	Stream    dispatch.Stream
 	Ticket    *dispatch.Ticket
 	StopWatch func() // ends the watch
-	rest      []byte
+	pending   []byte
 }
 
 func (b *StreamBody) Read(p []byte) (int, error) {
-	if len(b.rest) == 0 {
+	if len(b.pending) == 0 {
 		piece, err := b.Stream.Next()
 		if err != nil {
 			return 0, err
 		}
-		b.rest = piece
+		b.pending = piece
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.pending)
+	b.pending = b.pending[n:]
 	return n, nil
 }
 
@@ -360,9 +360,9 @@
 // Handler answers a request, whose body is its own: attempts may outlive it.
 type Handler func(ctx *fasthttp.RequestCtx, body []byte)
 
-// body reads the body of a request within the gate's bound. fasthttp by itself would make room for as much as a head
+// readBody reads the readBody of a request within the gate's bound. fasthttp by itself would make room for as much as a head
 // says, whatever comes.
-func (c *Conn) body(ctx *fasthttp.RequestCtx, most int) ([]byte, error) {
+func (c *Conn) readBody(ctx *fasthttp.RequestCtx, most int) ([]byte, error) {
 	stream, size := ctx.RequestBodyStream(), ctx.Request.Header.ContentLength()
 	switch {
 	case stream == nil:
@@ -370,9 +370,9 @@
 	case size > most:
 		return nil, fasthttp.ErrBodyTooLarge
 	}
-	defer c.whole()
+	defer c.releaseBody()
 	if size >= 0 {
-		if !c.hold(size) {
+		if !c.reserveBody(size) {
 			return nil, net.ErrClosed
 		}
 		body := make([]byte, size)
@@ -382,8 +382,8 @@
 	var body []byte
 	for {
 		if had := cap(body); len(body) == had { // in chunks: who knows how many
-			body = slices.Grow(body, bodyStep)
-			if !c.hold(cap(body) - had) {
+			body = slices.Grow(body, bodyGrowStep)
+			if !c.reserveBody(cap(body) - had) {
 				return nil, net.ErrClosed
 			}
 		}
@@ -404,7 +404,7 @@
 // While the program leaves, each answer is the last on its connection.
 func NewServer(core *dispatch.Dispatcher, handler Handler, refuse func(ctx *fasthttp.RequestCtx, status int, text string),
 	maxBody int) *fasthttp.Server {
-	unreadable := func(ctx *fasthttp.RequestCtx, err error) {
+	handleReadError := func(ctx *fasthttp.RequestCtx, err error) {
 		var small *fasthttp.ErrSmallBuffer
 		var late net.Error
 		switch {
@@ -421,36 +421,36 @@
 	return &fasthttp.Server{
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			c := ctx.Conn().(*Conn)
-			if err := framing(ctx.Request.Header.RawHeaders()); err != nil {
+			if err := checkFraming(ctx.Request.Header.RawHeaders()); err != nil {
 				refuse(ctx, fasthttp.StatusBadRequest, "malformed request: "+err.Error())
 				ctx.SetConnectionClose()
 				return
 			}
-			body, err := c.body(ctx, maxBody)
+			body, err := c.readBody(ctx, maxBody)
 			if err != nil {
-				unreadable(ctx, err)
+				handleReadError(ctx, err)
 				ctx.SetConnectionClose()
 				return
 			}
-			if !c.busy() || c.ClientClosed() {
+			if !c.markBusy() || c.ClientClosed() {
 				ctx.SetConnectionClose() // nobody hears it
 				return
 			}
 			handler(ctx, body)
-			if !core.Phases.KeepAlive() && len(c.ahead) == 0 { // what was read behind it is owed an answer too
+			if !core.Phases.KeepAlive() && len(c.readAhead) == 0 { // what was read behind it is owed an answer too
 				ctx.SetConnectionClose()
 			}
 		},
 		ConnState: func(c net.Conn, s fasthttp.ConnState) {
-			if c, ok := c.(*Conn); ok && (s == fasthttp.StateActive || s == fasthttp.StateIdle) && c.rest(s == fasthttp.StateActive) {
+			if c, ok := c.(*Conn); ok && (s == fasthttp.StateActive || s == fasthttp.StateIdle) && c.markIdle(s == fasthttp.StateActive) {
 				_ = c.Close() // the server finds out
 			}
 		},
-		Concurrency: maxConns, StreamRequestBody: true, MaxRequestBodySize: bodyAhead, ReadTimeout: readTimeout,
+		Concurrency: maxConns, StreamRequestBody: true, MaxRequestBodySize: bodyPrefetch, ReadTimeout: readTimeout,
 		ReduceMemoryUsage: true, // also: no answer waits for the request behind it
 		IdleTimeout:       idleTimeout, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		DisablePreParseMultipartForm: true, Logger: DiscardLogger{}, CloseOnShutdown: true, ReadBufferSize: 8 << 10, WriteBufferSize: 4 << 10,
-		ErrorHandler: unreadable,
+		ErrorHandler: handleReadError,
 	}
 }
 
@@ -460,6 +460,6 @@
 	idleTimeout  = 10 * time.Second        // between requests; sooner where the place is wanted
 	writeTimeout = 15 * time.Second        // a client that takes nothing for so long has gone
 	maxConns     = 1 << 14                 // the gate bounds them
-	bodyAhead    = 1                       // byte of a body that fasthttp reads itself; the rest is for Conn.body
-	bodyStep     = 16 << 10                // of a body in chunks, the room that is made at once
+	bodyPrefetch = 1                       // byte of a body that fasthttp reads itself; the rest is for Conn.body
+	bodyGrowStep = 16 << 10                // of a body in chunks, the room that is made at once
 )
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -9,19 +9,19 @@
 )
 
 // pair gives both ends of a client's connection that has passed a gate.
-func pair(t *testing.T) (client net.Conn, c *Conn) {
+func connPair(t *testing.T) (client net.Conn, c *Conn) {
 	t.Helper()
-	sent, accepted := fill(t, 1, "")
-	return sent[0], NewConnLimiter(1, 1).enter(accepted[0])
+	clientConns, serverConns := dialAndSend(t, 1, "")
+	return clientConns[0], NewConnLimiter(1, 1).admit(serverConns[0])
 }
 
 // The time of a connection is over just as a request comes: on a resting one it has come, and is read; where a request has begun to come, it
 // keeps to its time.
-func TestRequestThatComesAsTheTimeOfARestingConnectionIsOver(t *testing.T) {
+func TestRequestArrivingAtIdleTimeout(t *testing.T) {
 	for _, began := range []bool{false, true} {
-		client, c := pair(t)
+		client, c := connPair(t)
 		if began {
-			c.rest(true)
+			c.markIdle(true)
 		}
 		if _, err := client.Write([]byte("POST")); err != nil {
 			t.Fatal(err)
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -13,11 +13,11 @@
 	"standpulley/internal/dispatch"
 )
 
-const maxID = 64
+const maxIDLen = 64
 
 // ValidID tells whether an id can stand in a path and a header as it is.
 func ValidID(id string) bool {
-	if id == "" || len(id) > maxID {
+	if id == "" || len(id) > maxIDLen {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -70,18 +70,18 @@
 }
 
 var (
-	errTwoFramings = errors.New("both Content-Length and Transfer-Encoding")
-	errEncoding    = errors.New("Transfer-Encoding is not chunked")
-	errFolded      = errors.New("a folded header line")
+	errBothFramings = errors.New("both Content-Length and Transfer-Encoding")
+	errEncoding     = errors.New("Transfer-Encoding is not chunked")
+	errFoldedHeader = errors.New("a folded header line")
 )
 
 // framing says what in a request's head other readers may frame differently than fasthttp does. It takes a length
 // beside an encoding, "identity" and folded lines; another request could hide in such a body.
-func framing(raw []byte) error {
+func checkFraming(raw []byte) error {
 	length, encoding := false, false
 	for line := range bytes.Lines(raw) {
 		if line[0] == ' ' || line[0] == '\t' {
-			return errFolded
+			return errFoldedHeader
 		}
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch {
@@ -95,7 +95,7 @@
 		}
 	}
 	if length && encoding {
-		return errTwoFramings
+		return errBothFramings
 	}
 	return nil
 }
--- a/internal/front/evict_test.go
+++ b/internal/front/limiter_test.go
@@ -12,7 +12,7 @@
 )
 
 // fill has clients connect to a listener and send a text each, which has come before the gate sees their connections.
-func fill(t *testing.T, clients int, text string) (sent, accepted []net.Conn) {
+func dialAndSend(t *testing.T, clients int, text string) (clientConns, serverConns []net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,9 +32,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _, _ = client.Close(), tcp.Close() })
-		sent, accepted = append(sent, client), append(accepted, tcp)
+		clientConns, serverConns = append(clientConns, client), append(serverConns, tcp)
 	}
-	return sent, accepted
+	return clientConns, serverConns
 }
 
 // wantBadGateway reads the answer of who is turned away, and the end behind it.
@@ -55,63 +55,63 @@
 const wholeRequest = "POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
 
 // Guards: a request that had come, and whose connection was closed for another before anybody took it, got no answer.
-func TestRequestThatIsEvictedIsAnswered(t *testing.T) {
-	sent, accepted := fill(t, 2, wholeRequest)
-	g := NewConnLimiter(1, 1)
-	c := g.enter(accepted[0])
+func TestEvictedRequestIsAnswered(t *testing.T) {
+	clientConns, serverConns := dialAndSend(t, 2, wholeRequest)
+	cl := NewConnLimiter(1, 1)
+	c := cl.admit(serverConns[0])
 	head := make([]byte, len(wholeRequest))
 	if _, err := io.ReadFull(c, head); err != nil {
 		t.Fatal(err)
 	}
-	c.rest(true) // it has been read, and nobody has taken it yet
-	if next := g.enter(accepted[1]); next == nil {
+	c.markIdle(true) // it has been read, and nobody has taken it yet
+	if next := cl.admit(serverConns[1]); next == nil {
 		t.Fatal("the further one has no place")
 	}
-	if c.busy() {
+	if c.markBusy() {
 		t.Error("the one that is evicted is served")
 	}
-	wantBadGateway(t, "the one that is evicted", sent[0])
+	wantBadGateway(t, "the one that is evicted", clientConns[0])
 }
 
 // Guards: beyond the few that are lingered for, clients with a request on a new connection were closed without an answer, and the close
 // over unread bytes reset them.
-func TestAllWhoFindNoPlaceAreAnswered(t *testing.T) {
-	const clients = 4 * refusedMost
-	sent, accepted := fill(t, clients+1, strings.Repeat(wholeRequest, 50))
-	g := NewConnLimiter(1, 1)
-	if !g.enter(accepted[0]).busy() {
+func TestConnectionsOverTheLimitAreAnswered(t *testing.T) {
+	const clients = 4 * maxLingering
+	clientConns, serverConns := dialAndSend(t, clients+1, strings.Repeat(wholeRequest, 50))
+	cl := NewConnLimiter(1, 1)
+	if !cl.admit(serverConns[0]).markBusy() {
 		t.Fatal("the first has no place")
 	}
-	for _, tcp := range accepted[1:] {
-		if g.enter(tcp) != nil {
+	for _, tcp := range serverConns[1:] {
+		if cl.admit(tcp) != nil {
 			t.Fatal("there is a place for a further one")
 		}
 	}
-	g.mu.Lock()
-	waiting := g.refused
-	g.mu.Unlock()
-	if waiting > refusedMost {
+	cl.mu.Lock()
+	waiting := cl.lingering
+	cl.mu.Unlock()
+	if waiting > maxLingering {
 		t.Errorf("%d wait to be closed", waiting)
 	}
-	for _, client := range sent[1:] {
+	for _, client := range clientConns[1:] {
 		wantBadGateway(t, "one without a place", client)
 	}
 }
 
 // Guards: whether a client has ended its connection shows whatever it sent before that and nobody has read.
-func TestEndShowsBehindUnreadBytes(t *testing.T) {
+func TestClientCloseIsDetectedBehindUnreadBytes(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"close":      func(c net.Conn) { _ = c.Close() },
 		"half close": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 		"reset":      func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 	} {
 		for _, text := range []string{"", "P", strings.Repeat(wholeRequest, 2000)} {
-			sent, accepted := fill(t, 1, text)
-			c := NewConnLimiter(1, 1).enter(accepted[0])
+			clientConns, serverConns := dialAndSend(t, 1, text)
+			c := NewConnLimiter(1, 1).admit(serverConns[0])
 			if c.hungUp() {
 				t.Errorf("%s: gone before the end", name)
 			}
-			end(sent[0])
+			end(clientConns[0])
 			from := time.Now()
 			for !c.hungUp() && time.Since(from) < 5*time.Second {
 				time.Sleep(time.Millisecond)
@@ -126,28 +126,28 @@
 // Guards: whether a request had begun was noted some time after its first bytes had been read. In between its connection counted as a
 // resting one and was closed without an answer, for another's place, by operators or at the server's end. The same where its bytes had come
 // and nobody had read them.
-func TestConnectionWithARequestIsNoRestingOne(t *testing.T) {
-	ends := map[string]func(g *ConnLimiter, l *Listener, other net.Conn){
-		"eviction":     func(g *ConnLimiter, _ *Listener, other net.Conn) { g.enter(other) },
-		"sent away":    func(g *ConnLimiter, _ *Listener, _ net.Conn) { g.CloseIdle(0) },
-		"server's end": func(g *ConnLimiter, l *Listener, _ net.Conn) { g.end(l) },
+func TestConnectionWithRequestIsNotTreatedAsIdle(t *testing.T) {
+	ends := map[string]func(cl *ConnLimiter, l *Listener, other net.Conn){
+		"eviction":     func(cl *ConnLimiter, _ *Listener, other net.Conn) { cl.admit(other) },
+		"sent away":    func(cl *ConnLimiter, _ *Listener, _ net.Conn) { cl.CloseIdle(0) },
+		"server's end": func(cl *ConnLimiter, l *Listener, _ net.Conn) { cl.drain(l) },
 	}
 	for name, end := range ends {
 		for _, read := range []int{0, 1, len(wholeRequest)} {
-			sent, accepted := fill(t, 2, wholeRequest)
-			g := NewConnLimiter(1, 1)
-			c, l := g.enter(accepted[0]), &Listener{gate: g}
-			g.own(c, l)
+			clientConns, serverConns := dialAndSend(t, 2, wholeRequest)
+			cl := NewConnLimiter(1, 1)
+			c, l := cl.admit(serverConns[0]), &Listener{limiter: cl}
+			cl.assign(c, l)
 			c.served = true
 			if n, err := io.ReadFull(c, make([]byte, read)); err != nil {
 				t.Fatal(n, err)
 			}
-			end(g, l, accepted[1])
+			end(cl, l, serverConns[1])
 			if name == "eviction" {
-				wantBadGateway(t, name, sent[0])
+				wantBadGateway(t, name, clientConns[0])
 				continue
 			}
-			if rest, err := io.ReadAll(io.LimitReader(c, int64(len(wholeRequest)-read))); err != nil || len(rest) != len(wholeRequest)-read || !c.busy() {
+			if rest, err := io.ReadAll(io.LimitReader(c, int64(len(wholeRequest)-read))); err != nil || len(rest) != len(wholeRequest)-read || !c.markBusy() {
 				t.Errorf("%s after %d bytes: the request can't be read: %v", name, read, err)
 			}
 		}
@@ -155,46 +155,46 @@
 }
 
 // A resting connection ends with its server, at once where it has served a request; nothing more is read on it.
-func TestRestingConnectionsEndWithTheirServer(t *testing.T) {
-	sent, accepted := fill(t, 3, "")
-	g := NewConnLimiter(4, 1)
-	served, fresh, another := g.enter(accepted[0]), g.enter(accepted[1]), g.enter(accepted[2])
-	l := &Listener{gate: g}
-	g.own(served, l)
-	g.own(fresh, l)
-	g.own(another, &Listener{gate: g})
+func TestIdleConnectionsCloseWithTheirServer(t *testing.T) {
+	clientConns, serverConns := dialAndSend(t, 3, "")
+	cl := NewConnLimiter(4, 1)
+	served, fresh, another := cl.admit(serverConns[0]), cl.admit(serverConns[1]), cl.admit(serverConns[2])
+	l := &Listener{limiter: cl}
+	cl.assign(served, l)
+	cl.assign(fresh, l)
+	cl.assign(another, &Listener{limiter: cl})
 	served.served = true
-	if open := g.end(l); open != 1 {
+	if open := cl.drain(l); open != 1 {
 		t.Errorf("%d are open", open)
 	}
-	if _, err := sent[0].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := clientConns[0].Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the one that has served: %v", err)
 	}
 	if _, err := served.Read(make([]byte, 1)); err == nil {
 		t.Error("it can be read after its end")
 	}
-	time.Sleep(firstComes)
-	if open := g.end(l); open != 0 {
+	time.Sleep(firstRequestTimeout)
+	if open := cl.drain(l); open != 0 {
 		t.Errorf("%d are open", open)
 	}
-	if fresh.busy() || !another.busy() {
+	if fresh.markBusy() || !another.markBusy() {
 		t.Error("another server's connection has ended, or its own has not")
 	}
 }
 
 // Guards: whoever closes a connection under the gate's lock waits until nobody holds its descriptor; a reader that held it and wanted the
 // lock stopped the program for good.
-func TestReadsAndEvictionsDoNotWaitForEachOther(t *testing.T) {
+func TestReadsAndEvictionsDoNotDeadlock(t *testing.T) {
 	const rounds, clients = 50, 8
 	finished := make(chan bool)
 	go func() {
 		defer close(finished)
 		for range rounds {
-			sent, accepted := fill(t, clients, "")
-			g := NewConnLimiter(1, 1)
+			clientConns, serverConns := dialAndSend(t, clients, "")
+			cl := NewConnLimiter(1, 1)
 			var readers sync.WaitGroup
-			for i, tcp := range accepted {
-				c := g.enter(tcp)
+			for i, tcp := range serverConns {
+				c := cl.admit(tcp)
 				if c == nil {
 					continue
 				}
@@ -203,10 +203,10 @@
 						if _, err := c.Read(b); err != nil {
 							return
 						}
-						c.rest(false)
+						c.markIdle(false)
 					}
 				})
-				readers.Go(func() { _, _ = io.WriteString(sent[i], wholeRequest); _ = sent[i].Close() })
+				readers.Go(func() { _, _ = io.WriteString(clientConns[i], wholeRequest); _ = clientConns[i].Close() })
 			}
 			readers.Wait()
 		}
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -15,7 +15,7 @@
 // Ledger is what dispatchers remember together.
 type Ledger interface {
 	// Find says why a repeat of an instruction may not be taken.
-	Find(key ledger.Key, until time.Time) error
+	Find(key ledger.Key, deadline time.Time) error
 	// Note gives what notes the attempts of an instruction.
 	Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
 }
@@ -25,11 +25,11 @@
 
 // Admit gives what notes the attempts of an instruction, or why it must not be taken. The customer is who asks; again tells that
 // the client marks it as a repeat. It waits for what others know of a repeat, within a bound and until the deadline.
-func Admit(l Ledger, h *fasthttp.RequestHeader, customer string, words []byte, again bool, until time.Time) (dispatch.IntentRecorder, error) {
-	key, named := Key(h, customer, words)
-	named = named || again
+func Admit(l Ledger, h *fasthttp.RequestHeader, customer string, content []byte, repeat bool, deadline time.Time) (dispatch.IntentRecorder, error) {
+	key, named := Key(h, customer, content)
+	named = named || repeat
 	if named {
-		if err := l.Find(key, until); err != nil {
+		if err := l.Find(key, deadline); err != nil {
 			return nil, err
 		}
 	}
@@ -37,8 +37,8 @@
 }
 
 // Key names an instruction: by the client's key if it gave one, else by its words. All dispatchers give it the same.
-func Key(h *fasthttp.RequestHeader, customer string, words []byte) (key ledger.Key, named bool) {
-	kind, text := "words", words
+func Key(h *fasthttp.RequestHeader, customer string, content []byte) (key ledger.Key, named bool) {
+	kind, text := "words", content
 	if k := h.Peek(KeyHeader); len(k) > 0 {
 		kind, text, named = "key", k, true
 	}
--- a/internal/front/platform/effects_test.go
+++ b/internal/front/platform/attempts_test.go
@@ -15,7 +15,7 @@
 // What ran is counted at the replicas, for each effect: the first writer that gets a request breaks off after all of it has come, or turns
 // it away. At most once runs once; what replicas throw away is repeated only in its group and window; a refusal comes only where a repeat
 // is harmless.
-func TestWhatRunsIsCountedAtTheReplicas(t *testing.T) {
+func TestAttemptsPerRepeatMode(t *testing.T) {
 	keyed := func(name string, scope logic.Scope, window time.Duration) logic.Class {
 		return logic.Class{Name: name, Aim: time.Second, Deadline: 3 * time.Second, TokenAim: 60 * time.Millisecond, Worth: 2,
 			Repeat: logic.Keyed, Scope: scope, Window: window}
@@ -23,7 +23,7 @@
 	set := fronttest.Settings()
 	set.Classes = append(set.Classes, keyed("all", logic.AllServers, time.Minute), keyed("cell", logic.SameCell, time.Minute),
 		keyed("short", logic.AllServers, time.Nanosecond))
-	breaks := func(x *standin.Exchange) { x.Break() }
+	breakOff := func(x *standin.Exchange) { x.Break() }
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
 	for _, c := range []struct {
 		class  string
@@ -32,18 +32,18 @@
 		sends  int   // to writers, at most
 		cells  int   // to which it was sent, at most
 	}{
-		{"enquiry", breaks, []int{200}, 2, 2},
-		{"instruction", breaks, []int{502}, 1, 1},
+		{"enquiry", breakOff, []int{200}, 2, 2},
+		{"instruction", breakOff, []int{502}, 1, 1},
 		{"instruction", full, []int{200}, 2, 2},
 		{"instruction", fronttest.HealthyReader, []int{502}, 1, 1}, // a writer that answers as a reader does
-		{"all", breaks, []int{200}, 2, 2},
-		{"cell", breaks, []int{200, 502}, 2, 1},
-		{"short", breaks, []int{503}, 1, 1},
+		{"all", breakOff, []int{200}, 2, 2},
+		{"cell", breakOff, []int{200, 502}, 2, 1},
+		{"short", breakOff, []int{503}, 1, 1},
 		{"short", full, []int{200}, 2, 2},
 	} {
-		var came atomic.Int64
+		var arrivals atomic.Int64
 		act := func(x *standin.Exchange) {
-			if came.Add(1) == 1 {
+			if arrivals.Add(1) == 1 {
 				c.first(x)
 				return
 			}
@@ -61,7 +61,7 @@
 		}
 		rig.Core.UpdateServers(u)
 		addr := rig.Serve(t, New(rig.Core, rig.Pool, set, nil).Server())
-		resp, _, whole := answer(t, send(t, addr, raw(c.class, "3000m")))
+		resp, _, complete := readAnswer(t, send(t, addr, rawRequest(c.class, "3000m")))
 		sends, cells := rig.WriterRequests(), 0
 		for _, w := range rig.Writers {
 			if len(w.Calls("POST")) > 0 {
@@ -71,7 +71,7 @@
 		if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: a refusal without a time to return", c.class)
 		}
-		if !slices.Contains(c.status, resp.StatusCode) || !whole || sends > c.sends || cells > c.cells {
+		if !slices.Contains(c.status, resp.StatusCode) || !complete || sends > c.sends || cells > c.cells {
 			t.Errorf("%s: %d, %d sends to %d cells, want one of %v, %d, %d", c.class, resp.StatusCode, sends, cells, c.status, c.sends, c.cells)
 		}
 	}
--- a/internal/front/platform/leaving_test.go
+++ b/internal/front/platform/disconnect_test.go
@@ -16,7 +16,7 @@
 )
 
 // ends are the ways in which a client ends its connection.
-var ends = map[string]func(net.Conn){
+var clientCloses = map[string]func(net.Conn){
 	"close":      func(c net.Conn) { _ = c.Close() },
 	"half close": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	"reset":      func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
@@ -25,11 +25,11 @@
 // Guards: with a byte of its next request already there, a client that left was not noticed until its request's end, and attempts went on;
 // later, with more than is read ahead. It leaves while it waits for its first attempt's answer, behind the first byte of a further request,
 // the whole of it, or many.
-func TestClientLeavesBehindItsNextRequest(t *testing.T) {
-	for name, end := range ends {
-		for _, behind := range []string{"", "P", raw("enquiry", "3000m"), strings.Repeat(raw("enquiry", "3000m"), 8), strings.Repeat(raw("enquiry", "3000m"), 200)} {
+func TestClientClosesWithNextRequestSent(t *testing.T) {
+	for name, end := range clientCloses {
+		for _, behind := range []string{"", "P", rawRequest("enquiry", "3000m"), strings.Repeat(rawRequest("enquiry", "3000m"), 8), strings.Repeat(rawRequest("enquiry", "3000m"), 200)} {
 			rig, addr := start(t, func(x *standin.Exchange) { x.Gone() }, serve)
-			c := send(t, addr, raw("enquiry", "3000m"))
+			c := send(t, addr, rawRequest("enquiry", "3000m"))
 			fronttest.WaitFor(t, "the send to the reader", func() bool { return len(rig.Reader.Calls("POST")) == 1 })
 			if _, err := io.WriteString(c, behind); err != nil {
 				t.Fatal(err)
@@ -48,24 +48,24 @@
 
 // Guards: a client that had gone before its request was read was served all the same: its request went out before the watch saw the end.
 // The whole request and the end are there before anything accepts the connection.
-func TestClientThatHasLeftIsNotServed(t *testing.T) {
-	for name, end := range ends {
+func TestClosedClientIsNotServed(t *testing.T) {
+	for name, end := range clientCloses {
 		rig := fronttest.Start(t, fronttest.HealthyReader, serve)
 		port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes), false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 10 {
-			end(send(t, port.Addr(), raw("instruction", "3000m")))
-			end(send(t, port.Addr(), raw("enquiry", "3000m")+raw("enquiry", "3000m")))
-			end(send(t, port.Addr(), strings.Repeat(raw("enquiry", "3000m"), 40))) // more than is read with the first
+			end(send(t, port.Addr(), rawRequest("instruction", "3000m")))
+			end(send(t, port.Addr(), rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m")))
+			end(send(t, port.Addr(), strings.Repeat(rawRequest("enquiry", "3000m"), 40))) // more than is read with the first
 		}
-		last := send(t, port.Addr(), raw("enquiry", "3000m"))
+		last := send(t, port.Addr(), rawRequest("enquiry", "3000m"))
 		server := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server()
 		ln := port.Attach()
 		go func() { _ = server.Serve(ln) }() // ends with the port
 		t.Cleanup(func() { port.Shutdown(0) })
-		if resp, _, whole := answer(t, last); resp.StatusCode != 200 || !whole {
+		if resp, _, complete := readAnswer(t, last); resp.StatusCode != 200 || !complete {
 			t.Errorf("the one that stays: %d", resp.StatusCode)
 		}
 		port.Shutdown(0)
@@ -80,17 +80,17 @@
 
 // Guards: the answer to a request was held back while the next one, which had come with it, was served. Only the first is answered until
 // the writer goes on.
-func TestAnswerIsNotHeldBackForTheNextRequest(t *testing.T) {
-	goOn := make(chan bool)
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-goOn; serve(x) })
-	c := send(t, addr, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"+raw("enquiry", "3000m"))
+func TestAnswerIsNotDelayedByNextRequest(t *testing.T) {
+	proceed := make(chan bool)
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-proceed; serve(x) })
+	c := send(t, addr, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"+rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // of the 3 that the second may take
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the first answer: %v %v", resp, err)
 	}
-	close(goOn)
+	close(proceed)
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if resp, err = http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("the second: %v %v", resp, err)
@@ -104,8 +104,8 @@
 	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil { // so that each answer is the last one
 		t.Fatal(err)
 	}
-	for _, first := range []string{raw("enquiry", "3000m"), strings.Replace(raw("enquiry", "3000m"), "X-Qos: enquiry", "X-Qos: none", 1),
-		strings.Replace(raw("enquiry", "3000m"), "X-Qos", "Transfer-Encoding: chunked\r\nX-Qos", 1)} {
+	for _, first := range []string{rawRequest("enquiry", "3000m"), strings.Replace(rawRequest("enquiry", "3000m"), "X-Qos: enquiry", "X-Qos: none", 1),
+		strings.Replace(rawRequest("enquiry", "3000m"), "X-Qos", "Transfer-Encoding: chunked\r\nX-Qos", 1)} {
 		for range 10 {
 			c := send(t, addr, first+strings.Repeat("more than is read ", 4<<10))
 			time.Sleep(time.Millisecond) // any order of reading and closing must do
@@ -120,10 +120,10 @@
 
 // Guards: where operators had sent clients away while an answer was on its way, its connection was closed right behind it over what had come
 // meanwhile, and the answer was reset.
-func TestAnswerToWhoIsSentAwayIsNotReset(t *testing.T) {
+func TestAnswerIsNotResetWhenKeepAlivesAreDisabled(t *testing.T) {
 	for range 10 {
-		goOn := make(chan bool)
-		rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-goOn; serve(x) })
+		proceed := make(chan bool)
+		rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-proceed; serve(x) })
 		gate := front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes)
 		port, err := front.Listen("127.0.0.1:0", gate, false)
 		if err != nil {
@@ -132,26 +132,26 @@
 		server, ln := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server(), port.Attach()
 		go func() { _ = server.Serve(ln) }() // ends with the port
 		t.Cleanup(func() { port.Shutdown(0) })
-		c := send(t, port.Addr(), raw("enquiry", "3000m")+strings.Repeat("more than is read ", 4<<10))
+		c := send(t, port.Addr(), rawRequest("enquiry", "3000m")+strings.Repeat("more than is read ", 4<<10))
 		fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 		gate.DisableKeepAlives(true)
-		close(goOn)
+		close(proceed)
 		fronttest.WaitFor(t, "the answer", func() bool { return rig.CountVerdicts(dispatch.Served) == 1 })
 		time.Sleep(5 * time.Millisecond) // any order of reading and closing must do
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		text, err := io.ReadAll(c) // the answer, and one to what was read behind it, which is no request
-		first, rest, whole := strings.Cut(string(text), "\r\n0\r\n\r\n")
-		if err != nil || !whole || !strings.Contains(first, "[DONE]") || rest != "" && !strings.HasPrefix(rest, "HTTP/1.1 4") {
+		first, rest, complete := strings.Cut(string(text), "\r\n0\r\n\r\n")
+		if err != nil || !complete || !strings.Contains(first, "[DONE]") || rest != "" && !strings.HasPrefix(rest, "HTTP/1.1 4") {
 			t.Fatalf("%v after %d bytes, then %.40q", err, len(first), rest)
 		}
 	}
 }
 
 // A request that keeps coming, a little at a time, has its time like any other: an answer is owed within 3 s of connecting.
-func TestRequestThatKeepsComingIsAnsweredInTime(t *testing.T) {
+func TestTricklingRequestIsAnsweredInTime(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
 	for name, c := range map[string]struct{ head, again string }{
-		"a body": {strings.Replace(raw("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n", 1), "1\r\n \r\n"},
+		"a body": {strings.Replace(rawRequest("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n", 1), "1\r\n \r\n"},
 		"a head": {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Filler: ", "x"},
 	} {
 		conn := send(t, addr, c.head)
@@ -169,7 +169,7 @@
 			}
 		}()
 		from := time.Now()
-		resp, _, _ := answer(t, conn)
+		resp, _, _ := readAnswer(t, conn)
 		close(stop)
 		if took := time.Since(from); resp.StatusCode < 400 || took > 4*time.Second {
 			t.Errorf("%s: %d after %v", name, resp.StatusCode, took)
@@ -179,12 +179,12 @@
 
 // Guards: a request that was read while the stream before it ran was dropped where its server had begun to end meanwhile, as the server's
 // loop ends behind the present answer. It is owed an answer, and the connection ends behind that.
-func TestRequestReadBehindAStreamIsAnsweredAtTheEnd(t *testing.T) {
-	goOn := make(chan bool)
+func TestPipelinedRequestIsAnsweredAtShutdown(t *testing.T) {
+	proceed := make(chan bool)
 	rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
 		x.Token("one")
-		<-goOn
+		<-proceed
 		x.End()
 	})
 	port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes), false)
@@ -193,14 +193,14 @@
 	}
 	server, ln := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server(), port.Attach()
 	go func() { _ = server.Serve(ln) }() // ends with the port
-	c := send(t, port.Addr(), raw("enquiry", "3000m"))
+	c := send(t, port.Addr(), rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the stream: %v %v", resp, err)
 	}
-	if _, err := io.WriteString(c, raw("enquiry", "3000m")); err != nil {
+	if _, err := io.WriteString(c, rawRequest("enquiry", "3000m")); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(20 * time.Millisecond) // the watch for the client's end reads it
@@ -209,9 +209,9 @@
 	}
 	rig.Core.StopAdmission()
 	port.Shutdown(0)
-	ended := make(chan bool)
-	go func() { ln.DrainConns(); close(ended) }()
-	close(goOn)
+	closedWithin := make(chan bool)
+	go func() { ln.DrainConns(); close(closedWithin) }()
+	close(proceed)
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.HasSuffix(string(text), "[DONE]\n\n") {
 		t.Fatalf("the stream: %q %v", text, err)
 	}
@@ -219,7 +219,7 @@
 		t.Fatalf("the request behind it: %v %v", resp, err)
 	}
 	select {
-	case <-ended:
+	case <-closedWithin:
 	case <-time.After(5 * time.Second):
 		t.Error("its server does not end")
 	}
--- a/internal/front/platform/expiry_test.go
+++ b/internal/front/platform/expiry_test.go
@@ -15,7 +15,7 @@
 const expirySlack = 150 * time.Millisecond
 
 // told gives the time that an attempt told its replica.
-func told(t *testing.T, call standin.Call) time.Duration {
+func expiresIn(t *testing.T, call standin.Call) time.Duration {
 	t.Helper()
 	us, err := strconv.ParseInt(strings.TrimSuffix(call.Header["X-Expires-In"], "u"), 10, 64)
 	if err != nil {
@@ -26,11 +26,11 @@
 
 // Guards: each attempt tells no more than its client has left as its first byte is written, after a read of some time and for a request
 // that came behind another and has waited for its answer. Its client's time runs from its last byte.
-func TestAttemptsTellWhatTheClientHasLeft(t *testing.T) {
+func TestAttemptsCarryTheRemainingTime(t *testing.T) {
 	const wait, reading = 2 * time.Second, 400 * time.Millisecond
 	rig, addr := start(t, func(x *standin.Exchange) { time.Sleep(reading); x.Read(0) }, serve)
-	c := send(t, addr, raw("enquiry", "2000m"))
-	if _, err := io.WriteString(c, raw("enquiry", "2000m")); err != nil {
+	c := send(t, addr, rawRequest("enquiry", "2000m"))
+	if _, err := io.WriteString(c, rawRequest("enquiry", "2000m")); err != nil {
 		t.Fatal(err)
 	}
 	fronttest.WaitFor(t, "both at the writer", func() bool { return rig.WriterRequests() == 2 })
@@ -42,7 +42,7 @@
 		"first, read": {reads[0], 0}, "first, answer": {writes[0], reading},
 		"second, read": {reads[1], reading}, "second, answer": {writes[1], 2 * reading},
 	} {
-		if got := told(t, check.call); got > wait-check.gone+expirySlack || got <= 0 {
+		if got := expiresIn(t, check.call); got > wait-check.gone+expirySlack || got <= 0 {
 			t.Errorf("%s: tells %v after %v of %v", name, got, check.gone, wait)
 		}
 	}
--- a/internal/front/platform/passed_test.go
+++ b/internal/front/platform/headers_test.go
@@ -10,11 +10,11 @@
 
 // Guards: headers that the program did not know stayed behind, among them the key by which replicas throw repeats away. All that is not of
 // the client's connection alone goes on as it came, to every replica; what the dispatcher says itself, it says once.
-func TestHeadersGoOnAsTheyCame(t *testing.T) {
+func TestHeadersAreForwardedUnchanged(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
-	text := strings.Replace(raw("enquiry", "3000m"), "X-Object:", "Idempotency-Key:  k 1, \"x\" \r\nx-anything: a=b;c\r\nX-Twice: 1\r\nX-Twice: 2\r\n"+
+	text := strings.Replace(rawRequest("enquiry", "3000m"), "X-Object:", "Idempotency-Key:  k 1, \"x\" \r\nx-anything: a=b;c\r\nX-Twice: 1\r\nX-Twice: 2\r\n"+
 		"Connection: keep-alive, X-Hop\r\nX-Hop: mine\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\nContent-Type: application/json\r\nX-Object:", 1)
-	if resp, _, whole := answer(t, send(t, addr, text)); resp.StatusCode != 200 || !whole {
+	if resp, _, complete := readAnswer(t, send(t, addr, text)); resp.StatusCode != 200 || !complete {
 		t.Fatalf("%d", resp.StatusCode)
 	}
 	for _, calls := range [][]map[string]string{headersOf(rig.Reader.Calls("POST")), headersOf(rig.Writers[0].Calls("POST"))} {
--- a/internal/front/platform/bad_test.go
+++ b/internal/front/platform/limits_test.go
@@ -15,7 +15,7 @@
 )
 
 // ended tells whether the other side has ended a connection by then.
-func ended(c net.Conn, within time.Duration) bool {
+func closedWithin(c net.Conn, within time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := io.Copy(io.Discard, c)
 	t, ok := err.(net.Error)
@@ -23,44 +23,44 @@
 }
 
 // Guards: clients that ask once and hold their connection, and clients that say nothing, kept all others out.
-func TestHeldConnectionsKeepNobodyOut(t *testing.T) {
+func TestIdleConnectionsDoNotBlockOthers(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
 	var held []net.Conn
 	for i := range 100 { // the gate has fewer places
 		text := ""
 		if i%2 == 0 {
-			text = raw("enquiry", "2000m")
+			text = rawRequest("enquiry", "2000m")
 		}
 		c := send(t, addr, text)
 		if held = append(held, c); text == "" {
 			continue
 		}
-		if resp, _, whole := answer(t, c); resp.StatusCode != 200 || !whole {
+		if resp, _, complete := readAnswer(t, c); resp.StatusCode != 200 || !complete {
 			t.Fatalf("request %d: %d", i, resp.StatusCode)
 		}
 	}
-	if !ended(held[0], time.Second) || !ended(held[1], time.Second) {
+	if !closedWithin(held[0], time.Second) || !closedWithin(held[1], time.Second) {
 		t.Error("the first connections are still open")
 	}
 }
 
 // Guards: a connection with a request open is not closed for another; the other is told that it failed.
-func TestOpenRequestsAreNotClosedForOthers(t *testing.T) {
-	goOn := make(chan bool)
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Head(); x.Token("a"); <-goOn; x.End() })
+func TestActiveConnectionsAreNotEvicted(t *testing.T) {
+	proceed := make(chan bool)
+	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Head(); x.Token("a"); <-proceed; x.End() })
 	var open []net.Conn
 	for range fronttest.MaxConns {
-		c := send(t, addr, raw("enquiry", "2000m"))
+		c := send(t, addr, rawRequest("enquiry", "2000m"))
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := io.ReadFull(c, make([]byte, 12)); err != nil { // its stream has begun
 			t.Fatal(err)
 		}
 		open = append(open, c)
 	}
-	if resp, _, _ := answer(t, send(t, addr, raw("enquiry", "2000m"))); resp.StatusCode != 502 {
+	if resp, _, _ := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m"))); resp.StatusCode != 502 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
-	close(goOn)
+	close(proceed)
 	for _, c := range open {
 		if text, err := io.ReadAll(io.LimitReader(c, 200)); err != nil || !strings.Contains(string(text), `"a"`) {
 			t.Fatalf("%q, %v", text, err)
@@ -71,14 +71,14 @@
 // Guards: an answer or a close is owed within 3 s of connecting, whatever a client does not say.
 func TestSilentClients(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
-	good := raw("enquiry", "2000m")
+	good := rawRequest("enquiry", "2000m")
 	from := time.Now()
 	conns := map[string]net.Conn{}
 	for name, text := range map[string]string{"silent": "", "half a head": good[:40], "half a body": good[:len(good)-2]} {
 		conns[name] = send(t, addr, text)
 	}
 	for name, c := range conns {
-		if !ended(c, 5*time.Second) || time.Since(from) > 4*time.Second {
+		if !closedWithin(c, 5*time.Second) || time.Since(from) > 4*time.Second {
 			t.Errorf("%s: held for %v", name, time.Since(from))
 		}
 	}
@@ -86,9 +86,9 @@
 
 // Guards: halves of large bodies, held back on every connection, filled the memory. The ones that came first are
 // closed for others, and a client whose body comes whole is served meanwhile.
-func TestHalfSentBodies(t *testing.T) {
+func TestPartialBodies(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
-	large := strings.Replace(raw("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Content-Length: 262144\r\n\r\n{"+strings.Repeat(" ", 1<<17), 1)
+	large := strings.Replace(rawRequest("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Content-Length: 262144\r\n\r\n{"+strings.Repeat(" ", 1<<17), 1)
 	chunked := strings.Replace(large, "Content-Length: 262144\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n30000\r\n", 1)
 	var halves []net.Conn
 	from := time.Now()
@@ -100,12 +100,12 @@
 		halves = append(halves, send(t, addr, text))
 		time.Sleep(20 * time.Millisecond) // so that they come in their order
 	}
-	whole := large + strings.Repeat(" ", 1<<17-2) + "}"
-	if resp, _, ok := answer(t, send(t, addr, whole)); resp.StatusCode != 200 || !ok {
+	complete := large + strings.Repeat(" ", 1<<17-2) + "}"
+	if resp, _, ok := readAnswer(t, send(t, addr, complete)); resp.StatusCode != 200 || !ok {
 		t.Errorf("a whole body: %d", resp.StatusCode)
 	}
 	for i, c := range halves[:7] {
-		if !ended(c, time.Second) || time.Since(from) > 2*time.Second {
+		if !closedWithin(c, time.Second) || time.Since(from) > 2*time.Second {
 			t.Errorf("half %d is still held after %v", i, time.Since(from))
 		}
 	}
@@ -139,32 +139,32 @@
 		"too short":         {"Content-Length: 4", "Content-Length: 3"},
 		"not JSON":          {"{  }", "body"},
 	} {
-		text := strings.Replace(raw("enquiry", "2000m"), c[0], c[1], 1)
+		text := strings.Replace(rawRequest("enquiry", "2000m"), c[0], c[1], 1)
 		conn := send(t, addr, text+"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		resp, _, _ := answer(t, conn)
-		if resp.StatusCode < 400 || !resp.Close || !ended(conn, 2*time.Second) {
+		resp, _, _ := readAnswer(t, conn)
+		if resp.StatusCode < 400 || !resp.Close || !closedWithin(conn, 2*time.Second) {
 			t.Errorf("%s: %d, close %v", name, resp.StatusCode, resp.Close)
 		}
 	}
 	if n := len(rig.Reader.Calls("")) + rig.WriterRequests(); n != 0 {
 		t.Errorf("%d calls reached replicas", n)
 	}
-	chunked := strings.Replace(raw("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n4\r\n{  }\r\n0\r\n\r\n", 1)
-	if resp, _, whole := answer(t, send(t, addr, chunked)); resp.StatusCode != 200 || !whole {
+	chunked := strings.Replace(rawRequest("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n4\r\n{  }\r\n0\r\n\r\n", 1)
+	if resp, _, complete := readAnswer(t, send(t, addr, chunked)); resp.StatusCode != 200 || !complete {
 		t.Errorf("chunks as they should be: %d", resp.StatusCode)
 	}
 }
 
 // Guards: timers hold a request until the time its client says it waits, which could be for ever.
-func TestNobodyWaitsForEver(t *testing.T) {
+func TestClientExpiryIsCapped(t *testing.T) {
 	rig := fronttest.Start(t, fronttest.HealthyReader, serve)
 	f := New(rig.Core, rig.Pool, fronttest.Settings(), nil)
 	for _, expires := range []string{"99999999999m", "1e300u"} {
 		var in fasthttp.Request
-		if err := in.Read(bufio.NewReader(strings.NewReader(raw("enquiry", expires)))); err != nil {
+		if err := in.Read(bufio.NewReader(strings.NewReader(rawRequest("enquiry", expires)))); err != nil {
 			t.Fatal(err)
 		}
-		q, err := f.request(&in, in.Body())
+		q, err := f.parseRequest(&in, in.Body())
 		if most := 2 * fronttest.Settings().Classes[0].Deadline; err != nil || q.Spec.Remaining <= 0 || q.Spec.Remaining > most {
 			t.Errorf("%s: %v, %v", expires, q.Spec.Remaining, err)
 		}
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -25,7 +25,7 @@
 var ids int
 
 // raw is a request as it stands on the wire, with a new id.
-func raw(class, expires string) string {
+func rawRequest(class, expires string) string {
 	ids++
 	return fmt.Sprintf("POST /v1/chat/completions?x=%%2F1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\n"+
 		"X-Object: 7f3a\r\nX-Expires-In: %s\r\nX-Props: prefix=5c0f,prompt_len=100,prefix_len=50,max_out=80\r\n"+
@@ -47,7 +47,7 @@
 }
 
 // answer reads one answer; whole tells whether its body came to its end.
-func answer(t *testing.T, c net.Conn) (resp *http.Response, body string, whole bool) {
+func readAnswer(t *testing.T, c net.Conn) (resp *http.Response, body string, complete bool) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -58,14 +58,14 @@
 	return resp, string(text), err == nil
 }
 
-func serve(x *standin.Exchange)  { x.Answer("a", "b") }
-func silent(x *standin.Exchange) { x.Gone() }
+func serve(x *standin.Exchange) { x.Answer("a", "b") }
+func hang(x *standin.Exchange)  { x.Gone() }
 
 func TestServed(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
-	resp, body, whole := answer(t, send(t, addr, raw("enquiry", "2000m")))
-	if resp.StatusCode != 200 || !whole || !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "data: ") != 5 {
-		t.Errorf("%d %q %v", resp.StatusCode, body, whole)
+	resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m")))
+	if resp.StatusCode != 200 || !complete || !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "data: ") != 5 {
+		t.Errorf("%d %q %v", resp.StatusCode, body, complete)
 	}
 	call := rig.Writers[0].Calls("POST")[0]
 	if call.Header["Host"] != "backend.local" || call.Body != "{  }" || call.Path != "/v1/chat/completions" ||
@@ -81,9 +81,9 @@
 		"stalled": func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Gone() },
 	} {
 		rig, addr := start(t, fronttest.HealthyReader, act)
-		if resp, body, whole := answer(t, send(t, addr, raw("enquiry", "2000m"))); resp.StatusCode != 200 || whole ||
+		if resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m"))); resp.StatusCode != 200 || complete ||
 			!strings.Contains(body, `"a"`) {
-			t.Errorf("%s: %d %q whole %v", name, resp.StatusCode, body, whole)
+			t.Errorf("%s: %d %q whole %v", name, resp.StatusCode, body, complete)
 		}
 		if n := rig.WriterRequests(); n != 1 {
 			t.Errorf("%s: %d sends after the stream had begun", name, n)
@@ -92,10 +92,10 @@
 }
 
 // Guards: fasthttp does not report a client that leaves while a handler waits.
-func TestClientLeavesWhileItWaits(t *testing.T) {
+func TestClientClosesWhileWaiting(t *testing.T) {
 	gone := make(chan bool, 1)
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone(); gone <- true })
-	c := send(t, addr, raw("instruction", "3000m"))
+	c := send(t, addr, rawRequest("instruction", "3000m"))
 	fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 	_ = c.Close()
 	fronttest.WaitFor(t, "the client's leaving", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
@@ -106,9 +106,9 @@
 }
 
 // Guards: the watch for a client that leaves must not cut off one that sends its next request early.
-func TestNextRequestMayComeEarly(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
-	c := send(t, addr, raw("enquiry", "3000m")+raw("enquiry", "3000m"))
+	c := send(t, addr, rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m"))
 	br := bufio.NewReader(c)
 	for i := range 2 {
 		resp, err := http.ReadResponse(br, nil)
@@ -122,11 +122,11 @@
 }
 
 // Guards: a final answer comes by the deadline also when no replica says a word.
-func TestSilentReplicas(t *testing.T) {
+func TestHangingReplicas(t *testing.T) {
 	for class, want := range map[string]int{"enquiry": 503, "instruction": 502} {
-		_, addr := start(t, fronttest.HealthyReader, silent)
+		_, addr := start(t, fronttest.HealthyReader, hang)
 		from := time.Now()
-		resp, _, _ := answer(t, send(t, addr, raw(class, "800m")))
+		resp, _, _ := readAnswer(t, send(t, addr, rawRequest(class, "800m")))
 		if took := time.Since(from); resp.StatusCode != want || took > 4*time.Second {
 			t.Errorf("%s: %d after %v", class, resp.StatusCode, took)
 		}
@@ -137,15 +137,15 @@
 }
 
 // Guards: a replica may close idle connections at any time; a request written to one would count as a reset.
-func TestIdleConnectionThatTheReplicaClosed(t *testing.T) {
+func TestIdleConnectionClosedByReplica(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { serve(x); x.Break() })
 	c := send(t, addr, "")
 	for range 3 {
-		if _, err := io.WriteString(c, raw("instruction", "2000m")); err != nil {
+		if _, err := io.WriteString(c, rawRequest("instruction", "2000m")); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _, whole := answer(t, c); resp.StatusCode != 200 || !whole {
-			t.Errorf("%d whole %v", resp.StatusCode, whole)
+		if resp, _, complete := readAnswer(t, c); resp.StatusCode != 200 || !complete {
+			t.Errorf("%d whole %v", resp.StatusCode, complete)
 		}
 	}
 	if totals, _ := rig.Core.Counts.Snapshot(); totals.Outcomes["connection-lost"] != 0 {
@@ -154,13 +154,13 @@
 }
 
 // Guards: a refused connection proves that nothing ran, so an instruction goes to another writer.
-func TestInstructionGoesOnWhereItNeverRan(t *testing.T) {
+func TestInstructionIsRetriedWhereItNeverRan(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full, serve)
 	rig.Writers[0].Close()
 	for range 4 {
-		if resp, _, whole := answer(t, send(t, addr, raw("instruction", "2000m"))); resp.StatusCode != 200 || !whole {
-			t.Errorf("%d whole %v", resp.StatusCode, whole)
+		if resp, _, complete := readAnswer(t, send(t, addr, rawRequest("instruction", "2000m"))); resp.StatusCode != 200 || !complete {
+			t.Errorf("%d whole %v", resp.StatusCode, complete)
 		}
 	}
 	if n := len(rig.Writers[1].Calls("POST")); n != 4 {
@@ -169,9 +169,9 @@
 }
 
 // Guards: a read that broke off may have ended well, and what it left behind is released.
-func TestReadThatBrokeIsReleased(t *testing.T) {
+func TestBrokenReadIsReleased(t *testing.T) {
 	rig, addr := start(t, func(x *standin.Exchange) { x.Break() }, serve)
-	if resp, _, _ := answer(t, send(t, addr, raw("instruction", "1000m"))); resp.StatusCode != 503 {
+	if resp, _, _ := readAnswer(t, send(t, addr, rawRequest("instruction", "1000m"))); resp.StatusCode != 503 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	fronttest.WaitFor(t, "the release", func() bool {
@@ -182,7 +182,7 @@
 // Guards: bad input gets its 4xx and never reaches a replica.
 func TestBadInput(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
-	good := raw("enquiry", "2000m")
+	good := rawRequest("enquiry", "2000m")
 	for _, c := range []struct {
 		old, new string
 		want     int
@@ -192,7 +192,7 @@
 		{"X-Trace-Id: 0", "X-Trace-Id: ../0", 400}, {"/v1/chat", "/v2/chat", 404}, {"POST", "GET", 405},
 		{"Content-Length: 4", "Content-Length: 300000", 413}, {"HTTP/1.1", "HTTP", 400},
 	} {
-		if resp, _, _ := answer(t, send(t, addr, strings.Replace(good, c.old, c.new, 1))); resp.StatusCode != c.want {
+		if resp, _, _ := readAnswer(t, send(t, addr, strings.Replace(good, c.old, c.new, 1))); resp.StatusCode != c.want {
 			t.Errorf("%s: %d, want %d", c.new, resp.StatusCode, c.want)
 		}
 	}
@@ -201,22 +201,22 @@
 	}
 }
 
-func TestReadyTellsThePhase(t *testing.T) {
+func TestReadinessReportsPhase(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 200 {
+	if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != 200 {
 		t.Errorf("ready: %d", resp.StatusCode)
 	}
 	if err := rig.Core.Phases.Enter(dispatch.Draining); err != nil {
 		t.Fatal(err)
 	}
-	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 503 || resp.Close {
+	if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != 503 || resp.Close {
 		t.Errorf("draining: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil {
 		t.Fatal(err)
 	}
-	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 503 || !resp.Close {
+	if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("leaving: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if err := rig.Core.Phases.Enter(dispatch.Ready); err == nil {
@@ -225,7 +225,7 @@
 }
 
 // Guards: a program that knew no replicas answered that it was ready, and turned away all that came.
-func TestReadyOnlyWhereSomebodyCouldBeServed(t *testing.T) {
+func TestNotReadyWithoutUsableReplicas(t *testing.T) {
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	list := rig.Core.List()
@@ -241,7 +241,7 @@
 		}
 		rig.Core.UpdateServers(u)
 		rig.Core.List() // the one before has been taken up
-		if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != c.want {
+		if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != c.want {
 			t.Errorf("with %v: %d, want %d", c.listed, resp.StatusCode, c.want)
 		}
 	}
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -13,7 +13,7 @@
 
 // A client that takes nothing of a long stream holds up nobody: the events of another pass one by one, each before its replica writes the
 // next.
-func TestSlowReaderHoldsUpNobody(t *testing.T) {
+func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	next, full := make(chan bool), make(chan bool, 1)
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
@@ -35,9 +35,9 @@
 		}
 		x.End()
 	})
-	send(t, addr, strings.Replace(raw("enquiry", "3000m"), "X-Object: 7f3a", "X-Object: 7f3f", 1)) // and reads nothing
+	send(t, addr, strings.Replace(rawRequest("enquiry", "3000m"), "X-Object: 7f3a", "X-Object: 7f3f", 1)) // and reads nothing
 	<-full
-	c := send(t, addr, raw("enquiry", "3000m"))
+	c := send(t, addr, rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 {
@@ -61,7 +61,7 @@
 }
 
 // A client that takes nothing for writeTimeout has gone: its stream is ended, its replica hears of it, and its place is free.
-func TestClientThatTakesNothingHasGone(t *testing.T) {
+func TestStalledClientIsDisconnected(t *testing.T) {
 	t.Parallel()
 	gone, full := make(chan bool), make(chan bool, 1)
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
@@ -78,7 +78,7 @@
 			x.Token(strings.Repeat("x", 8<<10))
 		}
 	})
-	send(t, addr, raw("enquiry", "3000m")) // and reads nothing
+	send(t, addr, rawRequest("enquiry", "3000m")) // and reads nothing
 	<-full
 	select {
 	case <-gone:
--- a/internal/front/port.go
+++ b/internal/front/port.go
@@ -12,23 +12,23 @@
 // Port is an address that is listened on. Its connections go to the Listener that was attached last, so that one
 // server can take over from another without closing the address.
 type Port struct {
-	tcp  *net.TCPListener
-	gate *ConnLimiter
+	tcp     *net.TCPListener
+	limiter *ConnLimiter
 
-	mu   sync.Mutex
-	to   *Listener
-	gone bool
-	done chan struct{} // closed when nothing is accepted any more
+	mu      sync.Mutex
+	current *Listener
+	closing bool
+	done    chan struct{} // closed when nothing is accepted any more
 }
 
 // Listen opens an address, whose connections pass the gate. They wait until a Listener is attached. Where the address
 // is shared, another process may listen there too, as this program does when a new version takes over.
-func Listen(addr string, gate *ConnLimiter, shared bool) (*Port, error) {
+func Listen(addr string, limiter *ConnLimiter, shared bool) (*Port, error) {
 	ln, err := listen(addr, shared)
 	if err != nil {
 		return nil, err
 	}
-	return &Port{tcp: ln.(*net.TCPListener), gate: gate, done: make(chan struct{})}, nil
+	return &Port{tcp: ln.(*net.TCPListener), limiter: limiter, done: make(chan struct{})}, nil
 }
 
 func listen(addr string, shared bool) (net.Listener, error) {
@@ -47,11 +47,11 @@
 
 // Attach makes a Listener that gets every connection from now on. The one before it, if any, ends.
 func (p *Port) Attach() *Listener {
-	l := &Listener{gate: p.gate, addr: p.tcp.Addr(), conns: make(chan net.Conn), end: make(chan struct{})}
+	l := &Listener{limiter: p.limiter, addr: p.tcp.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.to
-	p.to = l
+	before := p.current
+	p.current = l
 	if before != nil {
 		before.Close()
 	} else {
@@ -63,8 +63,8 @@
 const (
 	// At the end the machine may have accepted connections that nobody has taken yet, with requests on them: closing the address would
 	// reset them. So they are taken until none has come for a moment, but no longer than a time.
-	lastMoment = 20 * time.Millisecond
-	lastMost   = 200 * time.Millisecond
+	drainQuietPeriod = 20 * time.Millisecond
+	drainMaxTime     = 200 * time.Millisecond
 )
 
 func (p *Port) accept() {
@@ -72,19 +72,19 @@
 	for {
 		c, err := p.tcp.Accept()
 		if err == nil {
-			p.hand(c)
+			p.deliver(c)
 			continue
 		}
 		p.mu.Lock()
-		gone := p.gone
+		gone := p.closing
 		p.mu.Unlock()
 		if gone {
 			break
 		}
 		time.Sleep(5 * time.Millisecond) // out of descriptors, most likely: others will be closed
 	}
-	for last := time.Now().Add(lastMost); ; {
-		moment := time.Now().Add(lastMoment)
+	for last := time.Now().Add(drainMaxTime); ; {
+		moment := time.Now().Add(drainQuietPeriod)
 		if last.Before(moment) {
 			moment = last
 		}
@@ -93,26 +93,26 @@
 		if err != nil {
 			return
 		}
-		p.hand(c)
+		p.deliver(c)
 	}
 }
 
-// hand gives a connection that passes the gate to the Listener that is attached.
-func (p *Port) hand(c net.Conn) {
-	conn := p.gate.enter(c)
+// deliver gives a connection that passes the gate to the Listener that is attached.
+func (p *Port) deliver(c net.Conn) {
+	conn := p.limiter.admit(c)
 	if conn == nil {
 		return
 	}
 	var before *Listener
 	for {
 		p.mu.Lock()
-		l := p.to
+		l := p.current
 		p.mu.Unlock()
 		if l == before {
 			_ = conn.Close() // the program is at its end
 			return
 		}
-		if l.give(conn) {
+		if l.offer(conn) {
 			return
 		}
 		before = l // it has ended since: another is attached
@@ -122,8 +122,8 @@
 // Shutdown accepts for wait longer, then what the machine has accepted by then, and closes the address.
 func (p *Port) Shutdown(wait time.Duration) {
 	p.mu.Lock()
-	p.gone = true
-	attached := p.to
+	p.closing = true
+	attached := p.current
 	p.mu.Unlock()
 	_ = p.tcp.SetDeadline(time.Now().Add(wait)) // if it fails, the close below ends the accepting
 	if attached != nil {
@@ -138,22 +138,22 @@
 
 // Listener hands a server the connections of a Port.
 type Listener struct {
-	gate    *ConnLimiter
-	open    int  // connections that it has handed out, guarded by the gate
-	leaving bool // each ends with its present request, guarded by the gate
-
-	addr  net.Addr
-	conns chan net.Conn
-	end   chan struct{}
-	once  sync.Once
+	limiter   *ConnLimiter
+	openConns int  // connections that it has handed out, guarded by the gate
+	draining  bool // each ends with its present request, guarded by the gate
+
+	addr      net.Addr
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func (l *Listener) give(c *Conn) bool {
-	l.gate.own(c, l)
+func (l *Listener) offer(c *Conn) bool {
+	l.limiter.assign(c, l)
 	select {
 	case l.conns <- c:
 		return true
-	case <-l.end:
+	case <-l.closed:
 		return false
 	}
 }
@@ -163,24 +163,24 @@
 	select {
 	case c := <-l.conns:
 		return c, nil
-	case <-l.end:
+	case <-l.closed:
 		return nil, io.EOF
 	}
 }
 
 // Close ends the Listener, not its Port.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.end) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-const endEvery = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
 // DrainConns ends the connections that the Listener has handed out, each behind its present request and those that have come by then, and
 // returns when none is open.
 func (l *Listener) DrainConns() {
-	for l.gate.end(l) > 0 {
-		time.Sleep(endEvery)
+	for l.limiter.drain(l) > 0 {
+		time.Sleep(drainPollInterval)
 	}
 }
 
--- a/internal/front/port_test.go
+++ b/internal/front/port_test.go
@@ -10,7 +10,7 @@
 
 // Guards: connections that the machine had accepted, and nobody had taken yet, were reset when the address was closed. Here all wait in the
 // machine's queue as the end begins, with the time for further ones over.
-func TestWhatTheMachineAcceptedIsTakenAtTheEnd(t *testing.T) {
+func TestQueuedConnectionsAreHandedOutAtShutdown(t *testing.T) {
 	const waiting = 20
 	for _, wait := range []time.Duration{-time.Second, 0, 10 * time.Millisecond} {
 		port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(2*waiting, 1<<20), false)
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -66,8 +66,8 @@
 }
 
 func (f *fields) micros() time.Duration {
-	const most = math.MaxInt64 / int64(time.Microsecond) / 4
-	return time.Duration(max(min(f.int(), most), -most)) * time.Microsecond
+	const limit = math.MaxInt64 / int64(time.Microsecond) / 4
+	return time.Duration(max(min(f.int(), limit), -limit)) * time.Microsecond
 }
 
 func (f *fields) key() uint64 {
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -8,7 +8,7 @@
 	"standpulley/logic"
 )
 
-func (r *Reader) pool(f *fields) error {
+func (r *Reader) readList(f *fields) error {
 	ref, rows := -1, int64(0)
 	for f.next() {
 		switch f.name {
@@ -18,7 +18,7 @@
 			rows = f.int()
 		}
 	}
-	if f.err == nil && (ref < 0 || ref >= len(r.pools)) {
+	if f.err == nil && (ref < 0 || ref >= len(r.lists)) {
 		f.fail("ref", "list numbers range from 0 to 15")
 	}
 	if f.err == nil && rows < 0 {
@@ -36,17 +36,17 @@
 		if err != nil {
 			return err
 		}
-		e, err := r.entry(line)
+		e, err := r.parseEntry(line)
 		if err != nil {
 			return err
 		}
 		list = append(list, e)
 	}
-	r.pools[ref] = list
+	r.lists[ref] = list
 	return nil
 }
 
-func (r *Reader) entry(line []byte) (logic.ServerEntry, error) {
+func (r *Reader) parseEntry(line []byte) (logic.ServerEntry, error) {
 	e := logic.ServerEntry{Weight: 1}
 	f := fields{line: r.line}
 	rest, ok := bytes.CutPrefix(line, []byte("M\t"))
@@ -88,7 +88,7 @@
 	return e, f.err
 }
 
-func (r *Reader) targets(f *fields, m *Message) {
+func (r *Reader) parseTargets(f *fields, m *Message) {
 	ref, mode := -1, ""
 	for f.next() {
 		switch f.name {
@@ -97,7 +97,7 @@
 		case "mode":
 			mode = string(f.val)
 		default:
-			m.common(f)
+			m.parseInstance(f)
 		}
 	}
 	switch mode {
@@ -112,9 +112,9 @@
 		f.fail("mode", fmt.Sprintf("%q is not known", mode))
 		return
 	}
-	if ref < 0 || ref >= len(r.pools) {
+	if ref < 0 || ref >= len(r.lists) {
 		f.fail("ref", "list numbers range from 0 to 15")
 		return
 	}
-	m.Event.Servers = r.pools[ref]
+	m.Event.Servers = r.lists[ref]
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -16,11 +16,11 @@
 
 // Reader decodes messages. Entries of lists are kept by number, as the wire says.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	pools [16][]logic.ServerEntry
-	names map[string]string
-	rep   logic.Report
+	in     *bufio.Reader
+	line   int
+	lists  [16][]logic.ServerEntry
+	names  map[string]string
+	report logic.Report
 }
 
 // NewReader reads from in.
@@ -68,13 +68,13 @@
 		if len(line) == 0 {
 			continue
 		}
-		word := line
+		verb := line
 		f := fields{line: r.line}
 		if i := bytes.IndexByte(line, '\t'); i >= 0 {
-			word, f.rest = line[:i], line[i+1:]
+			verb, f.rest = line[:i], line[i+1:]
 		}
 		*m = Message{Kind: Event, Instance: -1}
-		switch string(word) {
+		switch string(verb) {
 		case "BEGIN_BATCH":
 			m.Kind = Begin
 			for f.next() {
@@ -94,66 +94,66 @@
 			m.Kind = End
 			return nil
 		case "POOL":
-			if err := r.pool(&f); err != nil {
+			if err := r.readList(&f); err != nil {
 				return err
 			}
 			continue
 		case "ATTACH":
 			m.Kind = Attach
-			r.attach(&f, m)
+			r.parseAttach(&f, m)
 		case "CRASH_NOW":
 			m.Kind = Crash
 			for f.next() {
-				m.common(&f)
+				m.parseInstance(&f)
 			}
 		case "TARGETS":
-			r.targets(&f, m)
+			r.parseTargets(&f, m)
 		case "JOB_IN":
-			r.arrived(&f, m)
+			r.parseArrival(&f, m)
 		case "FLOWING":
 			m.Event.Kind = logic.StreamStarted
-			r.attempt(&f, m)
+			r.parseAttempt(&f, m)
 		case "COMPLETED":
 			m.Event.Kind = logic.Ended
-			r.attempt(&f, m)
+			r.parseAttempt(&f, m)
 		case "CHECKED":
 			m.Event.Kind = logic.Probed
-			r.attempt(&f, m)
+			r.parseAttempt(&f, m)
 		case "NOTE":
 			m.Event.Kind = logic.PlaceAnswered
-			r.attempt(&f, m)
+			r.parseAttempt(&f, m)
 		case "LEFT":
 			m.Event.Kind = logic.Departed
-			r.attempt(&f, m)
+			r.parseAttempt(&f, m)
 		case "WAKEUP":
 			m.Event.Kind = logic.TimerFired
 			for f.next() {
 				if f.name == "tag" {
 					m.Event.Tag = uint64(f.int())
 				} else {
-					m.common(&f)
+					m.parseInstance(&f)
 				}
 			}
 		default:
 			m.Kind = Ignore
 			for f.next() {
-				m.common(&f)
+				m.parseInstance(&f)
 			}
 		}
 		if m.Instance < 0 && m.Kind != Ignore {
-			f.fail("i", string(word)+" names no instance")
+			f.fail("i", string(verb)+" names no instance")
 		}
 		if m.Event.RequestID == "" && m.Kind == Event {
 			switch m.Event.Kind {
 			case logic.Arrived, logic.StreamStarted, logic.Ended, logic.Departed:
-				f.fail("corr", string(word)+" names no request")
+				f.fail("corr", string(verb)+" names no request")
 			}
 		}
 		return f.err
 	}
 }
 
-func (m *Message) common(f *fields) {
+func (m *Message) parseInstance(f *fields) {
 	if f.name == "i" {
 		m.Instance = int(f.int())
 		if m.Instance < 0 {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (r *Reader) attach(f *fields, m *Message) {
+func (r *Reader) parseAttach(f *fields, m *Message) {
 	val := config.Values{}
 	for f.next() {
 		switch f.name {
@@ -170,7 +170,7 @@
 			m.Seed = uint64(f.int())
 		default:
 			val[f.name] = string(f.val)
-			m.common(f)
+			m.parseInstance(f)
 		}
 	}
 	var fault *config.Fault
@@ -181,7 +181,7 @@
 	m.Settings.CancelStopsWork = true // here each attempt that was called off is told of as such
 }
 
-func (r *Reader) arrived(f *fields, m *Message) {
+func (r *Reader) parseArrival(f *fields, m *Message) {
 	m.Event.Kind = logic.Arrived
 	q := &m.Event.Request
 	for f.next() {
@@ -212,7 +212,7 @@
 		case "remaining_us":
 			q.Remaining = f.micros()
 		default:
-			m.common(f)
+			m.parseInstance(f)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 	"revoked": logic.Cancelled, "unused": logic.NotSent, "READ": logic.ReadDone,
 }
 
-func (r *Reader) attempt(f *fields, m *Message) {
+func (r *Reader) parseAttempt(f *fields, m *Message) {
 	note := int64(0)
 	for f.next() {
 		switch f.name {
@@ -246,9 +246,9 @@
 			}
 			m.Event.Outcome = o
 		case "usage":
-			m.Event.Report = r.report(f)
+			m.Event.Report = r.parseReport(f)
 		default:
-			m.common(f)
+			m.parseInstance(f)
 		}
 	}
 	if m.Event.Outcome == logic.Full {
@@ -258,9 +258,9 @@
 	}
 }
 
-func (r *Reader) report(f *fields) *logic.Report {
+func (r *Reader) parseReport(f *fields) *logic.Report {
 	nan := math.NaN()
-	r.rep = logic.Report{MemoryHeld: nan, TokensWaiting: nan}
+	r.report = logic.Report{MemoryHeld: nan, TokensWaiting: nan}
 	for rest := string(f.val); rest != ""; {
 		var part string
 		part, rest, _ = strings.Cut(rest, ",")
@@ -272,10 +272,10 @@
 		}
 		switch name {
 		case "x0":
-			r.rep.MemoryHeld = v
+			r.report.MemoryHeld = v
 		case "x1":
-			r.rep.TokensWaiting = v * 1000
+			r.report.TokensWaiting = v * 1000
 		}
 	}
-	return &r.rep
+	return &r.report
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -28,9 +28,9 @@
 
 // Action writes one action of an instance.
 func (w *Writer) Action(instance int, a *logic.Action) error {
-	words := [...]string{logic.Send: "PASS_ON", logic.Refuse: "BOUNCE", logic.Fail: "REPORT_FAILURE",
+	verbs := [...]string{logic.Send: "PASS_ON", logic.Refuse: "BOUNCE", logic.Fail: "REPORT_FAILURE",
 		logic.Release: "DISCARD", logic.Cancel: "REVOKE", logic.Wake: "WAKE_AT", logic.Watch: "LISTEN", logic.Probe: "ASK_LOAD"}
-	w.buf = append(w.buf[:0], words[a.Kind]...)
+	w.buf = append(w.buf[:0], verbs[a.Kind]...)
 	w.int("i", int64(instance))
 	if a.RequestID != "" {
 		w.text("corr", a.RequestID)
