--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -1,5 +1,6 @@
-// Package front holds what the fronts have in common: the listener, a watch for clients that leave, and the
-// relay of a stream. The wires themselves are in its subpackages.
+// Package front holds what the fronts share: the listener, the connection limiter, the detection of
+// clients that close their connection, and the relay of a stream. The protocols are in its
+// subpackages.
 package front
 
 import (
@@ -19,38 +20,41 @@
 	"standpulley/internal/dispatch"
 )
 
-// Conn is a client's connection. fasthttp does not notice a client that leaves while a handler runs; Watch does.
+// Conn is a client's connection. fasthttp does not notice that a client closes the connection while
+// a handler runs; WatchClose does.
 type Conn struct {
 	net.Conn
-	lastRead  time.Time // when bytes last came
-	readAhead []byte    // what came behind the request that is being answered, and was read while its client was watched
+	lastRead  time.Time // when data was last received
+	readAhead []byte    // data received behind the current request, read while watching for the client's close
 
 	limiter      *ConnLimiter
-	listener     *Listener     // that has it, guarded by the gate
-	idleElem     *list.Element // among the waiting, guarded by the gate
-	idleSince    time.Time     // it has been among them since, guarded by the gate
-	requestBegun bool          // bytes of a request were read since the last answer, guarded by the gate
-	served       bool          // a request was answered on it, guarded by the gate
-	removed      bool          // guarded by the gate
-
-	bodyElem  *list.Element // among those that read a body, guarded by the gate
-	bodyBytes int           // bytes of it
+	listener     *Listener     // owner of the connection; guarded by the limiter
+	idleElem     *list.Element // position in the idle list; guarded by the limiter
+	idleSince    time.Time     // when it was put there; guarded by the limiter
+	requestBegun bool          // bytes of a request were read since the last response; guarded by the limiter
+	served       bool          // a request was answered on it; guarded by the limiter
+	removed      bool          // its slot was freed; guarded by the limiter
+
+	bodyElem  *list.Element // position in the list of bodies being read
+	bodyBytes int           // bytes reserved for that body
 }
 
 const (
 	lingerTimeout  = time.Second
 	lingerMaxBytes = 4 << 20
-	// So much of what a client sends behind its request is read to find out whether it leaves. Behind more than that the machine is asked.
+	// At most maxReadAhead bytes that a client sends behind its current request are read to detect
+	// a close. Once that much is buffered, the socket is polled instead.
 	maxReadAhead       = 16 << 10
 	readAheadStep      = 512
-	hangupPollInterval = 40 * time.Millisecond // a client that has left is noticed within 100
+	hangupPollInterval = 40 * time.Millisecond // detects a client's close within 100 ms
 )
 
-// Close ends the connection. What was just answered has to reach the client, so it is told of the end first, and what it still sends is
-// read: closing over unread bytes would reset the connection, and the answer might go with it.
+// Close ends the connection. The response must reach the client, so the write side is closed first
+// and data that the client still sends is read: closing with unread data would send a reset, which
+// could destroy the response.
 func (c *Conn) Close() error {
 	if c.requestHasBegun() {
-		c.markIdle(true) // it may be closed sooner where its place is wanted
+		c.markIdle(true) // may be evicted while it lingers
 		linger(c.Conn)
 	}
 	c.limiter.mu.Lock()
@@ -59,16 +63,17 @@
 	return nil
 }
 
-// linger reads for a while what nobody wants.
+// linger closes the write side and discards incoming data until the client closes the connection,
+// for a bounded time and number of bytes.
 func linger(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite() // if it fails, so does the read
 		_ = t.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_, _ = io.CopyN(io.Discard, t, lingerMaxBytes) // its end is the point
+		_, _ = io.CopyN(io.Discard, t, lingerMaxBytes) // only waits for the client's close
 	}
 }
 
-// Read gives back first what a watch has read.
+// Read returns the data that was read ahead before it reads from the connection.
 func (c *Conn) Read(p []byte) (int, error) {
 	if len(c.readAhead) > 0 && len(p) > 0 {
 		n := copy(p, c.readAhead)
@@ -85,9 +90,10 @@
 	return n, err
 }
 
-// readFirst reads the first bytes of a request. Whoever ends a resting connection must know whether a request on it was read: it is owed
-// an answer from then on. So the bytes are read and that is noted in one step, under the gate's lock. Where the time of a resting
-// connection is over just as a request comes, it has come.
+// readFirst reads the first bytes of a request. Whoever closes an idle connection must know whether
+// a request was read from it, because from then on the client is owed a response. So the bytes are
+// read and requestBegun is set in one step, under the limiter's lock. If the idle timeout expires
+// just as a request arrives, the request is read.
 func (c *Conn) readFirst(p []byte) (n int, err error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -100,40 +106,41 @@
 		return 0, err
 	}
 	for {
-		waited := raw.Read(func(fd uintptr) (come bool) { return readable(int(fd)) })
-		if waited != nil && !errors.Is(waited, os.ErrDeadlineExceeded) {
-			return 0, waited
+		waitErr := raw.Read(func(fd uintptr) (ready bool) { return readable(int(fd)) })
+		if waitErr != nil && !errors.Is(waitErr, os.ErrDeadlineExceeded) {
+			return 0, waitErr
 		}
 		n, err = c.readRequestStart(raw, p)
 		c.recordRead(n)
 		switch {
 		case err != syscall.EAGAIN && err != syscall.EINTR:
 			return n, err
-		case waited != nil:
-			return 0, waited
+		case waitErr != nil:
+			return 0, waitErr
 		}
 	}
 }
 
-// peeked tells whether a read would not have to wait.
+// readable reports whether a read would return without blocking.
 func readable(fd int) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err != syscall.EAGAIN && err != syscall.EINTR
 }
 
-// take reads what has come, without waiting, and notes that a request has begun. A connection that was ended gives nothing. The gate is
-// locked before the descriptor is held, as whoever closes it waits under the lock until nobody holds it.
+// readRequestStart reads the available bytes without blocking and records that a request has begun.
+// It returns an error if the connection was closed. The limiter is locked before the descriptor is
+// held, because a close under that lock waits until nobody holds the descriptor.
 func (c *Conn) readRequestStart(raw syscall.RawConn, p []byte) (n int, err error) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	if c.removed {
 		return 0, net.ErrClosed
 	}
-	held := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT) })
+	controlErr := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT) })
 	switch {
-	case held != nil:
-		return 0, held
+	case controlErr != nil:
+		return 0, controlErr
 	case err != nil:
 		return 0, err
 	case n == 0:
@@ -143,20 +150,20 @@
 	return n, nil
 }
 
-// waits tells whether bytes have come that nobody has read.
-func (c *Conn) hasUnread() (some bool) {
+// hasUnread reports whether data has arrived that was not read yet.
+func (c *Conn) hasUnread() (unread bool) {
 	c.inspectFD(func(fd int) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		some = n > 0 && err == nil
+		unread = n > 0 && err == nil
 		return false
 	})
-	return some
+	return unread
 }
 
-// look lets a client's descriptor be looked at, without waiting. It tells whether that, or the descriptor itself, shows that the client has
-// ended the connection.
-func (c *Conn) inspectFD(ended func(fd int) bool) (end bool) {
+// inspectFD calls check with the connection's descriptor, without blocking. It reports whether the
+// result, or the state of the descriptor itself, shows that the client has closed the connection.
+func (c *Conn) inspectFD(check func(fd int) bool) (closed bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -165,42 +172,45 @@
 	if err != nil {
 		return true
 	}
-	_ = raw.Control(func(fd uintptr) { end = ended(int(fd)) })
-	return end
+	_ = raw.Control(func(fd uintptr) { closed = check(int(fd)) })
+	return closed
 }
 
-// arrived reads what has come already, without waiting. It tells whether the client has ended the connection.
-func (c *Conn) readNonblocking(p []byte) (n int, end bool) {
-	end = c.inspectFD(func(fd int) bool {
+// readNonblocking reads the data that has already arrived. It also reports whether the client has
+// closed the connection.
+func (c *Conn) readNonblocking(p []byte) (n int, closed bool) {
+	closed = c.inspectFD(func(fd int) bool {
 		var err error
 		n, _, err = syscall.Recvfrom(fd, p, syscall.MSG_DONTWAIT)
 		return n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
 	c.recordRead(n)
-	return max(n, 0), end
+	return max(n, 0), closed
 }
 
-// came notes when bytes were read from the client.
+// recordRead records the time at which data was read from the client.
 func (c *Conn) recordRead(n int) {
 	if n > 0 {
 		c.lastRead = time.Now()
 	}
 }
 
-// ClientClosed tells whether the client has ended the connection, whatever it sent before that. Nothing else may read meanwhile.
+// ClientClosed reports whether the client has closed the connection, whatever it sent before that.
+// Nothing else may read from the connection meanwhile.
 func (c *Conn) ClientClosed() bool {
 	for len(c.readAhead) < maxReadAhead {
-		n, end := c.readNonblocking(c.readAheadSpace())
+		n, closed := c.readNonblocking(c.readAheadSpace())
 		c.readAhead = c.readAhead[:len(c.readAhead)+n]
-		if end || n == 0 {
-			return end
+		if closed || n == 0 {
+			return closed
 		}
 	}
 	return c.hungUp()
 }
 
-// ReceivedAt is when the last byte of the request that is being answered came, at the latest: it may have waited behind the one before. Its
-// client's time runs from then.
+// ReceivedAt returns an upper bound of the time at which the last byte of the current request
+// arrived: the request may have waited behind the one before it. The client's time limit runs from
+// then.
 func ReceivedAt(ctx *fasthttp.RequestCtx) time.Time {
 	if c, ok := ctx.Conn().(*Conn); ok && !c.lastRead.IsZero() {
 		return c.lastRead
@@ -208,7 +218,8 @@
 	return time.Now()
 }
 
-// ClientGone gives what tells whether the client of a request has ended its connection. It may be asked from any goroutine.
+// ClientGone returns a function that reports whether the client of a request has closed its
+// connection. The function is safe for concurrent use.
 func ClientGone(ctx *fasthttp.RequestCtx) func() bool {
 	if c, ok := ctx.Conn().(*Conn); ok {
 		return c.hungUp
@@ -216,16 +227,17 @@
 	return nil
 }
 
-// hungUp tells whether the machine has heard that the client has ended the connection, whatever it sent before that and is not read yet.
+// hungUp reports whether the kernel has seen the client's close, even if data sent before it is
+// still unread.
 func (c *Conn) hungUp() bool {
 	return c.inspectFD(func(fd int) bool {
-		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(ask, 0)
-		return err == nil && n > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(pollFDs, 0)
+		return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
 }
 
-// room gives space behind what was read ahead.
+// readAheadSpace returns free space behind the data that was read ahead.
 func (c *Conn) readAheadSpace() []byte {
 	if cap(c.readAhead) == len(c.readAhead) {
 		c.readAhead = slices.Grow(c.readAhead, max(len(c.readAhead), readAheadStep))
@@ -233,7 +245,8 @@
 	return c.readAhead[len(c.readAhead):min(cap(c.readAhead), maxReadAhead)]
 }
 
-// Write gives each write a time of its own: a stream may go on for long, but a client that takes nothing has gone.
+// Write sets a new deadline for each write: a stream may last long, but a client that accepts no
+// data until the deadline is considered gone.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
@@ -241,22 +254,23 @@
 	return c.Conn.Write(p)
 }
 
-// WatchClose calls gone once if the client ends the connection before stop is called. Nothing else may read the
-// connection in between. After stop has returned, gone is not called any more.
+// WatchClose calls gone once if the client closes the connection before stop is called. Nothing
+// else may read from the connection in between. After stop has returned, gone is not called any
+// more.
 func (c *Conn) WatchClose(gone func()) (stop func()) {
 	done, stopped := make(chan struct{}), make(chan struct{})
-	var mu sync.Mutex                       // held while it is found out whether it is too late
-	_ = c.Conn.SetReadDeadline(time.Time{}) // the server's, for the request that has been read
+	var mu sync.Mutex                       // serializes gone with stop
+	_ = c.Conn.SetReadDeadline(time.Time{}) // clears the server's deadline for reading this request
 	go func() {
 		defer close(done)
 		for {
-			left := false
+			clientClosed := false
 			if len(c.readAhead) < maxReadAhead {
 				n, err := c.Conn.Read(c.readAheadSpace())
 				c.recordRead(n)
 				c.readAhead = c.readAhead[:len(c.readAhead)+n]
-				left = err != nil
-			} else if left = c.hungUp(); !left {
+				clientClosed = err != nil
+			} else if clientClosed = c.hungUp(); !clientClosed {
 				select {
 				case <-stopped:
 				case <-time.After(hangupPollInterval):
@@ -269,11 +283,11 @@
 				return
 			default:
 			}
-			if left {
+			if clientClosed {
 				gone()
 			}
 			mu.Unlock()
-			if left {
+			if clientClosed {
 				return
 			}
 		}
@@ -284,24 +298,24 @@
 			mu.Lock()
 			close(stopped)
 			mu.Unlock()
-			_ = c.Conn.SetReadDeadline(time.Now().Add(-time.Second)) // wakes the read
+			_ = c.Conn.SetReadDeadline(time.Now().Add(-time.Second)) // unblocks the read
 			<-done
 			_ = c.Conn.SetReadDeadline(time.Time{})
 		})
 	}
 }
 
-// AwaitAnswer waits for the answer to a ticket. A client that leaves meanwhile ends the request. While a stream is
-// relayed the watch goes on until stop is called.
+// AwaitAnswer waits for the answer to a ticket. If the client closes the connection meanwhile, the
+// request ends. While a stream is relayed, the connection is watched until stop is called.
 func AwaitAnswer(ctx *fasthttp.RequestCtx, t *dispatch.Ticket) (a dispatch.Answer, stop func()) {
 	stop = func() {}
-	left := make(chan struct{})
+	clientClosed := make(chan struct{})
 	if c, ok := ctx.Conn().(*Conn); ok {
-		stop = c.WatchClose(func() { close(left) })
+		stop = c.WatchClose(func() { close(clientClosed) })
 	}
 	select {
 	case a = <-t.Answer():
-	case <-left:
+	case <-clientClosed:
 		t.Abandon()
 		a = <-t.Answer()
 	}
@@ -311,9 +325,10 @@
 		return a, stop
 	}
 	s := a.Stream
-	go func() { // a client that leaves during the stream closes it, also while no event comes
+	// A client's close during the stream closes the stream, also while no event arrives.
+	go func() {
 		select {
-		case <-left:
+		case <-clientClosed:
 			s.Close()
 		case <-t.Finished():
 		}
@@ -321,12 +336,13 @@
 	return a, stop
 }
 
-// StreamBody relays a stream as fasthttp reads it: each piece is flushed as it comes. If the stream is not whole, Read
-// returns an error and fasthttp closes the connection without the last chunk.
+// StreamBody relays a stream as fasthttp reads it: each piece is flushed as it arrives. If the
+// stream breaks off, Read returns an error and fasthttp closes the connection without the last
+// chunk.
 type StreamBody struct {
 	Stream    dispatch.Stream
 	Ticket    *dispatch.Ticket
-	StopWatch func() // ends the watch
+	StopWatch func() // stops watching for the client's close
 	pending   []byte
 }
 
@@ -343,7 +359,7 @@
 	return n, nil
 }
 
-// Close is called by fasthttp when the answer is written, or can't be.
+// Close is called by fasthttp after the response was written or has failed.
 func (b *StreamBody) Close() error {
 	b.StopWatch()
 	b.Stream.Close()
@@ -351,23 +367,23 @@
 	return nil
 }
 
-// DiscardLogger drops fasthttp's lines on connections that ended: the core's book has the outcomes.
+// DiscardLogger drops fasthttp's log lines about closed connections: the core counts the outcomes.
 type DiscardLogger struct{}
 
 // Printf drops a line.
 func (DiscardLogger) Printf(string, ...any) {}
 
-// Handler answers a request, whose body is its own: attempts may outlive it.
+// Handler answers a request. It owns body, because attempts may outlive the handler.
 type Handler func(ctx *fasthttp.RequestCtx, body []byte)
 
-// readBody reads the readBody of a request within the gate's bound. fasthttp by itself would make room for as much as a head
-// says, whatever comes.
-func (c *Conn) readBody(ctx *fasthttp.RequestCtx, most int) ([]byte, error) {
+// readBody reads the body of a request within the limiter's bound. fasthttp itself would allocate
+// as much as the header announces, whatever arrives.
+func (c *Conn) readBody(ctx *fasthttp.RequestCtx, limit int) ([]byte, error) {
 	stream, size := ctx.RequestBodyStream(), ctx.Request.Header.ContentLength()
 	switch {
 	case stream == nil:
 		return nil, nil
-	case size > most:
+	case size > limit:
 		return nil, fasthttp.ErrBodyTooLarge
 	}
 	defer c.releaseBody()
@@ -381,16 +397,16 @@
 	}
 	var body []byte
 	for {
-		if had := cap(body); len(body) == had { // in chunks: who knows how many
+		if oldCap := cap(body); len(body) == oldCap { // chunked: the size is unknown
 			body = slices.Grow(body, bodyGrowStep)
-			if !c.reserveBody(cap(body) - had) {
+			if !c.reserveBody(cap(body) - oldCap) {
 				return nil, net.ErrClosed
 			}
 		}
 		n, err := stream.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
-		case len(body) > most:
+		case len(body) > limit:
 			return nil, fasthttp.ErrBodyTooLarge
 		case err == io.EOF:
 			return body, nil
@@ -400,19 +416,19 @@
 	}
 }
 
-// NewServer makes the server of a front within its bounds. What can't be read as a request is answered by refuse.
-// While the program leaves, each answer is the last on its connection.
+// NewServer returns the server of a front with its limits. Requests that can't be parsed are
+// answered by refuse. While the program shuts down, each response is the last on its connection.
 func NewServer(core *dispatch.Dispatcher, handler Handler, refuse func(ctx *fasthttp.RequestCtx, status int, text string),
 	maxBody int) *fasthttp.Server {
 	handleReadError := func(ctx *fasthttp.RequestCtx, err error) {
-		var small *fasthttp.ErrSmallBuffer
-		var late net.Error
+		var headerErr *fasthttp.ErrSmallBuffer
+		var timeoutErr net.Error
 		switch {
 		case errors.Is(err, fasthttp.ErrBodyTooLarge):
 			refuse(ctx, fasthttp.StatusRequestEntityTooLarge, "the body is too large")
-		case errors.As(err, &small):
+		case errors.As(err, &headerErr):
 			refuse(ctx, fasthttp.StatusRequestHeaderFieldsTooLarge, "the header is too large")
-		case errors.As(err, &late) && late.Timeout():
+		case errors.As(err, &timeoutErr) && timeoutErr.Timeout():
 			refuse(ctx, fasthttp.StatusRequestTimeout, "the request did not come in time")
 		default:
 			refuse(ctx, fasthttp.StatusBadRequest, "malformed request")
@@ -433,21 +449,21 @@
 				return
 			}
 			if !c.markBusy() || c.ClientClosed() {
-				ctx.SetConnectionClose() // nobody hears it
+				ctx.SetConnectionClose() // the client has gone or the connection was evicted: nobody receives a response
 				return
 			}
 			handler(ctx, body)
-			if !core.Phases.KeepAlive() && len(c.readAhead) == 0 { // what was read behind it is owed an answer too
+			if !core.Phases.KeepAlive() && len(c.readAhead) == 0 { // requests that were read ahead are answered first
 				ctx.SetConnectionClose()
 			}
 		},
 		ConnState: func(c net.Conn, s fasthttp.ConnState) {
 			if c, ok := c.(*Conn); ok && (s == fasthttp.StateActive || s == fasthttp.StateIdle) && c.markIdle(s == fasthttp.StateActive) {
-				_ = c.Close() // the server finds out
+				_ = c.Close() // the server's next read fails
 			}
 		},
 		Concurrency: maxConns, StreamRequestBody: true, MaxRequestBodySize: bodyPrefetch, ReadTimeout: readTimeout,
-		ReduceMemoryUsage: true, // also: no answer waits for the request behind it
+		ReduceMemoryUsage: true, // also flushes each response before the next request is read
 		IdleTimeout:       idleTimeout, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		DisablePreParseMultipartForm: true, Logger: DiscardLogger{}, CloseOnShutdown: true, ReadBufferSize: 8 << 10, WriteBufferSize: 4 << 10,
 		ErrorHandler: handleReadError,
@@ -455,11 +471,12 @@
 }
 
 const (
-	// An answer or a close is owed within 3 s of connecting, also to a client that says nothing or half of a request.
+	// A client is owed a response or a close within 3 s of connecting, also if it sends nothing or
+	// half of a request.
 	readTimeout  = 2500 * time.Millisecond // for a request, from connecting or its first byte to its last
-	idleTimeout  = 10 * time.Second        // between requests; sooner where the place is wanted
-	writeTimeout = 15 * time.Second        // a client that takes nothing for so long has gone
-	maxConns     = 1 << 14                 // the gate bounds them
-	bodyPrefetch = 1                       // byte of a body that fasthttp reads itself; the rest is for Conn.body
-	bodyGrowStep = 16 << 10                // of a body in chunks, the room that is made at once
+	idleTimeout  = 10 * time.Second        // between requests; shorter if the slot is needed
+	writeTimeout = 15 * time.Second        // a client that accepts no data for so long is considered gone
+	maxConns     = 1 << 14                 // not reached: ConnLimiter bounds the connections
+	bodyPrefetch = 1                       // body bytes that fasthttp reads itself; Conn.readBody reads the rest
+	bodyGrowStep = 16 << 10                // allocation step for chunked bodies
 )
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// pair gives both ends of a client's connection that has passed a gate.
+// connPair returns both ends of a client connection that was admitted by a limiter.
 func connPair(t *testing.T) (client net.Conn, c *Conn) {
 	t.Helper()
 	clientConns, serverConns := dialAndSend(t, 1, "")
 	return clientConns[0], NewConnLimiter(1, 1).admit(serverConns[0])
 }
 
-// The time of a connection is over just as a request comes: on a resting one it has come, and is read; where a request has begun to come, it
-// keeps to its time.
+// The deadline of a connection expires just as a request arrives. On an idle connection the request
+// is read; if a request had already begun to arrive, the deadline holds.
 func TestRequestArrivingAtIdleTimeout(t *testing.T) {
 	for _, began := range []bool{false, true} {
 		client, c := connPair(t)
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -15,7 +15,7 @@
 
 const maxIDLen = 64
 
-// ValidID tells whether an id can stand in a path and a header as it is.
+// ValidID reports whether an ID can be used in a path and in a header without escaping.
 func ValidID(id string) bool {
 	if id == "" || len(id) > maxIDLen {
 		return false
@@ -28,12 +28,15 @@
 	return true
 }
 
-// hopByHop are headers that hold for one connection alone (RFC 9110, 7.6.1), and those of the framing, which is made anew.
+// hopByHop lists the headers that apply to a single connection (RFC 9110, 7.6.1) and those of the
+// framing, which is rebuilt for each replica.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Host"}
 
-// ForwardedHeaders gives the headers of a request that go on to replicas as they came: all, but for those that hold for the client's connection
-// alone and for those that the dispatcher says itself. What some mean, as the key by which replicas throw repeats away, only replicas know.
+// ForwardedHeaders returns the headers of a request that are forwarded to replicas unchanged: all
+// except those that apply to the client's connection only and those in own, which the dispatcher
+// sets itself. Unknown headers are forwarded because only replicas know the meaning of some, such
+// as the key by which they discard repeated requests.
 func ForwardedHeaders(h *fasthttp.RequestHeader, own ...string) (all [][2]string) {
 	skip := append(strings.Split(string(h.Peek("Connection")), ","), hopByHop...)
 	skip = append(skip, own...)
@@ -46,19 +49,20 @@
 	return all
 }
 
-// SetRetryAfter tells the client in decimal seconds when to come back.
+// SetRetryAfter sets Retry-After, in decimal seconds.
 func SetRetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
 	ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(max(after, 0).Seconds(), 'f', 3, 64))
 }
 
-// SetSettingsHeader names to the client the settings that decided its request, where dispatchers agree on them.
+// SetSettingsHeader names the settings that were in force for the request, if the dispatchers agree
+// on their settings.
 func SetSettingsHeader(ctx *fasthttp.RequestCtx, a dispatch.Answer) {
 	if a.SettingsVersion != "" {
 		ctx.Response.Header.Set("X-Settings", a.SettingsVersion)
 	}
 }
 
-// ServeReadiness answers whether the program takes requests: 200, or 503 with its phase.
+// ServeReadiness answers whether the program accepts requests: 200, or 503 with its phase.
 func ServeReadiness(ctx *fasthttp.RequestCtx, core *dispatch.Dispatcher) {
 	switch {
 	case core.Phases.AcceptsClients():
@@ -75,8 +79,9 @@
 	errFoldedHeader = errors.New("a folded header line")
 )
 
-// framing says what in a request's head other readers may frame differently than fasthttp does. It takes a length
-// beside an encoding, "identity" and folded lines; another request could hide in such a body.
+// checkFraming rejects request heads that other HTTP implementations may frame differently than
+// fasthttp does, because a second request could be hidden in such a body. fasthttp itself accepts
+// Content-Length together with Transfer-Encoding, the encoding "identity", and folded lines.
 func checkFraming(raw []byte) error {
 	length, encoding := false, false
 	for line := range bytes.Lines(raw) {
--- a/internal/front/limiter.go
+++ b/internal/front/limiter.go
@@ -10,34 +10,37 @@
 	"standpulley/internal/dispatch"
 )
 
-// ConnLimiter bounds the clients' connections of all fronts together. Where a further one comes, the one that has waited
-// the longest without an open request is closed: many clients keep their connection and never ask again, or say
-// nothing at all, and none of them may keep the others out.
+// ConnLimiter bounds the number of client connections over all fronts together. When the limit is
+// reached, a new connection evicts the one that has been without an open request for the longest
+// time: many clients keep their connection open without using it again, or send nothing at all, and
+// they must not block other clients.
 type ConnLimiter struct {
 	mu          sync.Mutex
 	maxConns    int
 	open        int
-	idle        list.List // of *Conn that have no open request, the longest first
-	lingering   int       // connections that were answered unread and are not closed yet
-	noKeepAlive bool      // none is kept after an answer
+	idle        list.List // *Conn without an open request, longest idle first
+	lingering   int       // connections that were rejected without reading their request and are not closed yet
+	noKeepAlive bool      // close connections after each response
 
-	OnClose func(cause dispatch.Cause, client string) // told of each connection that is ended before its client ends it; may be nil
+	// OnClose is called, with the limiter locked, for each connection that is closed before its
+	// client closes it; may be nil.
+	OnClose func(cause dispatch.Cause, client string)
 
 	maxBodyBytes int
-	bodyBytes    int       // of bodies that are being read
-	receiving    list.List // of *Conn that read one, the longest first
+	bodyBytes    int       // bytes reserved for request bodies that are being read
+	receiving    list.List // *Conn whose request body is being read, oldest first
 }
 
-// Why a client's connection was ended.
+// Causes for closing a client's connection.
 const (
-	Evicted      dispatch.Cause = "evicted"       // another client wanted its place
-	EvictedBegun dispatch.Cause = "evicted_begun" // the same, while a request was coming: it was answered 502
-	NoPlace      dispatch.Cause = "no_place"      // it was new, and every place had a request: it was answered 502
-	SentAway     dispatch.Cause = "sent_away"     // operators empty the program
-	Leaving      dispatch.Cause = "leaving"       // its server ends, and no request was on it
+	Evicted      dispatch.Cause = "evicted"       // another client needed the slot
+	EvictedBegun dispatch.Cause = "evicted_begun" // another client needed the slot while a request was arriving; answered 502
+	NoPlace      dispatch.Cause = "no_place"      // a new connection, and every slot has an open request; answered 502
+	SentAway     dispatch.Cause = "sent_away"     // operators drain the dispatcher of its clients
+	Leaving      dispatch.Cause = "leaving"       // its server shuts down and no request was on the connection
 )
 
-// reportClose tells of a connection that is ended. The gate is locked.
+// reportClose calls OnClose. The limiter is locked.
 func (cl *ConnLimiter) reportClose(cause dispatch.Cause, c net.Conn) {
 	if cl.OnClose != nil {
 		cl.OnClose(cause, c.RemoteAddr().String())
@@ -45,28 +48,31 @@
 }
 
 const (
-	maxLingering = 8 // that are waited for at once, so that nothing they still send resets their answer
-	// The answer fits into the send buffer of a connection on which nothing was answered yet.
+	// maxLingering bounds the rejected connections that are read until their client closes them, so
+	// that data still in flight does not reset the connection and destroy the response.
+	maxLingering = 8
+	// The response fits into the send buffer of a connection on which nothing was sent yet.
 	rejectWriteTimeout = 10 * time.Millisecond
-	// Nobody has read what the client asks for. It may be the rest of what has run already, so this is no 503, which
-	// says that trying again is harmless.
+	// The request has not been read. It may continue one that has already run, so the response is
+	// 502 and not 503, which would tell the client that a retry is harmless.
 	rejectResponse = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
-// NewConnLimiter makes a gate for at most `most` connections and so many bytes of bodies that are being read.
-func NewConnLimiter(most, bytes int) *ConnLimiter {
-	return &ConnLimiter{maxConns: most, maxBodyBytes: bytes}
+// NewConnLimiter returns a limiter for at most maxConns connections and maxBodyBytes bytes of request
+// bodies that are being read.
+func NewConnLimiter(maxConns, maxBodyBytes int) *ConnLimiter {
+	return &ConnLimiter{maxConns: maxConns, maxBodyBytes: maxBodyBytes}
 }
 
-// SetLimits sets the bounds anew. Connections that are open stay so.
-func (cl *ConnLimiter) SetLimits(most, bytes int) {
+// SetLimits changes the limits. Connections that are already open stay open.
+func (cl *ConnLimiter) SetLimits(maxConns, maxBodyBytes int) {
 	cl.mu.Lock()
-	cl.maxConns, cl.maxBodyBytes = most, bytes
+	cl.maxConns, cl.maxBodyBytes = maxConns, maxBodyBytes
 	cl.mu.Unlock()
 }
 
-// admit lets a connection in, in the place of another if it must. It gives nil where every other has a request
-// open; then the client has been told to come back.
+// admit accepts a connection, evicting an idle one if necessary. It returns nil if every other
+// connection has an open request; the client has then been answered with 502.
 func (cl *ConnLimiter) admit(conn net.Conn) *Conn {
 	c := &Conn{Conn: conn, limiter: cl}
 	cl.mu.Lock()
@@ -84,8 +90,8 @@
 	return nil
 }
 
-// evict closes a connection in favor of another. A request may have begun to come on it, or have come whole by now: then its client is
-// answered. The gate is locked.
+// evict closes a connection to make room for another. If a request has begun to arrive on it, or
+// has arrived without being read, the client is answered with 502. The limiter is locked.
 func (cl *ConnLimiter) evict(c *Conn) {
 	if c.served && !c.requestBegun && !c.hasUnread() {
 		cl.reportClose(Evicted, c.Conn)
@@ -98,12 +104,13 @@
 	}
 }
 
-// dismiss answers a client whose request nobody will read, and closes its connection. The gate is locked, so nothing here waits.
+// reject answers a client whose request will not be read, and closes its connection. The limiter is
+// locked, so nothing here blocks.
 func (cl *ConnLimiter) reject(tcp net.Conn) {
 	_ = tcp.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
-	_, _ = io.WriteString(tcp, rejectResponse) // a client that can't read it has gone
+	_, _ = io.WriteString(tcp, rejectResponse) // a client that can't receive it has gone
 	if t, ok := tcp.(*net.TCPConn); ok {
-		_ = t.CloseWrite() // nothing else may follow the answer
+		_ = t.CloseWrite() // the response must be the last data on the connection
 	}
 	if cl.lingering >= maxLingering {
 		discardReceived(tcp)
@@ -120,20 +127,21 @@
 	}()
 }
 
-// discardArrived reads, without waiting, what has come on a connection: closing over unread bytes would reset it, and the answer might go
-// with it.
+// discardReceived reads, without blocking, the data that has arrived on a connection: closing it
+// with unread data would send a reset, which could destroy the response.
 func discardReceived(tcp net.Conn) {
 	c := Conn{Conn: tcp}
 	var piece [4 << 10]byte
 	for range lingerMaxBytes / len(piece) {
-		if n, end := c.readNonblocking(piece[:]); n == 0 || end {
+		if n, closed := c.readNonblocking(piece[:]); n == 0 || closed {
 			return
 		}
 	}
 }
 
-// idlest gives the connection that has waited the longest, one whose request has begun to come only if there is no other. The gate is
-// locked, and some wait.
+// longestIdle returns the connection that has been idle for the longest time. One whose request has
+// begun to arrive is returned only if there is no other. The limiter is locked, and the idle list
+// is not empty.
 func (cl *ConnLimiter) longestIdle() *Conn {
 	for e := cl.idle.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*Conn); !c.requestBegun {
@@ -143,14 +151,14 @@
 	return cl.idle.Front().Value.(*Conn)
 }
 
-// removeAndClose closes a connection and gives its place free. The gate is locked.
+// removeAndClose closes a connection and frees its slot. The limiter is locked.
 func (cl *ConnLimiter) removeAndClose(c *Conn) {
 	if cl.remove(c) {
-		_ = c.Conn.Close() // whoever reads it finds out
+		_ = c.Conn.Close() // its reader gets an error
 	}
 }
 
-// remove gives a connection's place free, and tells whether it had one. The gate is locked.
+// remove frees the slot of a connection and reports whether it had one. The limiter is locked.
 func (cl *ConnLimiter) remove(c *Conn) bool {
 	if c.removed {
 		return false
@@ -169,9 +177,10 @@
 	return true
 }
 
-// reserveBody books further bytes for the body that a connection brings. Beyond the bound, connections whose bodies have been
-// coming for the longest are closed: half of a body, held back, must not keep others out. It reports false where that
-// is this one.
+// reserveBody reserves further bytes for the body that is read from a connection. When the limit is
+// exceeded, the connections whose bodies have been arriving for the longest time are evicted:
+// clients that send half of a body and stop must not block others. It reports false if this
+// connection itself was evicted.
 func (c *Conn) reserveBody(bytes int) bool {
 	cl := c.limiter
 	cl.mu.Lock()
@@ -189,14 +198,14 @@
 	return !c.removed
 }
 
-// releaseBody ends what hold has begun.
+// releaseBody releases what reserveBody has reserved.
 func (c *Conn) releaseBody() {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	c.releaseBodyLocked()
 }
 
-// letGo gives back what the connection's body held. The gate is locked.
+// releaseBodyLocked releases the bytes reserved for the connection's body. The limiter is locked.
 func (c *Conn) releaseBodyLocked() {
 	if c.bodyElem != nil {
 		c.limiter.receiving.Remove(c.bodyElem)
@@ -205,26 +214,28 @@
 	}
 }
 
-// DisableKeepAlives closes connections as soon as their requests have ended, or keeps them again.
-func (cl *ConnLimiter) DisableKeepAlives(away bool) {
+// DisableKeepAlives sets whether each connection is closed after its current response.
+func (cl *ConnLimiter) DisableKeepAlives(disable bool) {
 	cl.mu.Lock()
-	cl.noKeepAlive = away
+	cl.noKeepAlive = disable
 	cl.mu.Unlock()
 }
 
-// CloseIdle closes the connections that have said nothing for so long. A request that has begun to come may go on.
-func (cl *ConnLimiter) CloseIdle(silent time.Duration) {
+// CloseIdle closes the connections that have been idle for at least the given time, unless a
+// request has begun to arrive.
+func (cl *ConnLimiter) CloseIdle(minIdle time.Duration) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	for e := cl.idle.Front(); e != nil; {
 		c := e.Value.(*Conn)
-		if e = e.Next(); time.Since(c.idleSince) >= silent {
+		if e = e.Next(); time.Since(c.idleSince) >= minIdle {
 			cl.closeIfIdle(c, SentAway)
 		}
 	}
 }
 
-// closeResting closes a connection on which no request has come. The gate is locked.
+// closeIfIdle closes a connection unless a request has begun to arrive on it. The limiter is
+// locked.
 func (cl *ConnLimiter) closeIfIdle(c *Conn, cause dispatch.Cause) {
 	if !c.requestBegun && !c.hasUnread() {
 		cl.reportClose(cause, c.Conn)
@@ -232,10 +243,12 @@
 	}
 }
 
-// firstComes is how long a client that has connected has to begin its first request before its server's end closes the connection.
+// firstRequestTimeout is how long a newly connected client has to begin its first request before
+// the shutdown of its server closes the connection.
 const firstRequestTimeout = 200 * time.Millisecond
 
-// drain closes the resting connections of a Listener that is at its drain, and tells how many are open.
+// drain closes the idle connections of a Listener that shuts down and returns how many of its
+// connections are open.
 func (cl *ConnLimiter) drain(l *Listener) (open int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -249,7 +262,7 @@
 	return l.openConns
 }
 
-// assign books that a Listener has a connection.
+// assign records that a Listener owns a connection.
 func (cl *ConnLimiter) assign(c *Conn, l *Listener) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -264,7 +277,8 @@
 	}
 }
 
-// busy takes the connection out of those that may be closed. It reports false if it is closed already.
+// markBusy takes the connection off the idle list. It reports false if the connection was already
+// closed.
 func (c *Conn) markBusy() bool {
 	cl := c.limiter
 	cl.mu.Lock()
@@ -276,16 +290,17 @@
 	return !c.removed
 }
 
-// hasBegun tells whether bytes of a request were read since the last answer.
+// requestHasBegun reports whether bytes of a request have been read since the last response.
 func (c *Conn) requestHasBegun() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	return !c.removed && c.requestBegun
 }
 
-// markIdle puts it back as the one that has waited the least; began tells that a request has begun to come. It tells whether the connection is
-// to end, as clients are sent away or its server ends: its answer may have begun before it could say that it is the last. Then Close is
-// owed. A request that was read behind the one before, or has come, is answered first.
+// markIdle appends the connection to the idle list; began tells that a request has begun to arrive.
+// It reports whether the caller must close the connection: keep-alives are disabled or the server
+// shuts down, and the response may have been started too early to carry "Connection: close". A
+// request that was read ahead or has already arrived is answered first.
 func (c *Conn) markIdle(began bool) (ends bool) {
 	cl := c.limiter
 	cl.mu.Lock()
@@ -305,7 +320,7 @@
 	return ends
 }
 
-// enqueueIdle puts a connection behind all that enqueueIdle. The gate is locked.
+// enqueueIdle moves a connection to the end of the idle list. The limiter is locked.
 func (c *Conn) enqueueIdle() {
 	if c.idleElem != nil {
 		c.limiter.idle.Remove(c.idleElem)
--- a/internal/front/limiter_test.go
+++ b/internal/front/limiter_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// fill has clients connect to a listener and send a text each, which has come before the gate sees their connections.
+// dialAndSend connects clients to a listener and sends a text from each. The text has arrived
+// before the limiter sees the connections.
 func dialAndSend(t *testing.T, clients int, text string) (clientConns, serverConns []net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +38,7 @@
 	return clientConns, serverConns
 }
 
-// wantBadGateway reads the answer of who is turned away, and the end behind it.
+// wantBadGateway checks that a client gets status 502, followed by the end of the connection.
 func wantBadGateway(t *testing.T, what string, client net.Conn) {
 	t.Helper()
 	_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -54,7 +55,8 @@
 
 const wholeRequest = "POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
 
-// Guards: a request that had come, and whose connection was closed for another before anybody took it, got no answer.
+// Guards: a request that had arrived got no response when its connection was evicted before a
+// handler started.
 func TestEvictedRequestIsAnswered(t *testing.T) {
 	clientConns, serverConns := dialAndSend(t, 2, wholeRequest)
 	cl := NewConnLimiter(1, 1)
@@ -63,7 +65,7 @@
 	if _, err := io.ReadFull(c, head); err != nil {
 		t.Fatal(err)
 	}
-	c.markIdle(true) // it has been read, and nobody has taken it yet
+	c.markIdle(true) // read by the server, but no handler has started
 	if next := cl.admit(serverConns[1]); next == nil {
 		t.Fatal("the further one has no place")
 	}
@@ -73,8 +75,8 @@
 	wantBadGateway(t, "the one that is evicted", clientConns[0])
 }
 
-// Guards: beyond the few that are lingered for, clients with a request on a new connection were closed without an answer, and the close
-// over unread bytes reset them.
+// Guards: when more than maxLingering connections were rejected at once, further clients were
+// closed without a response, and closing with unread data reset the connection.
 func TestConnectionsOverTheLimitAreAnswered(t *testing.T) {
 	const clients = 4 * maxLingering
 	clientConns, serverConns := dialAndSend(t, clients+1, strings.Repeat(wholeRequest, 50))
@@ -98,7 +100,7 @@
 	}
 }
 
-// Guards: whether a client has ended its connection shows whatever it sent before that and nobody has read.
+// Guards: the close of a client must be detected even if data that it sent before is still unread.
 func TestClientCloseIsDetectedBehindUnreadBytes(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"close":      func(c net.Conn) { _ = c.Close() },
@@ -123,9 +125,10 @@
 	}
 }
 
-// Guards: whether a request had begun was noted some time after its first bytes had been read. In between its connection counted as a
-// resting one and was closed without an answer, for another's place, by operators or at the server's end. The same where its bytes had come
-// and nobody had read them.
+// Guards: requestBegun was set some time after the first bytes of a request had been read. In
+// between the connection counted as idle and was closed without a response: for another client, by
+// operators, or at the server's shutdown. The same happened if the bytes had arrived and were still
+// unread.
 func TestConnectionWithRequestIsNotTreatedAsIdle(t *testing.T) {
 	ends := map[string]func(cl *ConnLimiter, l *Listener, other net.Conn){
 		"eviction":     func(cl *ConnLimiter, _ *Listener, other net.Conn) { cl.admit(other) },
@@ -154,7 +157,8 @@
 	}
 }
 
-// A resting connection ends with its server, at once where it has served a request; nothing more is read on it.
+// Idle connections close when their server shuts down, immediately if they have served a request;
+// nothing more is read from them.
 func TestIdleConnectionsCloseWithTheirServer(t *testing.T) {
 	clientConns, serverConns := dialAndSend(t, 3, "")
 	cl := NewConnLimiter(4, 1)
@@ -182,8 +186,8 @@
 	}
 }
 
-// Guards: whoever closes a connection under the gate's lock waits until nobody holds its descriptor; a reader that held it and wanted the
-// lock stopped the program for good.
+// Guards: a close under the limiter's lock waits until nobody holds the connection's descriptor. A
+// reader that held the descriptor and waited for the lock deadlocked the program.
 func TestReadsAndEvictionsDoNotDeadlock(t *testing.T) {
 	const rounds, clients = 50, 8
 	finished := make(chan bool)
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -1,5 +1,6 @@
-// Package once is the stage of the fronts that keeps instructions from running twice, where dispatchers remember them together:
-// before a request is handed to the core, a repeat asks what is known of it, and its attempts are to be noted.
+// Package once keeps instructions from running twice where the dispatchers share a ledger. Before
+// the fronts hand a request to the core, the ledger is asked about repeats, and the request is
+// given a recorder for its attempts.
 package once
 
 import (
@@ -12,19 +13,22 @@
 	"standpulley/internal/ledger"
 )
 
-// Ledger is what dispatchers remember together.
+// Ledger is the record of instructions that the dispatchers share.
 type Ledger interface {
-	// Find says why a repeat of an instruction may not be taken.
+	// Find returns an error if a repeat of an instruction must not be accepted.
 	Find(key ledger.Key, deadline time.Time) error
-	// Note gives what notes the attempts of an instruction.
+	// Note returns the recorder for the attempts of an instruction.
 	Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
 }
 
-// KeyHeader is the header by which a client names an instruction (draft-ietf-httpapi-idempotency-key-header).
+// KeyHeader is the header in which a client sends the key of an instruction
+// (draft-ietf-httpapi-idempotency-key-header).
 const KeyHeader = "Idempotency-Key"
 
-// Admit gives what notes the attempts of an instruction, or why it must not be taken. The customer is who asks; again tells that
-// the client marks it as a repeat. It waits for what others know of a repeat, within a bound and until the deadline.
+// Admit returns the recorder for the attempts of an instruction, or an error if the instruction
+// must not be accepted. customer identifies the caller; repeat tells that the client marks the
+// request as a repeat. For a repeat it waits for what the other dispatchers know, for a bounded
+// time and at most until the deadline.
 func Admit(l Ledger, h *fasthttp.RequestHeader, customer string, content []byte, repeat bool, deadline time.Time) (dispatch.IntentRecorder, error) {
 	key, named := Key(h, customer, content)
 	named = named || repeat
@@ -36,7 +40,8 @@
 	return l.Note(key, customer, named), nil
 }
 
-// Key names an instruction: by the client's key if it gave one, else by its words. All dispatchers give it the same.
+// Key returns the ledger key of an instruction: derived from the client's key if it sent one, else
+// from the content. All dispatchers derive the same key.
 func Key(h *fasthttp.RequestHeader, customer string, content []byte) (key ledger.Key, named bool) {
 	kind, text := "words", content
 	if k := h.Peek(KeyHeader); len(k) > 0 {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the front for the platform's protocol: it reads a request's headers into the core's form
-// and writes the one final answer. It decides nothing.
+// Package platform is the front for the platform's protocol: it translates a request's headers for
+// the core and writes the one final response. It makes no decisions.
 package platform
 
 import (
@@ -25,34 +25,34 @@
 const (
 	maxBody       = 256 << 10
 	maxTokens     = 1 << 40
-	charsPerToken = 4 // characters
+	charsPerToken = 4
 	maxExpiry     = time.Hour
 
-	longPromptTokens = 1 << 20 // tokens
+	longPromptTokens = 1 << 20 // caps the prompt length in maxRemaining
 )
 
 // Front serves the platform's clients.
 type Front struct {
 	core     *dispatch.Dispatcher
 	pool     *replica.Pool
-	ledger   once.Ledger // nil: off
+	ledger   once.Ledger // nil: disabled
 	settings atomic.Pointer[settings]
 }
 
-// settings are those of logic.Settings that the front reads.
+// settings holds the parts of logic.Settings that the front reads.
 type settings struct {
 	classes map[string]logic.Class
-	movable bool // clients ask another dispatcher for the rest of a stream
+	movable bool // clients request the rest of a stream from another dispatcher
 }
 
-// New makes the front of a core; its requests travel by the pool.
+// New returns the front of a core; its requests are sent over the pool's connections.
 func New(core *dispatch.Dispatcher, pool *replica.Pool, set logic.Settings, l once.Ledger) *Front {
 	f := &Front{core: core, pool: pool, ledger: l}
 	f.UpdateSettings(set)
 	return f
 }
 
-// UpdateSettings puts other settings in force for the requests to come.
+// UpdateSettings replaces the settings for subsequent requests.
 func (f *Front) UpdateSettings(set logic.Settings) {
 	s := &settings{classes: map[string]logic.Class{}, movable: set.CanResumeElsewhere()}
 	for _, c := range set.Classes {
@@ -61,7 +61,7 @@
 	f.settings.Store(s)
 }
 
-// Server gives the front's server.
+// Server returns the HTTP server of the front.
 func (f *Front) Server() *fasthttp.Server {
 	return front.NewServer(f.core, f.serve, writeError, maxBody)
 }
@@ -86,7 +86,7 @@
 	q, err := f.parseRequest(&ctx.Request, body)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		ctx.SetConnectionClose() // its next request may begin elsewhere than it seems
+		ctx.SetConnectionClose() // the next request on it may begin somewhere else than it seems
 		return
 	}
 	q.Received, q.ClientGone = received, front.ClientGone(ctx)
@@ -102,10 +102,12 @@
 	f.writeAnswer(ctx, t, a, stop)
 }
 
-// findAgain is the advice where it can't be found out now whether an instruction has run.
+// lookupRetryAfter is the Retry-After where the dispatcher can't find out at present whether an
+// instruction has run.
 const lookupRetryAfter = time.Second
 
-// unsent answers an instruction that is not sent, as an earlier one of it may have run, or that can't be found out.
+// rejectUnsent answers an instruction that is not sent because an earlier attempt at it may have
+// run, or because that can't be found out at present.
 func rejectUnsent(ctx *fasthttp.RequestCtx, err error) {
 	if bookkeeping.MayHaveRun(err) {
 		ctx.Error(err.Error(), fasthttp.StatusFailedDependency)
@@ -115,7 +117,8 @@
 	front.SetRetryAfter(ctx, lookupRetryAfter)
 }
 
-// writeAnswer writes the final writeAnswer: a stream as it comes, a refusal with the time to come back, else a failure.
+// writeAnswer writes the final response: a stream as it arrives, a refusal with Retry-After, or a
+// failure.
 func (f *Front) writeAnswer(ctx *fasthttp.RequestCtx, t *dispatch.Ticket, a dispatch.Answer, stop func()) {
 	switch a.Verdict {
 	case dispatch.Served:
@@ -132,7 +135,7 @@
 	front.SetSettingsHeader(ctx, a)
 }
 
-// parseRequest reads what a client sent into the core's form. An error names the header at fault.
+// parseRequest translates a client's request for the core. An error names the offending header.
 func (f *Front) parseRequest(in *fasthttp.Request, body []byte) (dispatch.Request, error) {
 	q := dispatch.Request{ID: string(in.Header.Peek("X-Trace-Id"))}
 	ask := &q.Spec
@@ -156,7 +159,7 @@
 	if !jsoniter.Valid(body) {
 		return q, errors.New("the body is not JSON, or not as long as it says")
 	}
-	ask.PromptTokens = int64(len(body) / charsPerToken) // where no length is told
+	ask.PromptTokens = int64(len(body) / charsPerToken) // unless X-Props gives a length
 	if err := parseProps(string(in.Header.Peek("X-Props")), ask); err != nil {
 		return q, fmt.Errorf("X-Props: %w", err)
 	}
@@ -173,7 +176,8 @@
 	return q, nil
 }
 
-// expiry reads a number and its unit; where none is told the class's deadline holds.
+// parseExpiry parses a number with its unit. If the text is empty, it returns the fallback, the
+// deadline of the class.
 func parseExpiry(text string, fallback time.Duration) (time.Duration, error) {
 	if text == "" {
 		return fallback, nil
@@ -186,8 +190,9 @@
 	return time.Duration(min(v*float64(unit), float64(maxExpiry))), nil
 }
 
-// longest bounds how long a request is kept, whatever its client says: its timers hold it for that time. Clients wait
-// no longer than their class's deadline, which grows with the prompt.
+// maxRemaining bounds how long a request is kept whatever its client says, because its timers hold
+// it in memory for that time. Clients wait no longer than the deadline of their class, which grows
+// with the prompt.
 func maxRemaining(class logic.Class, promptTokens int64) time.Duration {
 	return 2 * (class.Deadline + 2*time.Duration(min(promptTokens, longPromptTokens))*class.AimPer1K/1000)
 }
--- a/internal/front/port.go
+++ b/internal/front/port.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp/tcplisten"
 )
 
-// Port is an address that is listened on. Its connections go to the Listener that was attached last, so that one
-// server can take over from another without closing the address.
+// Port is a listening address. Its connections go to the Listener that was attached last, so that a
+// new server can take over without closing the address.
 type Port struct {
 	tcp     *net.TCPListener
 	limiter *ConnLimiter
@@ -18,11 +18,12 @@
 	mu      sync.Mutex
 	current *Listener
 	closing bool
-	done    chan struct{} // closed when nothing is accepted any more
+	done    chan struct{} // closed when no more connections are accepted
 }
 
-// Listen opens an address, whose connections pass the gate. They wait until a Listener is attached. Where the address
-// is shared, another process may listen there too, as this program does when a new version takes over.
+// Listen opens an address whose connections are subject to the limiter. They wait until a Listener
+// is attached. If shared is true, another process may listen on the same address, as this program
+// does while a new version of it takes over.
 func Listen(addr string, limiter *ConnLimiter, shared bool) (*Port, error) {
 	ln, err := listen(addr, shared)
 	if err != nil {
@@ -42,18 +43,19 @@
 	return (&tcplisten.Config{ReusePort: true}).NewListener(network, addr)
 }
 
-// Addr is the address that is listened on.
+// Addr returns the listening address.
 func (p *Port) Addr() string { return p.tcp.Addr().String() }
 
-// Attach makes a Listener that gets every connection from now on. The one before it, if any, ends.
+// Attach returns a Listener that receives every connection from now on. The previous Listener, if
+// any, is closed.
 func (p *Port) Attach() *Listener {
 	l := &Listener{limiter: p.limiter, addr: p.tcp.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.current
+	previous := p.current
 	p.current = l
-	if before != nil {
-		before.Close()
+	if previous != nil {
+		previous.Close()
 	} else {
 		go p.accept()
 	}
@@ -61,8 +63,9 @@
 }
 
 const (
-	// At the end the machine may have accepted connections that nobody has taken yet, with requests on them: closing the address would
-	// reset them. So they are taken until none has come for a moment, but no longer than a time.
+	// At shutdown the kernel may hold accepted connections, with requests on them, that the program
+	// has not taken yet; closing the address would reset them. So connections are accepted until
+	// none has arrived for drainQuietPeriod, but for no longer than drainMaxTime.
 	drainQuietPeriod = 20 * time.Millisecond
 	drainMaxTime     = 200 * time.Millisecond
 )
@@ -81,14 +84,14 @@
 		if gone {
 			break
 		}
-		time.Sleep(5 * time.Millisecond) // out of descriptors, most likely: others will be closed
+		time.Sleep(5 * time.Millisecond) // most likely out of file descriptors: others will be closed
 	}
-	for last := time.Now().Add(drainMaxTime); ; {
-		moment := time.Now().Add(drainQuietPeriod)
-		if last.Before(moment) {
-			moment = last
+	for limit := time.Now().Add(drainMaxTime); ; {
+		deadline := time.Now().Add(drainQuietPeriod)
+		if limit.Before(deadline) {
+			deadline = limit
 		}
-		_ = p.tcp.SetDeadline(moment) // if it fails, so does the next Accept
+		_ = p.tcp.SetDeadline(deadline) // if it fails, so does the next Accept
 		c, err := p.tcp.Accept()
 		if err != nil {
 			return
@@ -97,35 +100,36 @@
 	}
 }
 
-// deliver gives a connection that passes the gate to the Listener that is attached.
+// deliver passes a connection that the limiter admits to the attached Listener.
 func (p *Port) deliver(c net.Conn) {
 	conn := p.limiter.admit(c)
 	if conn == nil {
 		return
 	}
-	var before *Listener
+	var previous *Listener
 	for {
 		p.mu.Lock()
 		l := p.current
 		p.mu.Unlock()
-		if l == before {
-			_ = conn.Close() // the program is at its end
+		if l == previous {
+			_ = conn.Close() // no new Listener follows: the program shuts down
 			return
 		}
 		if l.offer(conn) {
 			return
 		}
-		before = l // it has ended since: another is attached
+		previous = l // closed meanwhile: another Listener is attached
 	}
 }
 
-// Shutdown accepts for wait longer, then what the machine has accepted by then, and closes the address.
+// Shutdown accepts connections for the given time, then those that the kernel has accepted by then,
+// and closes the address.
 func (p *Port) Shutdown(wait time.Duration) {
 	p.mu.Lock()
 	p.closing = true
 	attached := p.current
 	p.mu.Unlock()
-	_ = p.tcp.SetDeadline(time.Now().Add(wait)) // if it fails, the close below ends the accepting
+	_ = p.tcp.SetDeadline(time.Now().Add(wait)) // if it fails, the close below ends the accept loop
 	if attached != nil {
 		select {
 		case <-p.done:
@@ -136,11 +140,11 @@
 	_ = p.tcp.Close()
 }
 
-// Listener hands a server the connections of a Port.
+// Listener hands the connections of a Port to one server.
 type Listener struct {
 	limiter   *ConnLimiter
-	openConns int  // connections that it has handed out, guarded by the gate
-	draining  bool // each ends with its present request, guarded by the gate
+	openConns int  // connections that it has handed out; guarded by the limiter
+	draining  bool // each connection closes after its current request; guarded by the limiter
 
 	addr      net.Addr
 	conns     chan net.Conn
@@ -158,7 +162,8 @@
 	}
 }
 
-// Accept waits for a connection. At the end it says io.EOF, which fasthttp takes as a plain stop.
+// Accept waits for a connection. After Close it returns io.EOF, which fasthttp treats as a regular
+// stop.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -168,7 +173,7 @@
 	}
 }
 
-// Close ends the Listener, not its Port.
+// Close closes the Listener, but not its Port.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
@@ -176,13 +181,13 @@
 
 const drainPollInterval = 10 * time.Millisecond
 
-// DrainConns ends the connections that the Listener has handed out, each behind its present request and those that have come by then, and
-// returns when none is open.
+// DrainConns closes the connections that the Listener has handed out, each after its current
+// request and those that have arrived by then, and returns when none is open.
 func (l *Listener) DrainConns() {
 	for l.limiter.drain(l) > 0 {
 		time.Sleep(drainPollInterval)
 	}
 }
 
-// Addr is the Port's address.
+// Addr returns the address of the Port.
 func (l *Listener) Addr() net.Addr { return l.addr }
--- a/internal/front/port_test.go
+++ b/internal/front/port_test.go
@@ -8,8 +8,9 @@
 	"standpulley/internal/front"
 )
 
-// Guards: connections that the machine had accepted, and nobody had taken yet, were reset when the address was closed. Here all wait in the
-// machine's queue as the end begins, with the time for further ones over.
+// Guards: connections that the kernel had accepted, and the program had not, were reset when the
+// address was closed. Here all connections wait in the kernel's queue when the shutdown begins, and
+// the time for further ones is over at once or soon.
 func TestQueuedConnectionsAreHandedOutAtShutdown(t *testing.T) {
 	const waiting = 20
 	for _, wait := range []time.Duration{-time.Second, 0, 10 * time.Millisecond} {
