--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -1,6 +1,6 @@
-// Package chat is the front that speaks an OpenAI-style chat completion API. It reads a request into the core's
-// form and writes the one final answer as the API words it. It decides nothing but how an answer is worded so
-// that client libraries, which retry by themselves, repeat only what is harmless.
+// Package chat is the front for an OpenAI-style chat completion API. It translates requests for the
+// core and writes the one final response in the API's format. Its only decision is which status an
+// outcome gets, so that client libraries, which retry by themselves, repeat only what is harmless.
 package chat
 
 import (
@@ -32,17 +32,17 @@
 	completionsPath = "/v1/chat/completions"
 	modelsPath      = "/v1/models"
 
-	// statusMayHaveRun answers an instruction that may have run. The common libraries retry 408, 409, 429 and
-	// everything from 500 on by themselves, and broken connections; they leave this one alone, and
-	// X-Should-Retry says so once more to those that read it.
+	// statusMayHaveRun answers an instruction that may have run. The common client libraries
+	// automatically retry 408, 409, 429, everything from 500 on, and broken connections. They do
+	// not retry this status, and X-Should-Retry repeats that for libraries that read it.
 	statusMayHaveRun = fasthttp.StatusFailedDependency
 )
 
-// Options are what an operator sets.
+// Options are set by the operator.
 type Options struct {
-	Models    map[string]string // class by model
-	MaxOutput int64             // tokens, where a request names no limit
-	Ledger    once.Ledger       // what dispatchers remember together; nil: each remembers for itself
+	Models    map[string]string // class name by model
+	MaxOutput int64             // in tokens, for requests without a limit
+	Ledger    once.Ledger       // shared by the dispatchers; nil: this front remembers instructions by itself
 }
 
 // Front serves clients of the chat API.
@@ -55,13 +55,14 @@
 	json    jsoniter.API
 }
 
-// New makes the front of a core; its requests travel by the pool.
+// New returns the front of a core; its requests are sent over the pool's connections.
 func New(core *dispatch.Dispatcher, pool *replica.Pool, classes []logic.Class, set Options) (*Front, error) {
 	f := &Front{core: core, pool: pool, options: set, ledger: newLedger(), json: jsoniter.ConfigCompatibleWithStandardLibrary}
 	return f, f.UpdateClasses(classes)
 }
 
-// UpdateClasses puts other classes in force for the requests to come, or says which model lacks its own.
+// UpdateClasses replaces the classes for subsequent requests. It returns an error that names a
+// model whose class is missing.
 func (f *Front) UpdateClasses(classes []logic.Class) error {
 	byModel := map[string]logic.Class{}
 	for model, name := range f.options.Models {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Server gives the front's server.
+// Server returns the HTTP server of the front.
 func (f *Front) Server() *fasthttp.Server {
 	return front.NewServer(f.core, f.serve, func(ctx *fasthttp.RequestCtx, status int, text string) {
 		f.writeError(ctx, &requestError{status, "invalid_request", "", text})
@@ -103,7 +104,8 @@
 	}
 }
 
-// complete takes a request from its body to its final answer. An error is one that the core never saw.
+// complete processes a completion request from its body to its final response. It returns an error
+// for a request that is rejected before it reaches the core.
 func (f *Front) complete(ctx *fasthttp.RequestCtx, text []byte, received time.Time) error {
 	b, err := parse(text)
 	if err != nil {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// writeAnswer words the final writeAnswer.
+// writeAnswer writes the final response.
 func (f *Front) writeAnswer(ctx *fasthttp.RequestCtx, t *dispatch.Ticket, a dispatch.Answer, stop func(), b *body, class logic.Class) {
 	unsafe := class.Repeat != logic.Safe
 	switch a.Verdict {
@@ -175,7 +177,7 @@
 			ctx.Response.SetBodyStream(&eventRelay{StreamBody: relay}, -1)
 			return
 		}
-		defer relay.Close() //nolint:errcheck // it has no error
+		defer relay.Close() //nolint:errcheck // always nil
 		c := &completion{ID: "chatcmpl-" + string(ctx.Response.Header.Peek("X-Request-Id")), Object: "chat.completion",
 			Created: time.Now().Unix(), Model: b.Model}
 		err := collect(a.Stream, c)
@@ -200,8 +202,9 @@
 	}
 }
 
-// eventRelay passes a stream's eventRelay on unchanged. A stream that breaks off ends with an error event and without
-// the last chunk: libraries raise either, and none sends the request anew once eventRelay have come.
+// eventRelay passes the events of a stream on unchanged. A stream that breaks off ends with an
+// error event and without the last chunk: libraries report either as an error, and none retries the
+// request once events have arrived.
 type eventRelay struct {
 	*front.StreamBody
 	tail    [64]byte // the last bytes passed on
@@ -241,7 +244,8 @@
 	e.tailLen += copy(e.tail[e.tailLen:], p)
 }
 
-// instructionKey names an instruction: by the client's key if it gave one, else by its words.
+// instructionKey returns the key of an instruction: derived from the client's key if it sent one,
+// else from the request body.
 func (f *Front) instructionKey(h *fasthttp.RequestHeader, b *body, text []byte) (key uint64, named bool) {
 	if k := h.Peek(once.KeyHeader); len(k) > 0 {
 		return hash("key", b.User, string(k)), true
@@ -249,7 +253,7 @@
 	return hash("words", string(h.Peek("Authorization")), string(text)), false
 }
 
-// customerOf names who asks: as the request's user, or by what it authorises itself with.
+// customerOf identifies the caller: by the request's user, or by its Authorization header.
 func customerOf(h *fasthttp.RequestHeader, b *body) string {
 	if b.User != "" {
 		return b.User
@@ -257,7 +261,7 @@
 	return fmt.Sprintf("%016x", hash("who", string(h.Peek("Authorization"))))
 }
 
-// repeated tells whether a library says that it sends the request anew.
+// isRetry reports whether the client library marks the request as a retry.
 func isRetry(h *fasthttp.RequestHeader) bool {
 	n, err := strconv.Atoi(string(h.Peek("X-Stainless-Retry-Count")))
 	return err == nil && n > 0
@@ -270,7 +274,7 @@
 	}
 	all := [][2]string{{"Content-Type", "application/json"}, {"X-Qos", q.Class},
 		{"X-Object", fmt.Sprintf("%016x", q.Session)}, {"X-Props", props}}
-	if key := h.Peek(once.KeyHeader); len(key) > 0 { // replicas may throw repeats away by it
+	if key := h.Peek(once.KeyHeader); len(key) > 0 { // replicas may use it to discard repeats
 		all = append(all, [2]string{once.KeyHeader, string(key)})
 	}
 	return all
@@ -282,9 +286,9 @@
 	return hex.EncodeToString(b[:])
 }
 
-// ---- wording ----
+// ---- responses ----
 
-// apiError is the API's error object.
+// apiError is the error object of the API.
 type apiError struct {
 	Error struct {
 		Message string  `json:"message"`
@@ -315,8 +319,8 @@
 	ctx.Response.Header.Set("X-Should-Retry", "false")
 }
 
-// overloaded refuses: nothing has run, and the client learns when to come back. Retry-After is in whole seconds,
-// as most clients read it; Retry-After-Ms is exact.
+// writeOverloaded writes a refusal: nothing has run, and the client is told when to retry.
+// Retry-After is in whole seconds, as most clients parse it; Retry-After-Ms is exact.
 func (f *Front) writeOverloaded(ctx *fasthttp.RequestCtx, after time.Duration, text string) {
 	f.writeError(ctx, &requestError{fasthttp.StatusServiceUnavailable, "overloaded", "", text})
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
@@ -335,7 +339,7 @@
 	ctx.SetBody(text)
 }
 
-// listModels names the models.
+// listModels writes the list of models.
 func (f *Front) listModels(ctx *fasthttp.RequestCtx) {
 	type model struct {
 		ID      string `json:"id"`
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -35,7 +35,8 @@
 	return rig, rig.Serve(t, f.Server())
 }
 
-// sdk is a client as members' applications use it, with its retries as they are by default.
+// newSDKClient returns a client of the official library with its default retries, as applications
+// use it.
 func newSDKClient(addr string, more ...option.RequestOption) *openai.Client {
 	c := openai.NewClient(append([]option.RequestOption{option.WithBaseURL("http://" + addr + "/v1"),
 		option.WithAPIKey("none")}, more...)...)
@@ -47,7 +48,7 @@
 		openai.SystemMessage("You serve the members of a credit union."), openai.UserMessage("Pay the light bill.")}}
 }
 
-// post sends a request by hand.
+// post sends a request without the client library.
 func post(t *testing.T, addr, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequest("POST", "http://"+addr+completionsPath, strings.NewReader(body))
@@ -72,7 +73,8 @@
 	return resp, string(text)
 }
 
-// first plays one script once and the other from then on, whichever replica is asked.
+// firstThen runs one script for the first call and the other for all later calls, over all
+// replicas.
 func firstThen(once, then func(*standin.Exchange)) func(*standin.Exchange) {
 	var played atomic.Bool
 	return func(x *standin.Exchange) {
@@ -103,7 +105,7 @@
 	call := rig.Writers[0].Calls("POST")[0]
 	if call.Header["X-Qos"] != "instruction" || !strings.Contains(call.Header["X-Props"], "prefix_len=10") ||
 		!strings.Contains(call.Header["X-Props"], "max_out=400") || call.Header["X-Object"] == "" {
-		t.Errorf("the replica was told %v", call.Header)
+		t.Errorf("the replica got headers %v", call.Header)
 	}
 	if resp, body := post(t, addr, requestBody("ask", true)); resp.Header.Get("Content-Type") != "text/event-stream" ||
 		!strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "[DONE]") != 1 {
@@ -111,7 +113,8 @@
 	}
 }
 
-// Guards: servers that know one stage only, as plain servers of the API do, stand behind the same core and rules.
+// Guards: mixed servers, such as plain servers of the API, must work behind the same core and
+// rules.
 func TestMixedServers(t *testing.T) {
 	rig, addr := start(t, nil, func(x *standin.Exchange) { x.Answer("one ", "stage") })
 	c, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act"))
@@ -124,7 +127,7 @@
 	}
 }
 
-// Guards: replicas may end a whole stream without [DONE], which libraries of the API wait for.
+// Guards: replicas may end a complete stream without [DONE], which client libraries wait for.
 func TestMissingDoneEventIsAdded(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
@@ -153,7 +156,8 @@
 	}
 }
 
-// Guards: an instruction that may have run must not invite a retry; the library retries by itself what looks harmless.
+// Guards: an instruction that may have run must not be answered with a status that the client
+// library retries by itself.
 func TestInstructionThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
 		"reset":    func(x *standin.Exchange) { x.Break() },
@@ -169,30 +173,32 @@
 				t.Errorf("got %v", err)
 			}
 			if n := rig.WriterRequests(); n != 1 {
-				t.Errorf("it was sent to writers %d times", n)
+				t.Errorf("the instruction was sent to writers %d times", n)
 			}
 			if totals, _ := rig.Core.Counts.Snapshot(); totals.Taken != 1 {
-				t.Errorf("the library sent it %d times", totals.Taken)
+				t.Errorf("the library sent the instruction %d times", totals.Taken)
 			}
 		})
 	}
 }
 
-// Guards: the library gives up by its own time and sends the instruction anew, while the first may be running.
+// Guards: the client library times out and resends the instruction while the first attempt may be
+// running.
 func TestInstructionAbandonedByItsClientIsNotRunAgain(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone() })
 	_, err := newSDKClient(addr, option.WithRequestTimeout(time.Second)).Chat.Completions.New(context.Background(), sdkParams("act"))
 	if err == nil {
-		t.Error("it was answered")
+		t.Error("the abandoned request was answered")
 	}
-	fronttest.WaitFor(t, "the first try to end", func() bool { return rig.CountVerdicts(dispatch.ClientLeft)+rig.CountVerdicts(dispatch.Failed) == 1 })
+	fronttest.WaitFor(t, "the first request to end", func() bool { return rig.CountVerdicts(dispatch.ClientLeft)+rig.CountVerdicts(dispatch.Failed) == 1 })
 	if n := rig.WriterRequests(); n != 1 {
-		t.Errorf("it was sent to writers %d times", n)
+		t.Errorf("the instruction was sent to writers %d times", n)
 	}
 }
 
-// Guards: a client that drops mid-stream during an instruction: one final outcome, the attempt is given up, and
-// nothing more goes out, also when its library comes again.
+// Guards: when a client disconnects in the middle of an instruction's stream, the request has one
+// final outcome, its attempt is ended, and nothing more is sent, even if the client's library
+// repeats the request.
 func TestClientDropsMidStreamDuringAnInstruction(t *testing.T) {
 	gone := make(chan bool, 1)
 	act := firstThen(func(x *standin.Exchange) {
@@ -202,7 +208,7 @@
 		gone <- true
 	}, func(x *standin.Exchange) { x.Answer("twice!") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
-	rig.Pool.Stall = 30 * time.Second // what ends the attempt is the client
+	rig.Pool.Stall = 30 * time.Second // so that the client's close, not a stall, ends the attempt
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -219,7 +225,7 @@
 	select {
 	case <-gone:
 	case <-time.After(5 * time.Second):
-		t.Error("the attempt goes on without its client")
+		t.Error("the attempt continues after the client has disconnected")
 	}
 	if resp, text := post(t, addr, body, "Idempotency-Key", "k1"); resp.StatusCode != statusMayHaveRun || resp.Header.Get("X-Should-Retry") != "false" {
 		t.Errorf("the repeat got %d %s", resp.StatusCode, text)
@@ -229,8 +235,8 @@
 	}
 }
 
-// Guards: a stand-in that stalls after the first event: the client is not left waiting, the stream does not pass
-// for a whole one, and nothing is sent again.
+// Guards: when a replica stalls after the first event, the client must not be left waiting, the
+// stream must not look complete, and nothing is sent again.
 func TestReplicaStallsAfterTheFirstEvent(t *testing.T) {
 	for _, model := range []string{"ask", "act"} {
 		stall := func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Gone() }
@@ -249,13 +255,13 @@
 		}
 		want := map[string]int{"ask": 502, "act": statusMayHaveRun}[model]
 		if resp, body := post(t, addr, requestBody(model, false)); resp.StatusCode != want || rig.WriterRequests() != 2 {
-			t.Errorf("%s in one piece: %d %s after %d sends in all", model, resp.StatusCode, body, rig.WriterRequests())
+			t.Errorf("%s non-streaming: %d %s after %d sends in all", model, resp.StatusCode, body, rig.WriterRequests())
 		}
 	}
 }
 
-// Guards: whatever goes wrong at the replicas, each instruction runs once at most and each request taken has one final
-// outcome, also with a library that repeats by itself.
+// Guards: whatever fails at the replicas, each instruction runs at most once and each accepted
+// request has one final outcome, even with a client library that retries by itself.
 func TestNoInstructionRunsTwice(t *testing.T) {
 	scripts := []func(*standin.Exchange){
 		func(x *standin.Exchange) { x.Answer("ok") },
@@ -274,7 +280,7 @@
 			t.Error(err)
 		}
 		mu.Lock()
-		reject := n%2 == 0 && !rejected[n] // every other one is turned away first, which proves that it never ran
+		reject := n%2 == 0 && !rejected[n] // every other instruction is refused first, which proves that it has not run
 		rejected[n] = true
 		if !reject {
 			runs[n]++
@@ -293,7 +299,7 @@
 			q := sdkParams("act")
 			q.Messages[1] = openai.UserMessage(fmt.Sprintf("pay #%d", n))
 			if n%4 < 2 {
-				_, _ = newSDKClient(addr).Chat.Completions.New(context.Background(), q) // what counts is what ran
+				_, _ = newSDKClient(addr).Chat.Completions.New(context.Background(), q) // the test counts runs, not responses
 				return
 			}
 			for s := newSDKClient(addr).Chat.Completions.NewStreaming(context.Background(), q); s.Next(); {
@@ -309,7 +315,7 @@
 		}
 	}
 	if len(runs) == 0 {
-		t.Error("none ran")
+		t.Error("no instruction ran")
 	}
 	totals, _ := rig.Core.Counts.Snapshot()
 	final := 0
@@ -321,7 +327,7 @@
 	}
 }
 
-// Guards: an enquiry may be repeated, and its client sees nothing of it.
+// Guards: an enquiry may be retried without its client noticing.
 func TestEnquiryIsRetried(t *testing.T) {
 	act := firstThen(func(x *standin.Exchange) { x.Break() }, func(x *standin.Exchange) { x.Answer("ok") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
@@ -334,7 +340,8 @@
 	}
 }
 
-// Guards: a refusal proves that nothing ran: it tells when to come back, and an instruction may come again.
+// Guards: a refusal proves that nothing has run. It carries Retry-After, and the instruction may be
+// sent again.
 func TestRefusalHasRetryAfter(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full)
@@ -351,7 +358,7 @@
 	})
 }
 
-// Guards: what a client gets wrong is told in the API's words and never reaches a replica.
+// Guards: invalid requests get the API's error format and never reach a replica.
 func TestBadInput(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("x") })
 	for body, want := range map[string]string{
@@ -377,7 +384,8 @@
 	}
 }
 
-// Guards: turns of a conversation share a session, conversations with the same opening share a prefix.
+// Guards: the turns of a conversation share a session, and conversations with the same opening
+// share a prefix.
 func TestSessionAndPrefix(t *testing.T) {
 	class := fronttest.Settings().Classes[0]
 	ask := func(text string) (session, prefix uint64) {
@@ -395,7 +403,7 @@
 	s2, p2 := ask(`{"model":"ask","messages":[{"role":"system","content":"open"},{"role":"user","content":[{"type":"text","text":"one"}]},{"role":"assistant","content":"a"},{"role":"user","content":"two"}]}`)
 	s3, p3 := ask(`{"model":"ask","messages":[{"role":"system","content":"open"},{"role":"user","content":"other"}]}`)
 	if s1 != s2 || s1 == s3 || p1 != p2 || p1 != p3 || p1 == 0 {
-		t.Errorf("sessions %x %x %x, openings %x %x %x", s1, s2, s3, p1, p2, p3)
+		t.Errorf("sessions %x %x %x, prefixes %x %x %x", s1, s2, s3, p1, p2, p3)
 	}
 }
 
@@ -404,5 +412,5 @@
 	if _, err := New(rig.Core, rig.Pool, fronttest.Settings().Classes, Options{Models: map[string]string{"m": "none"}}); err == nil || !strings.Contains(err.Error(), "chat.models.m") {
 		t.Errorf("got %v", err)
 	}
-	_ = platform.New(rig.Core, rig.Pool, fronttest.Settings(), nil) // both fronts stand before one core
+	_ = platform.New(rig.Core, rig.Pool, fronttest.Settings(), nil) // both fronts can serve one core
 }
--- a/internal/front/chat/collect.go
+++ b/internal/front/chat/collect.go
@@ -11,10 +11,11 @@
 	"standpulley/internal/dispatch"
 )
 
-// maxAnswer bounds an answer that is put together for a client that wants no stream.
+// maxAnswer bounds the size of the replica's stream when it is assembled for a client that does not
+// stream.
 const maxAnswer = 256 << 10
 
-// completion is the answer of the API in one piece.
+// completion is a non-streaming response of the API.
 type completion struct {
 	ID      string              `json:"id"`
 	Object  string              `json:"object"`
@@ -63,9 +64,9 @@
 	Usage jsoniter.RawMessage `json:"usage"`
 }
 
-var errTooLong = errors.New("the answer is too long to be put together")
+var errTooLong = errors.New("the answer exceeds the size limit of a non-streaming response")
 
-// collect reads a stream to its end and puts its events together.
+// collect reads a stream to its end and assembles its events into c.
 func collect(s dispatch.Stream, c *completion) error {
 	var text, refusal bytes.Buffer
 	tools := map[int]*toolCall{}
--- a/internal/front/chat/ledger.go
+++ b/internal/front/chat/ledger.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ledger remembers the instructions that have run, may have, or may yet. Client libraries send a request anew by
-// themselves when a connection breaks or their own time is over; such a repeat must not run a second time.
+// ledger remembers the instructions that have run, may have run or may still run. Client libraries
+// resend a request by themselves when a connection breaks or their own timeout expires; such a
+// repeat must not run a second time.
 type ledger struct {
 	mu      sync.Mutex
 	entries map[uint64]entry
@@ -14,8 +15,8 @@
 }
 
 type entry struct {
-	pending int       // of these words, so many are not answered yet
-	lastRan time.Time // when one ended last that may have run
+	pending int       // requests with this key that are not answered yet
+	lastRan time.Time // when the last one that may have run ended
 }
 
 func (m entry) retained(now time.Time) bool {
@@ -23,14 +24,15 @@
 }
 
 const (
-	ledgerRetention  = 15 * time.Minute // longer than libraries wait by default
+	ledgerRetention  = 15 * time.Minute // longer than the default timeouts of client libraries
 	ledgerMaxEntries = 4096
 )
 
 func newLedger() *ledger { return &ledger{entries: map[uint64]entry{}, now: time.Now} }
 
-// begin notes an instruction that is taken in; it tells whether one with the same mark may have run. Only a
-// repeat, or a request that names itself by a key, can be known again: the same words may well be meant twice.
+// begin records an instruction that is accepted. It reports whether one with the same key may have
+// run. That is checked only for a repeat or for a request with a client key, because two requests
+// with the same content may both be intended.
 func (l *ledger) begin(key uint64, repeat bool) (mayHaveRun, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +56,7 @@
 	return false, false
 }
 
-// finish notes how it ended: only what is proven never to have run may come again.
+// finish records the end of an instruction. Only one that has provably not run may be sent again.
 func (l *ledger) finish(key uint64, mayHaveRun bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/chat/request.go
+++ b/internal/front/chat/request.go
@@ -14,7 +14,8 @@
 	"standpulley/logic"
 )
 
-// body is what the front reads of a chat completion request. What it does not know passes on unread.
+// body holds the fields of a chat completion request that the front reads. Other fields are passed
+// on unread.
 type body struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
@@ -30,7 +31,7 @@
 	Content jsoniter.RawMessage `json:"content"`
 }
 
-// requestError is a request that is turned away before the core sees it, as the API words it.
+// requestError is the API error for a request that is rejected before it reaches the core.
 type requestError struct {
 	status            int
 	code, param, text string
@@ -48,7 +49,7 @@
 	maxTimeoutSec = 3600
 )
 
-// parse reads a request and checks what the front relies on.
+// parse decodes a request and validates the fields that the front relies on.
 func parse(text []byte) (*body, error) {
 	var b body
 	if err := jsoniter.Unmarshal(text, &b); err != nil {
@@ -73,7 +74,8 @@
 	return &b, nil
 }
 
-// contentText is the text of a message: a string, or parts of which the texts count.
+// contentText returns the text of a message, whose content is a string or a list of parts; the
+// texts of the parts are joined.
 func (m *message) contentText() (string, error) {
 	var text string
 	if len(m.Content) == 0 || string(m.Content) == "null" {
@@ -95,9 +97,10 @@
 	return text, nil
 }
 
-// toRequest puts a request into the core's terms. The messages tell the conversation: its opening is the system's or
-// developer's first message, which other conversations may share, and each turn begins with the texts of the turn
-// before, so the opening with the user's first message names the session.
+// toRequest translates a request for the core. The messages identify the conversation: its opening
+// is the system's or developer's first message, which several conversations may share. Each turn
+// begins with the messages of the turn before it, so the opening together with the user's first
+// message identifies the session.
 func (b *body) toRequest(class logic.Class, output int64) (logic.Request, error) {
 	q := logic.Request{Class: class.Name, MaxOutput: output}
 	for _, v := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
@@ -138,14 +141,15 @@
 func hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
-		_, _ = fmt.Fprintf(h, "%d:%s", len(p), p) // a hash takes everything
+		_, _ = fmt.Fprintf(h, "%d:%s", len(p), p) // never fails
 	}
 	return max(h.Sum64(), 1) // 0 means none
 }
 
-// patience is how long the client waits: what its library tells, but no longer than its class allows.
+// clientTimeout returns how long the client waits: as its library announces, but no longer than its
+// class allows.
 func clientTimeout(h *fasthttp.RequestHeader, class logic.Class, tokens int64) time.Duration {
-	wait := class.Deadline + 2*time.Duration(tokens)*class.AimPer1K/1000 // the deadline grows twice as much as the aim
+	wait := class.Deadline + 2*time.Duration(tokens)*class.AimPer1K/1000 // the deadline grows at twice the rate of the aim
 	for _, name := range []string{"X-Stainless-Timeout", "X-Stainless-Read-Timeout"} {
 		if v, err := strconv.ParseFloat(string(h.Peek(name)), 64); err == nil && v > 0 && v < maxTimeoutSec {
 			wait = min(wait, time.Duration(v*float64(time.Second)))
@@ -154,7 +158,7 @@
 	return wait
 }
 
-// streamed gives the body that asks replicas for a stream, which is the only form in which they answer.
+// withStreaming returns the body with streaming enabled, because replicas answer only with streams.
 func withStreaming(text []byte) ([]byte, error) {
 	all := map[string]jsoniter.RawMessage{}
 	if err := jsoniter.Unmarshal(text, &all); err != nil {
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -37,10 +37,10 @@
 			}
 		}
 		if began && (n > 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
-			t.Errorf("one that is coming: %d bytes, %v", n, err)
+			t.Errorf("a request that is arriving: %d bytes, %v", n, err)
 		}
 		if !began && string(text[:n]) != "POST" {
-			t.Errorf("one that rests: %q, %v", text[:n], err)
+			t.Errorf("an idle connection: %q, %v", text[:n], err)
 		}
 	}
 }
--- a/internal/front/limiter_test.go
+++ b/internal/front/limiter_test.go
@@ -67,12 +67,12 @@
 	}
 	c.markIdle(true) // read by the server, but no handler has started
 	if next := cl.admit(serverConns[1]); next == nil {
-		t.Fatal("the further one has no place")
+		t.Fatal("the second connection is not admitted")
 	}
 	if c.markBusy() {
-		t.Error("the one that is evicted is served")
+		t.Error("the evicted connection is served")
 	}
-	wantBadGateway(t, "the one that is evicted", clientConns[0])
+	wantBadGateway(t, "the evicted client", clientConns[0])
 }
 
 // Guards: when more than maxLingering connections were rejected at once, further clients were
@@ -82,21 +82,21 @@
 	clientConns, serverConns := dialAndSend(t, clients+1, strings.Repeat(wholeRequest, 50))
 	cl := NewConnLimiter(1, 1)
 	if !cl.admit(serverConns[0]).markBusy() {
-		t.Fatal("the first has no place")
+		t.Fatal("the first connection is not admitted")
 	}
 	for _, tcp := range serverConns[1:] {
 		if cl.admit(tcp) != nil {
-			t.Fatal("there is a place for a further one")
+			t.Fatal("a further connection is admitted")
 		}
 	}
 	cl.mu.Lock()
 	waiting := cl.lingering
 	cl.mu.Unlock()
 	if waiting > maxLingering {
-		t.Errorf("%d wait to be closed", waiting)
+		t.Errorf("%d rejected connections are lingering", waiting)
 	}
 	for _, client := range clientConns[1:] {
-		wantBadGateway(t, "one without a place", client)
+		wantBadGateway(t, "a rejected client", client)
 	}
 }
 
@@ -111,7 +111,7 @@
 			clientConns, serverConns := dialAndSend(t, 1, text)
 			c := NewConnLimiter(1, 1).admit(serverConns[0])
 			if c.hungUp() {
-				t.Errorf("%s: gone before the end", name)
+				t.Errorf("%s: closed before the client closed it", name)
 			}
 			end(clientConns[0])
 			from := time.Now()
@@ -119,7 +119,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if took := time.Since(from); took > 100*time.Millisecond {
-				t.Errorf("%s behind %d bytes shows after %v", name, len(text), took)
+				t.Errorf("%s behind %d bytes is detected after %v", name, len(text), took)
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 				continue
 			}
 			if rest, err := io.ReadAll(io.LimitReader(c, int64(len(wholeRequest)-read))); err != nil || len(rest) != len(wholeRequest)-read || !c.markBusy() {
-				t.Errorf("%s after %d bytes: the request can't be read: %v", name, read, err)
+				t.Errorf("%s after %d bytes: the request could not be read: %v", name, read, err)
 			}
 		}
 	}
@@ -169,20 +169,20 @@
 	cl.assign(another, &Listener{limiter: cl})
 	served.served = true
 	if open := cl.drain(l); open != 1 {
-		t.Errorf("%d are open", open)
+		t.Errorf("%d connections are open", open)
 	}
 	if _, err := clientConns[0].Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the one that has served: %v", err)
+		t.Errorf("the connection that has served a request: %v", err)
 	}
 	if _, err := served.Read(make([]byte, 1)); err == nil {
-		t.Error("it can be read after its end")
+		t.Error("it can be read after it was closed")
 	}
 	time.Sleep(firstRequestTimeout)
 	if open := cl.drain(l); open != 0 {
-		t.Errorf("%d are open", open)
+		t.Errorf("%d connections are open", open)
 	}
 	if fresh.markBusy() || !another.markBusy() {
-		t.Error("another server's connection has ended, or its own has not")
+		t.Error("another server's connection was closed, or its own was not")
 	}
 }
 
@@ -218,6 +218,6 @@
 	select {
 	case <-finished:
 	case <-time.After(30 * time.Second):
-		t.Fatal("they wait for each other")
+		t.Fatal("reads and evictions deadlock")
 	}
 }
--- a/internal/front/platform/attempts_test.go
+++ b/internal/front/platform/attempts_test.go
@@ -12,9 +12,10 @@
 	"standpulley/logic"
 )
 
-// What ran is counted at the replicas, for each effect: the first writer that gets a request breaks off after all of it has come, or turns
-// it away. At most once runs once; what replicas throw away is repeated only in its group and window; a refusal comes only where a repeat
-// is harmless.
+// Counts at the replicas what runs for each repeat mode, when the first writer that gets a request
+// either breaks off after receiving all of it or refuses it. An unsafe request runs at most once; a
+// keyed one is repeated only within its scope and window; a refusal is answered only if a repeat is
+// harmless.
 func TestAttemptsPerRepeatMode(t *testing.T) {
 	keyed := func(name string, scope logic.Scope, window time.Duration) logic.Class {
 		return logic.Class{Name: name, Aim: time.Second, Deadline: 3 * time.Second, TokenAim: 60 * time.Millisecond, Worth: 2,
@@ -28,14 +29,14 @@
 	for _, c := range []struct {
 		class  string
 		first  func(*standin.Exchange)
-		status []int // that may be answered
+		status []int // allowed statuses
 		sends  int   // to writers, at most
-		cells  int   // to which it was sent, at most
+		cells  int   // that got the request, at most
 	}{
 		{"enquiry", breakOff, []int{200}, 2, 2},
 		{"instruction", breakOff, []int{502}, 1, 1},
 		{"instruction", full, []int{200}, 2, 2},
-		{"instruction", fronttest.HealthyReader, []int{502}, 1, 1}, // a writer that answers as a reader does
+		{"instruction", fronttest.HealthyReader, []int{502}, 1, 1}, // a writer that answers like a reader
 		{"all", breakOff, []int{200}, 2, 2},
 		{"cell", breakOff, []int{200, 502}, 2, 1},
 		{"short", breakOff, []int{503}, 1, 1},
@@ -69,7 +70,7 @@
 			}
 		}
 		if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: a refusal without a time to return", c.class)
+			t.Errorf("%s: a refusal without Retry-After", c.class)
 		}
 		if !slices.Contains(c.status, resp.StatusCode) || !complete || sends > c.sends || cells > c.cells {
 			t.Errorf("%s: %d, %d sends to %d cells, want one of %v, %d, %d", c.class, resp.StatusCode, sends, cells, c.status, c.sends, c.cells)
--- a/internal/front/platform/disconnect_test.go
+++ b/internal/front/platform/disconnect_test.go
@@ -15,16 +15,18 @@
 	"standpulley/internal/standin"
 )
 
-// ends are the ways in which a client ends its connection.
+// clientCloses lists the ways in which a client closes its connection.
 var clientCloses = map[string]func(net.Conn){
 	"close":      func(c net.Conn) { _ = c.Close() },
 	"half close": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	"reset":      func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 }
 
-// Guards: with a byte of its next request already there, a client that left was not noticed until its request's end, and attempts went on;
-// later, with more than is read ahead. It leaves while it waits for its first attempt's answer, behind the first byte of a further request,
-// the whole of it, or many.
+// Guards: when the first byte of its next request had already arrived, a client's close was not
+// noticed until the end of its current request, and attempts continued. Later the same happened
+// with more data than is read ahead. The client closes while it waits for the answer of its first
+// attempt, after sending nothing more, the first byte of a further request, the whole of it, or
+// many requests.
 func TestClientClosesWithNextRequestSent(t *testing.T) {
 	for name, end := range clientCloses {
 		for _, behind := range []string{"", "P", rawRequest("enquiry", "3000m"), strings.Repeat(rawRequest("enquiry", "3000m"), 8), strings.Repeat(rawRequest("enquiry", "3000m"), 200)} {
@@ -35,7 +37,7 @@
 				t.Fatal(err)
 			}
 			end(c)
-			fronttest.WaitFor(t, name+" is noticed", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
+			fronttest.WaitFor(t, name+" to be noticed", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
 			fronttest.WaitFor(t, "the release", func() bool {
 				return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 			})
@@ -46,8 +48,9 @@
 	}
 }
 
-// Guards: a client that had gone before its request was read was served all the same: its request went out before the watch saw the end.
-// The whole request and the end are there before anything accepts the connection.
+// Guards: a client that had closed before its request was read was served all the same, because its
+// request was sent before the watch saw the close. Here the whole request and the close have
+// arrived before the connection is accepted.
 func TestClosedClientIsNotServed(t *testing.T) {
 	for name, end := range clientCloses {
 		rig := fronttest.Start(t, fronttest.HealthyReader, serve)
@@ -58,57 +61,58 @@
 		for range 10 {
 			end(send(t, port.Addr(), rawRequest("instruction", "3000m")))
 			end(send(t, port.Addr(), rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m")))
-			end(send(t, port.Addr(), strings.Repeat(rawRequest("enquiry", "3000m"), 40))) // more than is read with the first
+			end(send(t, port.Addr(), strings.Repeat(rawRequest("enquiry", "3000m"), 40))) // more than is read together with the first request
 		}
 		last := send(t, port.Addr(), rawRequest("enquiry", "3000m"))
 		server := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server()
 		ln := port.Attach()
-		go func() { _ = server.Serve(ln) }() // ends with the port
+		go func() { _ = server.Serve(ln) }() // ends when the port shuts down
 		t.Cleanup(func() { port.Shutdown(0) })
 		if resp, _, complete := readAnswer(t, last); resp.StatusCode != 200 || !complete {
-			t.Errorf("the one that stays: %d", resp.StatusCode)
+			t.Errorf("the client that stays: %d", resp.StatusCode)
 		}
 		port.Shutdown(0)
-		if err := server.Shutdown(); err != nil { // returns when all were dealt with
+		if err := server.Shutdown(); err != nil { // returns when all connections are closed
 			t.Fatal(err)
 		}
 		if n := len(rig.Reader.Calls("POST")); n != 1 {
-			t.Errorf("%s: %d attempts, want the one of who stays", name, n)
+			t.Errorf("%s: %d attempts, want 1, of the client that stays", name, n)
 		}
 	}
 }
 
-// Guards: the answer to a request was held back while the next one, which had come with it, was served. Only the first is answered until
-// the writer goes on.
+// Guards: the response to a request was held back while the next request, which had arrived with
+// it, was being served. Here only the first is answered until the writer proceeds.
 func TestAnswerIsNotDelayedByNextRequest(t *testing.T) {
 	proceed := make(chan bool)
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-proceed; serve(x) })
 	c := send(t, addr, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"+rawRequest("enquiry", "3000m"))
-	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // of the 3 that the second may take
+	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // the second request may take 3 s
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("the first answer: %v %v", resp, err)
+		t.Fatalf("the first response: %v %v", resp, err)
 	}
 	close(proceed)
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if resp, err = http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("the second: %v %v", resp, err)
+		t.Errorf("the second response: %v %v", resp, err)
 	}
 }
 
-// Guards: an answer after which the connection ends was followed by a reset where bytes behind the request had not been read, and the
-// answer went with it. A reset would show as an error at the answer's end.
+// Guards: when a connection was closed after a response while data behind the request was still
+// unread, a reset followed and destroyed the response. A reset would show as an error at the end of
+// the response.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	rig, addr := start(t, func(x *standin.Exchange) { x.Status(500, false, "") }, serve)
-	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil { // so that each answer is the last one
+	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil { // so that each response is the last on its connection
 		t.Fatal(err)
 	}
 	for _, first := range []string{rawRequest("enquiry", "3000m"), strings.Replace(rawRequest("enquiry", "3000m"), "X-Qos: enquiry", "X-Qos: none", 1),
 		strings.Replace(rawRequest("enquiry", "3000m"), "X-Qos", "Transfer-Encoding: chunked\r\nX-Qos", 1)} {
 		for range 10 {
 			c := send(t, addr, first+strings.Repeat("more than is read ", 4<<10))
-			time.Sleep(time.Millisecond) // any order of reading and closing must do
+			time.Sleep(time.Millisecond) // the test must pass with any order of reading and closing
 			_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 			text, err := io.ReadAll(c)
 			if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 ") {
@@ -118,8 +122,8 @@
 	}
 }
 
-// Guards: where operators had sent clients away while an answer was on its way, its connection was closed right behind it over what had come
-// meanwhile, and the answer was reset.
+// Guards: when keep-alives were disabled while a response was being sent, the connection was closed
+// right behind it with unread data, and the response was reset.
 func TestAnswerIsNotResetWhenKeepAlivesAreDisabled(t *testing.T) {
 	for range 10 {
 		proceed := make(chan bool)
@@ -130,16 +134,16 @@
 			t.Fatal(err)
 		}
 		server, ln := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server(), port.Attach()
-		go func() { _ = server.Serve(ln) }() // ends with the port
+		go func() { _ = server.Serve(ln) }() // ends when the port shuts down
 		t.Cleanup(func() { port.Shutdown(0) })
 		c := send(t, port.Addr(), rawRequest("enquiry", "3000m")+strings.Repeat("more than is read ", 4<<10))
 		fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 		gate.DisableKeepAlives(true)
 		close(proceed)
 		fronttest.WaitFor(t, "the answer", func() bool { return rig.CountVerdicts(dispatch.Served) == 1 })
-		time.Sleep(5 * time.Millisecond) // any order of reading and closing must do
+		time.Sleep(5 * time.Millisecond) // the test must pass with any order of reading and closing
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		text, err := io.ReadAll(c) // the answer, and one to what was read behind it, which is no request
+		text, err := io.ReadAll(c) // the response, and one to the data read behind it, which is no valid request
 		first, rest, complete := strings.Cut(string(text), "\r\n0\r\n\r\n")
 		if err != nil || !complete || !strings.Contains(first, "[DONE]") || rest != "" && !strings.HasPrefix(rest, "HTTP/1.1 4") {
 			t.Fatalf("%v after %d bytes, then %.40q", err, len(first), rest)
@@ -147,7 +151,8 @@
 	}
 }
 
-// A request that keeps coming, a little at a time, has its time like any other: an answer is owed within 3 s of connecting.
+// A request that keeps arriving a little at a time has the same time limit as any other: a response
+// is owed within 3 s of connecting.
 func TestTricklingRequestIsAnsweredInTime(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
 	for name, c := range map[string]struct{ head, again string }{
@@ -177,8 +182,9 @@
 	}
 }
 
-// Guards: a request that was read while the stream before it ran was dropped where its server had begun to end meanwhile, as the server's
-// loop ends behind the present answer. It is owed an answer, and the connection ends behind that.
+// Guards: a request that was read during the stream before it was dropped when its server had begun
+// to shut down meanwhile, because the server's loop ends after the current response. The request
+// must be answered, and the connection closes after that.
 func TestPipelinedRequestIsAnsweredAtShutdown(t *testing.T) {
 	proceed := make(chan bool)
 	rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
@@ -192,7 +198,7 @@
 		t.Fatal(err)
 	}
 	server, ln := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server(), port.Attach()
-	go func() { _ = server.Serve(ln) }() // ends with the port
+	go func() { _ = server.Serve(ln) }() // ends when the port shuts down
 	c := send(t, port.Addr(), rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	br := bufio.NewReader(c)
@@ -203,7 +209,7 @@
 	if _, err := io.WriteString(c, rawRequest("enquiry", "3000m")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(20 * time.Millisecond) // the watch for the client's end reads it
+	time.Sleep(20 * time.Millisecond) // the watch for the client's close reads it
 	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil {
 		t.Fatal(err)
 	}
@@ -216,14 +222,14 @@
 		t.Fatalf("the stream: %q %v", text, err)
 	}
 	if resp, err = http.ReadResponse(br, nil); err != nil || resp.StatusCode != 503 || !resp.Close {
-		t.Fatalf("the request behind it: %v %v", resp, err)
+		t.Fatalf("the pipelined request: %v %v", resp, err)
 	}
 	select {
 	case <-closedWithin:
 	case <-time.After(5 * time.Second):
-		t.Error("its server does not end")
+		t.Error("the server did not shut down")
 	}
 	if rig.WriterRequests() != 1 {
-		t.Errorf("%d requests came to writers", rig.WriterRequests())
+		t.Errorf("%d requests reached writers", rig.WriterRequests())
 	}
 }
--- a/internal/front/platform/expiry_test.go
+++ b/internal/front/platform/expiry_test.go
@@ -11,10 +11,11 @@
 	"standpulley/internal/standin"
 )
 
-// expirySlack is what the time that an attempt tells may be above what its client has left.
+// expirySlack is by how much the time that an attempt announces may exceed what its client has
+// left.
 const expirySlack = 150 * time.Millisecond
 
-// told gives the time that an attempt told its replica.
+// expiresIn returns the time that an attempt announced to its replica.
 func expiresIn(t *testing.T, call standin.Call) time.Duration {
 	t.Helper()
 	us, err := strconv.ParseInt(strings.TrimSuffix(call.Header["X-Expires-In"], "u"), 10, 64)
@@ -24,8 +25,9 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Guards: each attempt tells no more than its client has left as its first byte is written, after a read of some time and for a request
-// that came behind another and has waited for its answer. Its client's time runs from its last byte.
+// Guards: each attempt announces no more time than its client has left when the first byte of the
+// attempt is written: after a read that took some time, and for a request that waited for the
+// response to the one before it. The client's time runs from the last byte of its request.
 func TestAttemptsCarryTheRemainingTime(t *testing.T) {
 	const wait, reading = 2 * time.Second, 400 * time.Millisecond
 	rig, addr := start(t, func(x *standin.Exchange) { time.Sleep(reading); x.Read(0) }, serve)
@@ -33,7 +35,7 @@
 	if _, err := io.WriteString(c, rawRequest("enquiry", "2000m")); err != nil {
 		t.Fatal(err)
 	}
-	fronttest.WaitFor(t, "both at the writer", func() bool { return rig.WriterRequests() == 2 })
+	fronttest.WaitFor(t, "both requests at the writer", func() bool { return rig.WriterRequests() == 2 })
 	reads, writes := rig.Reader.Calls("POST"), rig.Writers[0].Calls("POST")
 	for name, check := range map[string]struct {
 		call standin.Call
@@ -43,7 +45,7 @@
 		"second, read": {reads[1], reading}, "second, answer": {writes[1], 2 * reading},
 	} {
 		if got := expiresIn(t, check.call); got > wait-check.gone+expirySlack || got <= 0 {
-			t.Errorf("%s: tells %v after %v of %v", name, got, check.gone, wait)
+			t.Errorf("%s: announces %v after %v of %v", name, got, check.gone, wait)
 		}
 	}
 }
--- a/internal/front/platform/headers_test.go
+++ b/internal/front/platform/headers_test.go
@@ -8,8 +8,9 @@
 	"standpulley/internal/standin"
 )
 
-// Guards: headers that the program did not know stayed behind, among them the key by which replicas throw repeats away. All that is not of
-// the client's connection alone goes on as it came, to every replica; what the dispatcher says itself, it says once.
+// Guards: headers unknown to the program were not forwarded, among them the key by which replicas
+// discard repeats. All headers that do not apply to the client's connection only are forwarded
+// unchanged to every replica; those that the dispatcher sets itself appear once.
 func TestHeadersAreForwardedUnchanged(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	text := strings.Replace(rawRequest("enquiry", "3000m"), "X-Object:", "Idempotency-Key:  k 1, \"x\" \r\nx-anything: a=b;c\r\nX-Twice: 1\r\nX-Twice: 2\r\n"+
@@ -30,11 +31,11 @@
 		}
 		for _, name := range []string{"X-Hop", "Keep-Alive", "Te", "Connection", "Transfer-Encoding"} {
 			if v, ok := got[name]; ok {
-				t.Errorf("%s: %q went on", name, v)
+				t.Errorf("%s: %q was forwarded", name, v)
 			}
 		}
 		if v := got["X-Expires-In"]; v == "3000m" || !strings.HasSuffix(v, "u") {
-			t.Errorf("X-Expires-In: %q is the client's", v)
+			t.Errorf("X-Expires-In: %q is the client's value", v)
 		}
 	}
 }
--- a/internal/front/platform/limits_test.go
+++ b/internal/front/platform/limits_test.go
@@ -14,7 +14,7 @@
 	"standpulley/internal/standin"
 )
 
-// ended tells whether the other side has ended a connection by then.
+// closedWithin reports whether the peer closes a connection within the given time.
 func closedWithin(c net.Conn, within time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := io.Copy(io.Discard, c)
@@ -22,11 +22,12 @@
 	return !ok || !t.Timeout()
 }
 
-// Guards: clients that ask once and hold their connection, and clients that say nothing, kept all others out.
+// Guards: clients that send one request and keep their connection, and clients that send nothing,
+// blocked all others.
 func TestIdleConnectionsDoNotBlockOthers(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
 	var held []net.Conn
-	for i := range 100 { // the gate has fewer places
+	for i := range 100 { // more than the limiter's maximum
 		text := ""
 		if i%2 == 0 {
 			text = rawRequest("enquiry", "2000m")
@@ -44,7 +45,8 @@
 	}
 }
 
-// Guards: a connection with a request open is not closed for another; the other is told that it failed.
+// Guards: a connection with an open request is not closed for another client; the other client gets
+// 502.
 func TestActiveConnectionsAreNotEvicted(t *testing.T) {
 	proceed := make(chan bool)
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Head(); x.Token("a"); <-proceed; x.End() })
@@ -52,7 +54,7 @@
 	for range fronttest.MaxConns {
 		c := send(t, addr, rawRequest("enquiry", "2000m"))
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		if _, err := io.ReadFull(c, make([]byte, 12)); err != nil { // its stream has begun
+		if _, err := io.ReadFull(c, make([]byte, 12)); err != nil { // the stream has begun
 			t.Fatal(err)
 		}
 		open = append(open, c)
@@ -68,7 +70,8 @@
 	}
 }
 
-// Guards: an answer or a close is owed within 3 s of connecting, whatever a client does not say.
+// Guards: a client is owed a response or a close within 3 s of connecting, whatever it leaves
+// unsent.
 func TestSilentClients(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
 	good := rawRequest("enquiry", "2000m")
@@ -84,34 +87,36 @@
 	}
 }
 
-// Guards: halves of large bodies, held back on every connection, filled the memory. The ones that came first are
-// closed for others, and a client whose body comes whole is served meanwhile.
+// Guards: clients that sent half of a large body and stopped filled the memory. The connections
+// whose bodies began first are evicted for others, and a client that sends a whole body meanwhile
+// is served.
 func TestPartialBodies(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
 	large := strings.Replace(rawRequest("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Content-Length: 262144\r\n\r\n{"+strings.Repeat(" ", 1<<17), 1)
 	chunked := strings.Replace(large, "Content-Length: 262144\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n30000\r\n", 1)
 	var halves []net.Conn
 	from := time.Now()
-	for i := range 12 { // there is room for four of them
+	for i := range 12 { // the limit has room for four bodies
 		text := large
 		if i%2 == 0 {
 			text = chunked
 		}
 		halves = append(halves, send(t, addr, text))
-		time.Sleep(20 * time.Millisecond) // so that they come in their order
+		time.Sleep(20 * time.Millisecond) // to keep them in order
 	}
 	complete := large + strings.Repeat(" ", 1<<17-2) + "}"
 	if resp, _, ok := readAnswer(t, send(t, addr, complete)); resp.StatusCode != 200 || !ok {
-		t.Errorf("a whole body: %d", resp.StatusCode)
+		t.Errorf("a complete body: %d", resp.StatusCode)
 	}
 	for i, c := range halves[:7] {
 		if !closedWithin(c, time.Second) || time.Since(from) > 2*time.Second {
-			t.Errorf("half %d is still held after %v", i, time.Since(from))
+			t.Errorf("half body %d is still open after %v", i, time.Since(from))
 		}
 	}
 }
 
-// Guards: what two readers may frame differently could hide a second request, and reaches no replica.
+// Guards: a request that HTTP implementations may frame differently could hide a second request;
+// none must reach a replica.
 func TestAmbiguousFraming(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	for name, c := range map[string][2]string{
@@ -151,11 +156,12 @@
 	}
 	chunked := strings.Replace(rawRequest("enquiry", "2000m"), "Content-Length: 4\r\n\r\n{  }", "Transfer-Encoding: chunked\r\n\r\n4\r\n{  }\r\n0\r\n\r\n", 1)
 	if resp, _, complete := readAnswer(t, send(t, addr, chunked)); resp.StatusCode != 200 || !complete {
-		t.Errorf("chunks as they should be: %d", resp.StatusCode)
+		t.Errorf("valid chunks: %d", resp.StatusCode)
 	}
 }
 
-// Guards: timers hold a request until the time its client says it waits, which could be for ever.
+// Guards: timers hold a request in memory until the time that its client announces, which could be
+// arbitrarily late.
 func TestClientExpiryIsCapped(t *testing.T) {
 	rig := fronttest.Start(t, fronttest.HealthyReader, serve)
 	f := New(rig.Core, rig.Pool, fronttest.Settings(), nil)
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -24,7 +24,7 @@
 
 var ids int
 
-// raw is a request as it stands on the wire, with a new id.
+// rawRequest returns the bytes of a request with a new ID.
 func rawRequest(class, expires string) string {
 	ids++
 	return fmt.Sprintf("POST /v1/chat/completions?x=%%2F1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\n"+
@@ -32,7 +32,7 @@
 		"Content-Length: 4\r\n\r\n{  }", ids, class, expires)
 }
 
-// send writes a request to a new connection.
+// send opens a connection and writes a request to it.
 func send(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -46,7 +46,7 @@
 	return c
 }
 
-// answer reads one answer; whole tells whether its body came to its end.
+// readAnswer reads one response; complete tells whether its body was received to the end.
 func readAnswer(t *testing.T, c net.Conn) (resp *http.Response, body string, complete bool) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -70,11 +70,11 @@
 	call := rig.Writers[0].Calls("POST")[0]
 	if call.Header["Host"] != "backend.local" || call.Body != "{  }" || call.Path != "/v1/chat/completions" ||
 		!strings.HasSuffix(call.Header["X-Expires-In"], "u") {
-		t.Errorf("the replica got %+v", call)
+		t.Errorf("the replica got call %+v", call)
 	}
 }
 
-// Guards: a stream that breaks must not pass for a whole one.
+// Guards: a stream that breaks off must not look complete.
 func TestBrokenStreamEndsWithoutTheLastChunk(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
 		"broken":  func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Break() },
@@ -83,7 +83,7 @@
 		rig, addr := start(t, fronttest.HealthyReader, act)
 		if resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m"))); resp.StatusCode != 200 || complete ||
 			!strings.Contains(body, `"a"`) {
-			t.Errorf("%s: %d %q whole %v", name, resp.StatusCode, body, complete)
+			t.Errorf("%s: %d %q complete %v", name, resp.StatusCode, body, complete)
 		}
 		if n := rig.WriterRequests(); n != 1 {
 			t.Errorf("%s: %d sends after the stream had begun", name, n)
@@ -91,21 +91,22 @@
 	}
 }
 
-// Guards: fasthttp does not report a client that leaves while a handler waits.
+// Guards: fasthttp does not report a client that disconnects while a handler waits.
 func TestClientClosesWhileWaiting(t *testing.T) {
 	gone := make(chan bool, 1)
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone(); gone <- true })
 	c := send(t, addr, rawRequest("instruction", "3000m"))
 	fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 	_ = c.Close()
-	fronttest.WaitFor(t, "the client's leaving", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
-	<-gone // the attempt was given up
+	fronttest.WaitFor(t, "the client's close to be noticed", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
+	<-gone // the attempt was ended
 	fronttest.WaitFor(t, "the release", func() bool {
 		return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 	})
 }
 
-// Guards: the watch for a client that leaves must not cut off one that sends its next request early.
+// Guards: the watch for a client's close must not disconnect a client that sends its next request
+// early.
 func TestPipelinedRequests(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
 	c := send(t, addr, rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m"))
@@ -121,7 +122,7 @@
 	}
 }
 
-// Guards: a final answer comes by the deadline also when no replica says a word.
+// Guards: a final response is sent by the deadline even if no replica answers at all.
 func TestHangingReplicas(t *testing.T) {
 	for class, want := range map[string]int{"enquiry": 503, "instruction": 502} {
 		_, addr := start(t, fronttest.HealthyReader, hang)
@@ -131,12 +132,13 @@
 			t.Errorf("%s: %d after %v", class, resp.StatusCode, took)
 		}
 		if want == 503 && resp.Header.Get("Retry-After") == "" {
-			t.Error("the refusal does not say when to come back")
+			t.Error("the refusal has no Retry-After")
 		}
 	}
 }
 
-// Guards: a replica may close idle connections at any time; a request written to one would count as a reset.
+// Guards: a replica may close idle connections at any time; a request written to one would count as
+// a connection reset.
 func TestIdleConnectionClosedByReplica(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { serve(x); x.Break() })
 	c := send(t, addr, "")
@@ -145,7 +147,7 @@
 			t.Fatal(err)
 		}
 		if resp, _, complete := readAnswer(t, c); resp.StatusCode != 200 || !complete {
-			t.Errorf("%d whole %v", resp.StatusCode, complete)
+			t.Errorf("%d complete %v", resp.StatusCode, complete)
 		}
 	}
 	if totals, _ := rig.Core.Counts.Snapshot(); totals.Outcomes["connection-lost"] != 0 {
@@ -153,22 +155,24 @@
 	}
 }
 
-// Guards: a refused connection proves that nothing ran, so an instruction goes to another writer.
+// Guards: a refused connection proves that nothing has run, so an instruction is sent to another
+// writer.
 func TestInstructionIsRetriedWhereItNeverRan(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full, serve)
 	rig.Writers[0].Close()
 	for range 4 {
 		if resp, _, complete := readAnswer(t, send(t, addr, rawRequest("instruction", "2000m"))); resp.StatusCode != 200 || !complete {
-			t.Errorf("%d whole %v", resp.StatusCode, complete)
+			t.Errorf("%d complete %v", resp.StatusCode, complete)
 		}
 	}
 	if n := len(rig.Writers[1].Calls("POST")); n != 4 {
-		t.Errorf("%d sends to the writer that is well", n)
+		t.Errorf("%d sends to the healthy writer", n)
 	}
 }
 
-// Guards: a read that broke off may have ended well, and what it left behind is released.
+// Guards: a read that broke off may have succeeded, so the state that it may have left at the
+// replica is released.
 func TestBrokenReadIsReleased(t *testing.T) {
 	rig, addr := start(t, func(x *standin.Exchange) { x.Break() }, serve)
 	if resp, _, _ := readAnswer(t, send(t, addr, rawRequest("instruction", "1000m"))); resp.StatusCode != 503 {
@@ -179,7 +183,7 @@
 	})
 }
 
-// Guards: bad input gets its 4xx and never reaches a replica.
+// Guards: invalid requests get a 4xx status and never reach a replica.
 func TestBadInput(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	good := rawRequest("enquiry", "2000m")
@@ -224,7 +228,7 @@
 	}
 }
 
-// Guards: a program that knew no replicas answered that it was ready, and turned away all that came.
+// Guards: a program that knew no replicas reported that it was ready and refused every request.
 func TestNotReadyWithoutUsableReplicas(t *testing.T) {
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	rig, addr := start(t, fronttest.HealthyReader, serve)
@@ -240,7 +244,7 @@
 			}
 		}
 		rig.Core.UpdateServers(u)
-		rig.Core.List() // the one before has been taken up
+		rig.Core.List() // returns after the update above was applied
 		if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != c.want {
 			t.Errorf("with %v: %d, want %d", c.listed, resp.StatusCode, c.want)
 		}
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -11,14 +11,14 @@
 	"standpulley/internal/standin"
 )
 
-// A client that takes nothing of a long stream holds up nobody: the events of another pass one by one, each before its replica writes the
-// next.
+// A client that reads nothing of a long stream does not block others: the events of another stream
+// arrive one by one, each before its replica writes the next.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	next, full := make(chan bool), make(chan bool, 1)
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
 		x.Head()
-		if strings.HasSuffix(string(x.Req.Header.Peek("X-Object")), "f") { // the slow one's
-			for range 1 << 12 { // 32 MB, of which the machine holds a part
+		if strings.HasSuffix(string(x.Req.Header.Peek("X-Object")), "f") { // the slow client's request
+			for range 1 << 12 { // 32 MB, of which the kernel buffers a part
 				x.Token(strings.Repeat("x", 8<<10))
 				select {
 				case full <- true:
@@ -35,7 +35,7 @@
 		}
 		x.End()
 	})
-	send(t, addr, strings.Replace(rawRequest("enquiry", "3000m"), "X-Object: 7f3a", "X-Object: 7f3f", 1)) // and reads nothing
+	send(t, addr, strings.Replace(rawRequest("enquiry", "3000m"), "X-Object: 7f3a", "X-Object: 7f3f", 1)) // reads nothing
 	<-full
 	c := send(t, addr, rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -50,7 +50,7 @@
 		}
 		if strings.Contains(lines.Text(), "word") {
 			n++
-			next <- true // the replica writes another only now
+			next <- true // only now does the replica write another event
 		}
 	}
 	for lines.Scan() {
@@ -60,7 +60,8 @@
 	}
 }
 
-// A client that takes nothing for writeTimeout has gone: its stream is ended, its replica hears of it, and its place is free.
+// A client that reads nothing for writeTimeout is considered gone: its stream ends, the connection
+// to its replica is closed, and its slot is freed.
 func TestStalledClientIsDisconnected(t *testing.T) {
 	t.Parallel()
 	gone, full := make(chan bool), make(chan bool, 1)
@@ -71,19 +72,19 @@
 			case full <- true:
 			default:
 			}
-			if _, err := x.Conn.Write([]byte("4\r\n:x\n\n\r\n")); err != nil { // a comment, which keeps a stream alive
+			if _, err := x.Conn.Write([]byte("4\r\n:x\n\n\r\n")); err != nil { // an SSE comment, which keeps a stream alive
 				close(gone)
 				return
 			}
 			x.Token(strings.Repeat("x", 8<<10))
 		}
 	})
-	send(t, addr, rawRequest("enquiry", "3000m")) // and reads nothing
+	send(t, addr, rawRequest("enquiry", "3000m")) // reads nothing
 	<-full
 	select {
 	case <-gone:
-	case <-time.After(60 * time.Second): // of the 15 that it has
-		t.Fatal("the stream goes on")
+	case <-time.After(60 * time.Second): // writeTimeout is 15 s
+		t.Fatal("the stream continues")
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		f, _ := rig.Core.Metrics()
--- a/internal/front/port_test.go
+++ b/internal/front/port_test.go
@@ -41,11 +41,11 @@
 		}()
 		port.Shutdown(wait)
 		if n := <-taken; n != waiting {
-			t.Errorf("wait %v: %d of %d connections are taken", wait, n, waiting)
+			t.Errorf("wait %v: %d of %d connections were handed out", wait, n, waiting)
 		}
 		if c, err := net.Dial("tcp", port.Addr()); err == nil {
 			_ = c.Close()
-			t.Errorf("wait %v: the address is open", wait)
+			t.Errorf("wait %v: the address is still open", wait)
 		}
 	}
 }
--- a/internal/fronttest/rig.go
+++ b/internal/fronttest/rig.go
@@ -1,4 +1,5 @@
-// Package fronttest sets up a core with scripted replicas behind a front, for the tests of the fronts.
+// Package fronttest sets up a core with scripted replicas behind a front, for the tests of the
+// fronts.
 package fronttest
 
 import (
@@ -14,13 +15,14 @@
 	"standpulley/logic"
 )
 
-// A front of the tests holds so many connections of clients, and so many bytes of bodies that are being read.
+// Limits of a test front: the number of client connections, and the bytes of request bodies being
+// read.
 const (
 	MaxConns     = 32
 	MaxBodyBytes = 1 << 20
 )
 
-// Settings are those of a small fleet with one class of each kind.
+// Settings returns the settings of a small fleet with one class of each repeat mode in use.
 func Settings() logic.Settings {
 	return logic.Settings{Siblings: 1, Zone: "z", MaxAttempts: 4, CanCancel: true, MaxRetryAfter: 2 * time.Second,
 		ReleaseWithin: 500 * time.Millisecond, ColdFrom: 0.3, RampTime: 10 * time.Second, FallMultiple: 2.5,
@@ -32,7 +34,7 @@
 		}}
 }
 
-// Rig is a core with one reader and the writers of a story.
+// Rig is a core with at most one reader and with the writers of a test.
 type Rig struct {
 	Core    *dispatch.Dispatcher
 	Pool    *replica.Pool
@@ -40,14 +42,15 @@
 	Writers []*standin.Replica
 }
 
-// Start runs a core whose reader plays read and whose writers play one of writes each. Without a reader they are
-// mixed servers, as plain servers of a chat API are: they read and answer by themselves.
-func Start(t *testing.T, read func(*standin.Exchange), writes ...func(*standin.Exchange)) *Rig {
+// Start runs a core whose reader, if any, and whose writers run one script each. Without a reader
+// the writers are mixed servers, as plain servers of a chat API are: they prefill and decode by
+// themselves.
+func Start(t *testing.T, readScript func(*standin.Exchange), writeScripts ...func(*standin.Exchange)) *Rig {
 	t.Helper()
 	r := &Rig{}
 	list := dispatch.Update{Full: true}
-	add := func(id, kind string, act func(*standin.Exchange)) *standin.Replica {
-		s, err := standin.Start("127.0.0.1:0", act)
+	add := func(id, kind string, script func(*standin.Exchange)) *standin.Replica {
+		s, err := standin.Start("127.0.0.1:0", script)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,11 +60,11 @@
 		return s
 	}
 	kind := "mixed"
-	if read != nil {
+	if readScript != nil {
 		kind = "writer"
-		r.Reader = add("r", "reader", read)
+		r.Reader = add("r", "reader", readScript)
 	}
-	for i, w := range writes {
+	for i, w := range writeScripts {
 		r.Writers = append(r.Writers, add(string(rune('a'+i)), kind, w))
 	}
 	set := Settings()
@@ -80,7 +83,7 @@
 	return r
 }
 
-// Serve runs a front's server and gives its address.
+// Serve runs a front's server and returns its address.
 func (r *Rig) Serve(t *testing.T, server *fasthttp.Server) string {
 	t.Helper()
 	port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(MaxConns, MaxBodyBytes), false)
@@ -88,31 +91,31 @@
 		t.Fatal(err)
 	}
 	ln := port.Attach()
-	go func() { _ = server.Serve(ln) }() // ends with the port
+	go func() { _ = server.Serve(ln) }() // ends when the port shuts down
 	t.Cleanup(func() { port.Shutdown(0) })
 	return port.Addr()
 }
 
-// HealthyReader is the script of a reader that is well.
+// HealthyReader is the script of a reader that succeeds.
 func HealthyReader(x *standin.Exchange) { x.Read(0) }
 
-// WaitFor waits for a condition that the story must lead to.
-func WaitFor(t *testing.T, what string, cond func() bool) {
+// WaitFor waits until a condition holds and fails the test after 5 s.
+func WaitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
 }
 
-// CountVerdicts counts the final answers of one kind.
+// CountVerdicts returns the number of final answers with a verdict.
 func (r *Rig) CountVerdicts(v dispatch.Verdict) int {
 	totals, _ := r.Core.Counts.Snapshot()
 	return totals.Verdicts[v.String()]
 }
 
-// WriterRequests counts the requests that came to writers.
+// WriterRequests returns the number of requests that reached writers.
 func (r *Rig) WriterRequests() (n int) {
 	for _, w := range r.Writers {
 		n += len(w.Calls("POST"))
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fields walks over a line's name=value parts and keeps the first fault.
+// fields iterates over the name=value fields of a line and keeps the first error.
 type fields struct {
 	rest []byte
 	line int
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -14,7 +14,7 @@
 	"standpulley/logic"
 )
 
-// Reader decodes messages. Entries of lists are kept by number, as the wire says.
+// Reader decodes messages. It keeps replica lists by number, as later messages refer to them.
 type Reader struct {
 	in     *bufio.Reader
 	line   int
@@ -23,12 +23,12 @@
 	report logic.Report
 }
 
-// NewReader reads from in.
+// NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), names: map[string]string{}}
 }
 
-// intern keeps one string for each server, class and tenant name.
+// intern returns one shared string for each server, class or tenant name.
 func (r *Reader) intern(b []byte) string {
 	if s, ok := r.names[string(b)]; ok {
 		return s
@@ -58,7 +58,7 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// Next decodes the next message into m. io.EOF tells the end of the input.
+// Next decodes the next message into m. At the end of the input it returns io.EOF.
 func (r *Reader) Next(m *Message) error {
 	for {
 		line, err := r.readLine()
@@ -178,7 +178,7 @@
 	if m.Settings, err = config.Settings(val); errors.As(err, &fault) {
 		f.fail(fault.Key, fault.Text)
 	}
-	m.Settings.CancelStopsWork = true // here each attempt that was called off is told of as such
+	m.Settings.CancelStopsWork = true // the simulator reports the end of each cancelled attempt as such
 }
 
 func (r *Reader) parseArrival(f *fields, m *Message) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire translates the simulator's dialect: lines of tab-separated name=value fields in batches.
-// It decides nothing.
+// Package wire implements the simulator's line protocol: batches of lines with tab-separated
+// name=value fields. It makes no decisions.
 //
-//	wire.go    what is read, and what is wrong with it
+//	wire.go    messages and errors
 //	fields.go  the fields of a line
 //	reader.go  batches of events
 //	lists.go   numbered lists of replicas
@@ -15,7 +15,7 @@
 	"standpulley/logic"
 )
 
-// Error is malformed input: the line's number and the field at fault.
+// Error describes malformed input: the number of the line, and the invalid field.
 type Error struct {
 	Line  int
 	Field string
@@ -24,20 +24,20 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Text) }
 
-// Kind names what a message means to the host of the instances.
+// Kind tells what a message means to the process that hosts the instances.
 type Kind uint8
 
 // The kinds of message.
 const (
-	Begin  Kind = iota // a batch: Clock, Batch
-	End                // of a batch: the reply is due
-	Attach             // a new instance: Settings, Seed
-	Crash              // the instance is gone
-	Event              // Event is for the instance
-	Ignore             // nothing for a decision module
+	Begin  Kind = iota // start of a batch; sets Clock and Batch
+	End                // end of a batch: the reply is due
+	Attach             // a new instance; sets Settings and Seed
+	Crash              // the instance has crashed
+	Event              // an event for the instance, in Event
+	Ignore             // irrelevant to the decision module
 )
 
-// Message is what one line, or a list with its entries, says.
+// Message is the content of one line, or of a list with its entries.
 type Message struct {
 	Kind     Kind
 	Instance int
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	if m.Event.Kind != logic.ListFailed {
-		t.Errorf("the last is a %v", m.Event.Kind)
+		t.Errorf("the last event is a %v", m.Event.Kind)
 	}
 }
 
@@ -127,7 +127,8 @@
 	}
 }
 
-// FuzzNext feeds any text; the codec must end with an error or messages, never a panic.
+// FuzzNext feeds arbitrary text to the Reader, which must return messages or an error and must
+// never panic.
 func FuzzNext(f *testing.F) {
 	f.Add("BEGIN_BATCH\tclock_us=1\tn=1\nATTACH\ti=0\tservices.count=9999\nPOOL\tref=1\trows_in=1\nM\thost=a\nEOF_BATCH\n")
 	f.Add("COMPLETED\ti=-1\tcorr=\tusage=,:\n\n\tx\n")
@@ -137,7 +138,7 @@
 		for {
 			if err := r.Next(&m); err != nil {
 				if err != io.EOF && err.Error() == "" {
-					t.Error("an error without text")
+					t.Error("an error without a text")
 				}
 				return
 			}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -9,13 +9,13 @@
 	"standpulley/logic"
 )
 
-// Writer encodes a reply.
+// Writer encodes replies.
 type Writer struct {
 	out *bufio.Writer
 	buf []byte
 }
 
-// NewWriter writes to out.
+// NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
 func (w *Writer) text(name, v string) {
@@ -58,7 +58,7 @@
 	return w.line()
 }
 
-// InternalError reports that the adapter cannot go on.
+// InternalError reports that the adapter can't continue.
 func (w *Writer) InternalError(instance int, text string) error {
 	w.buf = append(w.buf[:0], "INTERNAL_ERROR"...)
 	w.int("i", int64(instance))
@@ -66,7 +66,7 @@
 	return w.line()
 }
 
-// EndBatch ends the reply to a batch and sends it off.
+// EndBatch ends the reply to a batch and flushes it.
 func (w *Writer) EndBatch(batch string) error {
 	w.buf = append(w.buf[:0], "YIELD"...)
 	w.text("n", batch)
