--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -207,16 +207,16 @@
 // request once events have arrived.
 type eventRelay struct {
 	*front.StreamBody
-	tail    [64]byte // the last bytes passed on
-	tailLen int
-	broken  error
+	tail      [64]byte // the last bytes passed on
+	tailLen   int
+	streamErr error // returned after the error event
 }
 
 var doneEvent = []byte("data: [DONE]\n\n")
 
 func (e *eventRelay) Read(p []byte) (int, error) {
-	if e.broken != nil {
-		return 0, e.broken
+	if e.streamErr != nil {
+		return 0, e.streamErr
 	}
 	n, err := e.StreamBody.Read(p)
 	e.recordTail(p[:n])
@@ -229,7 +229,7 @@
 		e.recordTail(doneEvent)
 		return copy(p, doneEvent), nil
 	}
-	e.broken = err
+	e.streamErr = err
 	return copy(p, "\n\ndata: {\"error\":{\"message\":\"the answer broke off\",\"type\":\"server_error\",\"param\":null,\"code\":\"stream_broken\"}}\n\n"), nil
 }
 
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -280,7 +280,8 @@
 			t.Error(err)
 		}
 		mu.Lock()
-		reject := n%2 == 0 && !rejected[n] // every other instruction is refused first, which proves that it has not run
+		// Every other instruction is refused first, which proves that it has not run.
+		reject := n%2 == 0 && !rejected[n]
 		rejected[n] = true
 		if !reject {
 			runs[n]++
@@ -299,7 +300,7 @@
 			q := sdkParams("act")
 			q.Messages[1] = openai.UserMessage(fmt.Sprintf("pay #%d", n))
 			if n%4 < 2 {
-				_, _ = newSDKClient(addr).Chat.Completions.New(context.Background(), q) // the test counts runs, not responses
+				_, _ = newSDKClient(addr).Chat.Completions.New(context.Background(), q) // only the runs are counted
 				return
 			}
 			for s := newSDKClient(addr).Chat.Completions.NewStreaming(context.Background(), q); s.Next(); {
--- a/internal/front/chat/ledger.go
+++ b/internal/front/chat/ledger.go
@@ -19,8 +19,8 @@
 	lastRan time.Time // when the last one that may have run ended
 }
 
-func (m entry) retained(now time.Time) bool {
-	return m.pending > 0 || now.Sub(m.lastRan) < ledgerRetention
+func (e entry) retained(now time.Time) bool {
+	return e.pending > 0 || now.Sub(e.lastRan) < ledgerRetention
 }
 
 const (
@@ -37,13 +37,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	m := l.entries[key]
-	if repeat && m.retained(now) {
+	e := l.entries[key]
+	if repeat && e.retained(now) {
 		return true, false
 	}
 	if len(l.entries) >= ledgerMaxEntries {
-		for k, m := range l.entries {
-			if !m.retained(now) {
+		for k, e := range l.entries {
+			if !e.retained(now) {
 				delete(l.entries, k)
 			}
 		}
@@ -51,8 +51,8 @@
 			return false, true
 		}
 	}
-	m.pending++
-	l.entries[key] = m
+	e.pending++
+	l.entries[key] = e
 	return false, false
 }
 
@@ -60,12 +60,12 @@
 func (l *ledger) finish(key uint64, mayHaveRun bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.entries[key]
-	m.pending--
+	e := l.entries[key]
+	e.pending--
 	if mayHaveRun {
-		m.lastRan = l.now()
+		e.lastRan = l.now()
 	}
-	if l.entries[key] = m; !m.retained(l.now()) {
+	if l.entries[key] = e; !e.retained(l.now()) {
 		delete(l.entries, key)
 	}
 }
--- a/internal/front/chat/request.go
+++ b/internal/front/chat/request.go
@@ -44,7 +44,7 @@
 }
 
 const (
-	charsPerToken = 4 // characters
+	charsPerToken = 4
 	maxOutput     = 1 << 20
 	maxTimeoutSec = 3600
 )
@@ -149,7 +149,8 @@
 // clientTimeout returns how long the client waits: as its library announces, but no longer than its
 // class allows.
 func clientTimeout(h *fasthttp.RequestHeader, class logic.Class, tokens int64) time.Duration {
-	wait := class.Deadline + 2*time.Duration(tokens)*class.AimPer1K/1000 // the deadline grows at twice the rate of the aim
+	// The deadline grows with the prompt at twice the rate of the aim.
+	wait := class.Deadline + 2*time.Duration(tokens)*class.AimPer1K/1000
 	for _, name := range []string{"X-Stainless-Timeout", "X-Stainless-Read-Timeout"} {
 		if v, err := strconv.ParseFloat(string(h.Peek(name)), 64); err == nil && v > 0 && v < maxTimeoutSec {
 			wait = min(wait, time.Duration(v*float64(time.Second)))
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -35,7 +35,7 @@
 	served       bool          // a request was answered on it; guarded by the limiter
 	removed      bool          // its slot was freed; guarded by the limiter
 
-	bodyElem  *list.Element // position in the list of bodies being read
+	bodyElem  *list.Element // position in the list of bodies being read; guarded by the limiter
 	bodyBytes int           // bytes reserved for that body
 }
 
@@ -449,11 +449,13 @@
 				return
 			}
 			if !c.markBusy() || c.ClientClosed() {
-				ctx.SetConnectionClose() // the client has gone or the connection was evicted: nobody receives a response
+				// The client has gone or the connection was evicted: nobody receives a response.
+				ctx.SetConnectionClose()
 				return
 			}
 			handler(ctx, body)
-			if !core.Phases.KeepAlive() && len(c.readAhead) == 0 { // requests that were read ahead are answered first
+			// Requests that were read ahead are answered first.
+			if !core.Phases.KeepAlive() && len(c.readAhead) == 0 {
 				ctx.SetConnectionClose()
 			}
 		},
@@ -476,7 +478,7 @@
 	readTimeout  = 2500 * time.Millisecond // for a request, from connecting or its first byte to its last
 	idleTimeout  = 10 * time.Second        // between requests; shorter if the slot is needed
 	writeTimeout = 15 * time.Second        // a client that accepts no data for so long is considered gone
-	maxConns     = 1 << 14                 // not reached: ConnLimiter bounds the connections
-	bodyPrefetch = 1                       // body bytes that fasthttp reads itself; Conn.readBody reads the rest
+	maxConns     = 1 << 14                 // for fasthttp; ConnLimiter sets the actual limit
+	bodyPrefetch = 1                       // bytes that fasthttp reads itself; readBody reads the rest
 	bodyGrowStep = 16 << 10                // allocation step for chunked bodies
 )
--- a/internal/front/limiter.go
+++ b/internal/front/limiter.go
@@ -19,7 +19,7 @@
 	maxConns    int
 	open        int
 	idle        list.List // *Conn without an open request, longest idle first
-	lingering   int       // connections that were rejected without reading their request and are not closed yet
+	lingering   int       // rejected connections that are not closed yet
 	noKeepAlive bool      // close connections after each response
 
 	// OnClose is called, with the limiter locked, for each connection that is closed before its
@@ -34,8 +34,8 @@
 // Causes for closing a client's connection.
 const (
 	Evicted      dispatch.Cause = "evicted"       // another client needed the slot
-	EvictedBegun dispatch.Cause = "evicted_begun" // another client needed the slot while a request was arriving; answered 502
-	NoPlace      dispatch.Cause = "no_place"      // a new connection, and every slot has an open request; answered 502
+	EvictedBegun dispatch.Cause = "evicted_begun" // the same while a request was arriving; answered 502
+	NoPlace      dispatch.Cause = "no_place"      // new, but every slot had an open request; answered 502
 	SentAway     dispatch.Cause = "sent_away"     // operators drain the dispatcher of its clients
 	Leaving      dispatch.Cause = "leaving"       // its server shuts down and no request was on the connection
 )
@@ -90,8 +90,10 @@
 	return nil
 }
 
-// evict closes a connection to make room for another. If a request has begun to arrive on it, or
-// has arrived without being read, the client is answered with 502. The limiter is locked.
+// evict closes a connection to make room for another. A request may have begun to arrive on it, or
+// may have arrived completely by now; then the client is answered with 502. Only a connection that
+// has served a request and has no sign of a further one is closed without a response. The limiter
+// is locked.
 func (cl *ConnLimiter) evict(c *Conn) {
 	if c.served && !c.requestBegun && !c.hasUnread() {
 		cl.reportClose(Evicted, c.Conn)
--- a/internal/front/limiter_test.go
+++ b/internal/front/limiter_test.go
@@ -131,9 +131,9 @@
 // unread.
 func TestConnectionWithRequestIsNotTreatedAsIdle(t *testing.T) {
 	ends := map[string]func(cl *ConnLimiter, l *Listener, other net.Conn){
-		"eviction":     func(cl *ConnLimiter, _ *Listener, other net.Conn) { cl.admit(other) },
-		"sent away":    func(cl *ConnLimiter, _ *Listener, _ net.Conn) { cl.CloseIdle(0) },
-		"server's end": func(cl *ConnLimiter, l *Listener, _ net.Conn) { cl.drain(l) },
+		"eviction":   func(cl *ConnLimiter, _ *Listener, other net.Conn) { cl.admit(other) },
+		"idle close": func(cl *ConnLimiter, _ *Listener, _ net.Conn) { cl.CloseIdle(0) },
+		"shutdown":   func(cl *ConnLimiter, l *Listener, _ net.Conn) { cl.drain(l) },
 	}
 	for name, end := range ends {
 		for _, read := range []int{0, 1, len(wholeRequest)} {
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -41,7 +41,7 @@
 }
 
 // Key returns the ledger key of an instruction: derived from the client's key if it sent one, else
-// from the content. All dispatchers derive the same key.
+// from the content. All dispatchers derive the same key. named tells that the client sent a key.
 func Key(h *fasthttp.RequestHeader, customer string, content []byte) (key ledger.Key, named bool) {
 	kind, text := "words", content
 	if k := h.Peek(KeyHeader); len(k) > 0 {
--- a/internal/front/platform/disconnect_test.go
+++ b/internal/front/platform/disconnect_test.go
@@ -61,7 +61,8 @@
 		for range 10 {
 			end(send(t, port.Addr(), rawRequest("instruction", "3000m")))
 			end(send(t, port.Addr(), rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m")))
-			end(send(t, port.Addr(), strings.Repeat(rawRequest("enquiry", "3000m"), 40))) // more than is read together with the first request
+			// More than is read together with the first request.
+			end(send(t, port.Addr(), strings.Repeat(rawRequest("enquiry", "3000m"), 40)))
 		}
 		last := send(t, port.Addr(), rawRequest("enquiry", "3000m"))
 		server := New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server()
@@ -105,7 +106,7 @@
 // the response.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	rig, addr := start(t, func(x *standin.Exchange) { x.Status(500, false, "") }, serve)
-	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil { // so that each response is the last on its connection
+	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil { // each response closes its connection
 		t.Fatal(err)
 	}
 	for _, first := range []string{rawRequest("enquiry", "3000m"), strings.Replace(rawRequest("enquiry", "3000m"), "X-Qos: enquiry", "X-Qos: none", 1),
@@ -128,8 +129,8 @@
 	for range 10 {
 		proceed := make(chan bool)
 		rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-proceed; serve(x) })
-		gate := front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes)
-		port, err := front.Listen("127.0.0.1:0", gate, false)
+		limiter := front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes)
+		port, err := front.Listen("127.0.0.1:0", limiter, false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,12 +139,13 @@
 		t.Cleanup(func() { port.Shutdown(0) })
 		c := send(t, port.Addr(), rawRequest("enquiry", "3000m")+strings.Repeat("more than is read ", 4<<10))
 		fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
-		gate.DisableKeepAlives(true)
+		limiter.DisableKeepAlives(true)
 		close(proceed)
 		fronttest.WaitFor(t, "the answer", func() bool { return rig.CountVerdicts(dispatch.Served) == 1 })
 		time.Sleep(5 * time.Millisecond) // the test must pass with any order of reading and closing
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		text, err := io.ReadAll(c) // the response, and one to the data read behind it, which is no valid request
+		// The response, and one to the data read behind it, which is not a valid request.
+		text, err := io.ReadAll(c)
 		first, rest, complete := strings.Cut(string(text), "\r\n0\r\n\r\n")
 		if err != nil || !complete || !strings.Contains(first, "[DONE]") || rest != "" && !strings.HasPrefix(rest, "HTTP/1.1 4") {
 			t.Fatalf("%v after %d bytes, then %.40q", err, len(first), rest)
@@ -215,8 +217,8 @@
 	}
 	rig.Core.StopAdmission()
 	port.Shutdown(0)
-	closedWithin := make(chan bool)
-	go func() { ln.DrainConns(); close(closedWithin) }()
+	drained := make(chan bool)
+	go func() { ln.DrainConns(); close(drained) }()
 	close(proceed)
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.HasSuffix(string(text), "[DONE]\n\n") {
 		t.Fatalf("the stream: %q %v", text, err)
@@ -225,7 +227,7 @@
 		t.Fatalf("the pipelined request: %v %v", resp, err)
 	}
 	select {
-	case <-closedWithin:
+	case <-drained:
 	case <-time.After(5 * time.Second):
 		t.Error("the server did not shut down")
 	}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -86,7 +86,7 @@
 	q, err := f.parseRequest(&ctx.Request, body)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		ctx.SetConnectionClose() // the next request on it may begin somewhere else than it seems
+		ctx.SetConnectionClose() // the body may not end where its header says, so the next request can't be located
 		return
 	}
 	q.Received, q.ClientGone = received, front.ClientGone(ctx)
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -35,7 +35,8 @@
 		}
 		x.End()
 	})
-	send(t, addr, strings.Replace(rawRequest("enquiry", "3000m"), "X-Object: 7f3a", "X-Object: 7f3f", 1)) // reads nothing
+	// This client reads nothing.
+	send(t, addr, strings.Replace(rawRequest("enquiry", "3000m"), "X-Object: 7f3a", "X-Object: 7f3f", 1))
 	<-full
 	c := send(t, addr, rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -72,7 +73,8 @@
 			case full <- true:
 			default:
 			}
-			if _, err := x.Conn.Write([]byte("4\r\n:x\n\n\r\n")); err != nil { // an SSE comment, which keeps a stream alive
+			// An SSE comment keeps a stream alive.
+			if _, err := x.Conn.Write([]byte("4\r\n:x\n\n\r\n")); err != nil {
 				close(gone)
 				return
 			}
--- a/internal/front/port.go
+++ b/internal/front/port.go
@@ -79,9 +79,9 @@
 			continue
 		}
 		p.mu.Lock()
-		gone := p.closing
+		closing := p.closing
 		p.mu.Unlock()
-		if gone {
+		if closing {
 			break
 		}
 		time.Sleep(5 * time.Millisecond) // most likely out of file descriptors: others will be closed
--- a/internal/fronttest/rig.go
+++ b/internal/fronttest/rig.go
@@ -22,7 +22,7 @@
 	MaxBodyBytes = 1 << 20
 )
 
-// Settings returns the settings of a small fleet with one class of each repeat mode in use.
+// Settings returns the settings of a small fleet with a safe and an unsafe class.
 func Settings() logic.Settings {
 	return logic.Settings{Siblings: 1, Zone: "z", MaxAttempts: 4, CanCancel: true, MaxRetryAfter: 2 * time.Second,
 		ReleaseWithin: 500 * time.Millisecond, ColdFrom: 0.3, RampTime: 10 * time.Second, FallMultiple: 2.5,
