--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -115,13 +115,13 @@
 	if !ok {
 		return &requestError{fasthttp.StatusNotFound, "model_not_found", "model", fmt.Sprintf("the model %q does not exist", b.Model)}
 	}
-	ask, err := b.toRequest(class, f.options.MaxOutput)
+	spec, err := b.toRequest(class, f.options.MaxOutput)
 	if err != nil {
 		return err
 	}
 	h := &ctx.Request.Header
-	ask.Remaining = clientTimeout(h, class, ask.PromptTokens)
-	ask.Retried = isRetry(h)
+	spec.Remaining = clientTimeout(h, class, spec.PromptTokens)
+	spec.Retried = isRetry(h)
 	if !b.Stream {
 		if text, err = withStreaming(text); err != nil {
 			return invalid("", err.Error())
@@ -131,10 +131,10 @@
 	ctx.Response.Header.Set("X-Request-Id", id)
 
 	done := func(mayHaveRun bool) {}
-	var recorded dispatch.IntentRecorder
+	var recorder dispatch.IntentRecorder
 	switch {
 	case class.Repeat == logic.Unsafe && f.options.Ledger != nil:
-		recorded, err = once.Admit(f.options.Ledger, h, customerOf(h, b), text, ask.Retried, received.Add(ask.Remaining))
+		recorder, err = once.Admit(f.options.Ledger, h, customerOf(h, b), text, spec.Retried, received.Add(spec.Remaining))
 		if bookkeeping.MayHaveRun(err) {
 			f.writeMayHaveRun(ctx, err.Error())
 			return nil
@@ -144,7 +144,7 @@
 		}
 	case class.Repeat != logic.Safe:
 		key, named := f.instructionKey(h, b, text)
-		known, full := f.ledger.begin(key, named || ask.Retried)
+		known, full := f.ledger.begin(key, named || spec.Retried)
 		switch {
 		case known:
 			f.writeMayHaveRun(ctx, "this instruction was taken before and may have run: it is not sent again")
@@ -155,9 +155,9 @@
 		}
 		done = func(mayHaveRun bool) { f.ledger.finish(key, mayHaveRun) }
 	}
-	t := f.core.Submit(dispatch.Request{ID: id, Spec: ask, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: recorded, Payload: &replica.Parcel{
+	t := f.core.Submit(dispatch.Request{ID: id, Spec: spec, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: recorder, Payload: &replica.Parcel{
 		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: completionsPath, Host: string(h.Host()), Body: text,
-		Headers: upstreamHeaders(ask, h)}})
+		Headers: upstreamHeaders(spec, h)}})
 	a, stop := front.AwaitAnswer(ctx, t)
 	done(a.MayRun || a.Verdict == dispatch.Served)
 	f.writeAnswer(ctx, t, a, stop, b, class)
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards: mixed servers, such as plain servers of the API, must work behind the same core and
-// rules.
+// Guards: servers that prefill and decode in a single stage, as plain servers of the API do, must
+// work behind the same core and rules.
 func TestMixedServers(t *testing.T) {
 	rig, addr := start(t, nil, func(x *standin.Exchange) { x.Answer("one ", "stage") })
 	c, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act"))
--- a/internal/front/platform/limits_test.go
+++ b/internal/front/platform/limits_test.go
@@ -26,21 +26,21 @@
 // blocked all others.
 func TestIdleConnectionsDoNotBlockOthers(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, serve)
-	var held []net.Conn
+	var idle []net.Conn
 	for i := range 100 { // more than the limiter's maximum
 		text := ""
 		if i%2 == 0 {
 			text = rawRequest("enquiry", "2000m")
 		}
 		c := send(t, addr, text)
-		if held = append(held, c); text == "" {
+		if idle = append(idle, c); text == "" {
 			continue
 		}
 		if resp, _, complete := readAnswer(t, c); resp.StatusCode != 200 || !complete {
 			t.Fatalf("request %d: %d", i, resp.StatusCode)
 		}
 	}
-	if !closedWithin(held[0], time.Second) || !closedWithin(held[1], time.Second) {
+	if !closedWithin(idle[0], time.Second) || !closedWithin(idle[1], time.Second) {
 		t.Error("the first connections are still open")
 	}
 }
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 		q, err := f.parseRequest(&in, in.Body())
-		if most := 2 * fronttest.Settings().Classes[0].Deadline; err != nil || q.Spec.Remaining <= 0 || q.Spec.Remaining > most {
+		if limit := 2 * fronttest.Settings().Classes[0].Deadline; err != nil || q.Spec.Remaining <= 0 || q.Spec.Remaining > limit {
 			t.Errorf("%s: %v, %v", expires, q.Spec.Remaining, err)
 		}
 	}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -41,8 +41,8 @@
 
 // settings holds the parts of logic.Settings that the front reads.
 type settings struct {
-	classes map[string]logic.Class
-	movable bool // clients request the rest of a stream from another dispatcher
+	classes   map[string]logic.Class
+	resumable bool // clients request the rest of a stream from another dispatcher
 }
 
 // New returns the front of a core; its requests are sent over the pool's connections.
@@ -54,7 +54,7 @@
 
 // UpdateSettings replaces the settings for subsequent requests.
 func (f *Front) UpdateSettings(set logic.Settings) {
-	s := &settings{classes: map[string]logic.Class{}, movable: set.CanResumeElsewhere()}
+	s := &settings{classes: map[string]logic.Class{}, resumable: set.CanResumeElsewhere()}
 	for _, c := range set.Classes {
 		s.classes[c.Name] = c
 	}
@@ -138,38 +138,38 @@
 // parseRequest translates a client's request for the core. An error names the offending header.
 func (f *Front) parseRequest(in *fasthttp.Request, body []byte) (dispatch.Request, error) {
 	q := dispatch.Request{ID: string(in.Header.Peek("X-Trace-Id"))}
-	ask := &q.Spec
+	spec := &q.Spec
 	if !front.ValidID(q.ID) {
 		return q, fmt.Errorf("X-Trace-Id: %q is not an id", q.ID)
 	}
-	ask.Class = string(in.Header.Peek("X-Qos"))
+	spec.Class = string(in.Header.Peek("X-Qos"))
 	set := f.settings.Load()
-	class, ok := set.classes[ask.Class]
+	class, ok := set.classes[spec.Class]
 	if !ok {
-		return q, fmt.Errorf("X-Qos: %q is not a class", ask.Class)
+		return q, fmt.Errorf("X-Qos: %q is not a class", spec.Class)
 	}
 	var err error
-	if ask.Remaining, err = parseExpiry(string(in.Header.Peek("X-Expires-In")), class.Deadline); err != nil {
+	if spec.Remaining, err = parseExpiry(string(in.Header.Peek("X-Expires-In")), class.Deadline); err != nil {
 		return q, fmt.Errorf("X-Expires-In: %w", err)
 	}
-	if ask.Session, err = parseKey(string(in.Header.Peek("X-Object"))); err != nil {
+	if spec.Session, err = parseKey(string(in.Header.Peek("X-Object"))); err != nil {
 		return q, fmt.Errorf("X-Object: %w", err)
 	}
-	ask.Tenant = string(in.Header.Peek("X-Customer"))
+	spec.Tenant = string(in.Header.Peek("X-Customer"))
 	if !jsoniter.Valid(body) {
 		return q, errors.New("the body is not JSON, or not as long as it says")
 	}
-	ask.PromptTokens = int64(len(body) / charsPerToken) // unless X-Props gives a length
-	if err := parseProps(string(in.Header.Peek("X-Props")), ask); err != nil {
+	spec.PromptTokens = int64(len(body) / charsPerToken) // unless X-Props gives a length
+	if err := parseProps(string(in.Header.Peek("X-Props")), spec); err != nil {
 		return q, fmt.Errorf("X-Props: %w", err)
 	}
-	ask.Remaining = min(ask.Remaining, maxRemaining(class, ask.PromptTokens))
+	spec.Remaining = min(spec.Remaining, maxRemaining(class, spec.PromptTokens))
 	secondTry := string(in.Header.Peek("X-Second-Try"))
-	ask.Retried, ask.Resumed = secondTry == "1", secondTry == "again"
+	spec.Retried, spec.Resumed = secondTry == "1", secondTry == "again"
 	parcel := &replica.Parcel{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
 		URI: string(in.RequestURI()), Host: string(in.Header.Host()), Body: body}
 	parcel.Headers = front.ForwardedHeaders(&in.Header, "X-Trace-Id", "X-Expires-In")
-	q.Payload, q.Size, q.Resumable = parcel, len(body), set.movable
+	q.Payload, q.Size, q.Resumable = parcel, len(body), set.resumable
 	for _, h := range parcel.Headers {
 		q.Size += len(h[0]) + len(h[1])
 	}
@@ -208,7 +208,7 @@
 	return v, nil
 }
 
-func parseProps(text string, ask *logic.Request) error {
+func parseProps(text string, spec *logic.Request) error {
 	for text != "" {
 		var part string
 		part, text, _ = strings.Cut(text, ",")
@@ -219,13 +219,13 @@
 		var err error
 		switch name {
 		case "prefix":
-			ask.Prefix, err = parseKey(val)
+			spec.Prefix, err = parseKey(val)
 		case "prompt_len":
-			ask.PromptTokens, err = parseTokens(val)
+			spec.PromptTokens, err = parseTokens(val)
 		case "prefix_len":
-			ask.PrefixTokens, err = parseTokens(val)
+			spec.PrefixTokens, err = parseTokens(val)
 		case "max_out":
-			ask.MaxOutput, err = parseTokens(val)
+			spec.MaxOutput, err = parseTokens(val)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
