--- a/internal/front/chat/ledger.go
+++ b/internal/front/chat/ledger.go
@@ -5,63 +5,67 @@
 	"time"
 )
 
-// ledger remembers the instructions that have run, may have, or may yet. Client libraries send a request anew by
-// themselves when a connection breaks or their own time is over; such a repeat must not run a second time.
+// ledger remembers the instructions that have run, may have run or may still run. Client libraries
+// resend a request by themselves when a connection breaks or their own timeout expires; such a
+// repeat must not run a second time.
 type ledger struct {
-	mu    sync.Mutex
-	marks map[uint64]mark
-	clock func() time.Time
+	mu      sync.Mutex
+	entries map[uint64]entry
+	now     func() time.Time
 }
 
-type mark struct {
-	open int       // of these words, so many are not answered yet
-	ran  time.Time // when one ended last that may have run
+type entry struct {
+	pending int       // requests with this key that are not answered yet
+	lastRan time.Time // when the last one that may have run ended
 }
 
-func (m mark) live(now time.Time) bool { return m.open > 0 || now.Sub(m.ran) < ledgerLife }
+func (e entry) retained(now time.Time) bool {
+	return e.pending > 0 || now.Sub(e.lastRan) < ledgerRetention
+}
 
 const (
-	ledgerLife = 15 * time.Minute // longer than libraries wait by default
-	ledgerMost = 4096
+	ledgerRetention  = 15 * time.Minute // longer than the default timeouts of client libraries
+	ledgerMaxEntries = 4096
 )
 
-func newLedger() *ledger { return &ledger{marks: map[uint64]mark{}, clock: time.Now} }
+func newLedger() *ledger { return &ledger{entries: map[uint64]entry{}, now: time.Now} }
 
-// enter notes an instruction that is taken in; it tells whether one with the same mark may have run. Only a
-// repeat, or a request that names itself by a key, can be known again: the same words may well be meant twice.
-func (l *ledger) enter(key uint64, repeat bool) (mayHaveRun, full bool) {
+// begin records an instruction that is accepted. It reports whether one with the same key may have
+// run. That is checked only for a repeat or for a request with a client key, because two requests
+// with the same content may both be intended.
+func (l *ledger) begin(key uint64, repeat bool) (mayHaveRun, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.clock()
-	m := l.marks[key]
-	if repeat && m.live(now) {
+	now := l.now()
+	e := l.entries[key]
+	if repeat && e.retained(now) {
 		return true, false
 	}
-	if len(l.marks) >= ledgerMost {
-		for k, m := range l.marks {
-			if !m.live(now) {
-				delete(l.marks, k)
+	if len(l.entries) >= ledgerMaxEntries {
+		for k, e := range l.entries {
+			if !e.retained(now) {
+				delete(l.entries, k)
 			}
 		}
-		if len(l.marks) >= ledgerMost {
+		if len(l.entries) >= ledgerMaxEntries {
 			return false, true
 		}
 	}
-	m.open++
-	l.marks[key] = m
+	e.pending++
+	l.entries[key] = e
 	return false, false
 }
 
-// close notes how it ended: only what is proven never to have run may come again.
-func (l *ledger) close(key uint64, mayHaveRun bool) {
+// finish records the end of an instruction. Only one that has provably not run may be sent again.
+func (l *ledger) finish(key uint64, mayHaveRun bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.marks[key]
-	m.open--
+	e := l.entries[key]
+	e.pending--
 	if mayHaveRun {
-		m.ran = l.clock()
+		e.lastRan = l.now()
 	}
-	if l.marks[key] = m; !m.live(l.clock()) {
-		delete(l.marks, key)
+	if l.entries[key] = e; !e.retained(l.now()) {
+		delete(l.entries, key)
 	}
 }
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// pair gives both ends of a client's connection that has passed a gate.
-func pair(t *testing.T) (client net.Conn, c *Conn) {
+// connPair returns both ends of a client connection that was admitted by a limiter.
+func connPair(t *testing.T) (client net.Conn, c *Conn) {
 	t.Helper()
-	sent, accepted := fill(t, 1, "")
-	return sent[0], NewConnLimiter(1, 1).enter(accepted[0])
+	clientConns, serverConns := dialAndSend(t, 1, "")
+	return clientConns[0], NewConnLimiter(1, 1).admit(serverConns[0])
 }
 
-// The time of a connection is over just as a request comes: on a resting one it has come, and is read; where a request has begun to come, it
-// keeps to its time.
-func TestRequestThatComesAsTheTimeOfARestingConnectionIsOver(t *testing.T) {
+// The deadline of a connection expires just as a request arrives. On an idle connection the request
+// is read; if a request had already begun to arrive, the deadline holds.
+func TestRequestArrivingAtIdleTimeout(t *testing.T) {
 	for _, began := range []bool{false, true} {
-		client, c := pair(t)
+		client, c := connPair(t)
 		if began {
-			c.rest(true)
+			c.markIdle(true)
 		}
 		if _, err := client.Write([]byte("POST")); err != nil {
 			t.Fatal(err)
@@ -37,10 +37,10 @@
 			}
 		}
 		if began && (n > 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
-			t.Errorf("one that is coming: %d bytes, %v", n, err)
+			t.Errorf("a request that is arriving: %d bytes, %v", n, err)
 		}
 		if !began && string(text[:n]) != "POST" {
-			t.Errorf("one that rests: %q, %v", text[:n], err)
+			t.Errorf("an idle connection: %q, %v", text[:n], err)
 		}
 	}
 }
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -24,15 +24,15 @@
 
 var ids int
 
-// raw is a request as it stands on the wire, with a new id.
-func raw(class, expires string) string {
+// rawRequest returns the bytes of a request with a new ID.
+func rawRequest(class, expires string) string {
 	ids++
 	return fmt.Sprintf("POST /v1/chat/completions?x=%%2F1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\n"+
 		"X-Object: 7f3a\r\nX-Expires-In: %s\r\nX-Props: prefix=5c0f,prompt_len=100,prefix_len=50,max_out=80\r\n"+
 		"Content-Length: 4\r\n\r\n{  }", ids, class, expires)
 }
 
-// send writes a request to a new connection.
+// send opens a connection and writes a request to it.
 func send(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -46,8 +46,8 @@
 	return c
 }
 
-// answer reads one answer; whole tells whether its body came to its end.
-func answer(t *testing.T, c net.Conn) (resp *http.Response, body string, whole bool) {
+// readAnswer reads one response; complete tells whether its body was received to the end.
+func readAnswer(t *testing.T, c net.Conn) (resp *http.Response, body string, complete bool) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -58,32 +58,32 @@
 	return resp, string(text), err == nil
 }
 
-func serve(x *standin.Exchange)  { x.Answer("a", "b") }
-func silent(x *standin.Exchange) { x.Gone() }
+func serve(x *standin.Exchange) { x.Answer("a", "b") }
+func hang(x *standin.Exchange)  { x.Gone() }
 
 func TestServed(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
-	resp, body, whole := answer(t, send(t, addr, raw("enquiry", "2000m")))
-	if resp.StatusCode != 200 || !whole || !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "data: ") != 5 {
-		t.Errorf("%d %q %v", resp.StatusCode, body, whole)
+	resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m")))
+	if resp.StatusCode != 200 || !complete || !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, "data: ") != 5 {
+		t.Errorf("%d %q %v", resp.StatusCode, body, complete)
 	}
 	call := rig.Writers[0].Calls("POST")[0]
 	if call.Header["Host"] != "backend.local" || call.Body != "{  }" || call.Path != "/v1/chat/completions" ||
 		!strings.HasSuffix(call.Header["X-Expires-In"], "u") {
-		t.Errorf("the replica got %+v", call)
+		t.Errorf("the replica got call %+v", call)
 	}
 }
 
-// Guards: a stream that breaks must not pass for a whole one.
+// Guards: a stream that breaks off must not look complete.
 func TestBrokenStreamEndsWithoutTheLastChunk(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
 		"broken":  func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Break() },
 		"stalled": func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Gone() },
 	} {
 		rig, addr := start(t, fronttest.HealthyReader, act)
-		if resp, body, whole := answer(t, send(t, addr, raw("enquiry", "2000m"))); resp.StatusCode != 200 || whole ||
+		if resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m"))); resp.StatusCode != 200 || complete ||
 			!strings.Contains(body, `"a"`) {
-			t.Errorf("%s: %d %q whole %v", name, resp.StatusCode, body, whole)
+			t.Errorf("%s: %d %q complete %v", name, resp.StatusCode, body, complete)
 		}
 		if n := rig.WriterRequests(); n != 1 {
 			t.Errorf("%s: %d sends after the stream had begun", name, n)
@@ -91,24 +91,25 @@
 	}
 }
 
-// Guards: fasthttp does not report a client that leaves while a handler waits.
-func TestClientLeavesWhileItWaits(t *testing.T) {
+// Guards: fasthttp does not report a client that disconnects while a handler waits.
+func TestClientClosesWhileWaiting(t *testing.T) {
 	gone := make(chan bool, 1)
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone(); gone <- true })
-	c := send(t, addr, raw("instruction", "3000m"))
+	c := send(t, addr, rawRequest("instruction", "3000m"))
 	fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 	_ = c.Close()
-	fronttest.WaitFor(t, "the client's leaving", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
-	<-gone // the attempt was given up
+	fronttest.WaitFor(t, "the client's close to be noticed", func() bool { return rig.CountVerdicts(dispatch.ClientLeft) == 1 })
+	<-gone // the attempt was ended
 	fronttest.WaitFor(t, "the release", func() bool {
 		return len(rig.Reader.Calls("DELETE"))+len(rig.Writers[0].Calls("DELETE")) > 0
 	})
 }
 
-// Guards: the watch for a client that leaves must not cut off one that sends its next request early.
-func TestNextRequestMayComeEarly(t *testing.T) {
+// Guards: the watch for a client's close must not disconnect a client that sends its next request
+// early.
+func TestPipelinedRequests(t *testing.T) {
 	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
-	c := send(t, addr, raw("enquiry", "3000m")+raw("enquiry", "3000m"))
+	c := send(t, addr, rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m"))
 	br := bufio.NewReader(c)
 	for i := range 2 {
 		resp, err := http.ReadResponse(br, nil)
@@ -121,31 +122,32 @@
 	}
 }
 
-// Guards: a final answer comes by the deadline also when no replica says a word.
-func TestSilentReplicas(t *testing.T) {
+// Guards: a final response is sent by the deadline even if no replica answers at all.
+func TestHangingReplicas(t *testing.T) {
 	for class, want := range map[string]int{"enquiry": 503, "instruction": 502} {
-		_, addr := start(t, fronttest.HealthyReader, silent)
+		_, addr := start(t, fronttest.HealthyReader, hang)
 		from := time.Now()
-		resp, _, _ := answer(t, send(t, addr, raw(class, "800m")))
+		resp, _, _ := readAnswer(t, send(t, addr, rawRequest(class, "800m")))
 		if took := time.Since(from); resp.StatusCode != want || took > 4*time.Second {
 			t.Errorf("%s: %d after %v", class, resp.StatusCode, took)
 		}
 		if want == 503 && resp.Header.Get("Retry-After") == "" {
-			t.Error("the refusal does not say when to come back")
+			t.Error("the refusal has no Retry-After")
 		}
 	}
 }
 
-// Guards: a replica may close idle connections at any time; a request written to one would count as a reset.
-func TestIdleConnectionThatTheReplicaClosed(t *testing.T) {
+// Guards: a replica may close idle connections at any time; a request written to one would count as
+// a connection reset.
+func TestIdleConnectionClosedByReplica(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { serve(x); x.Break() })
 	c := send(t, addr, "")
 	for range 3 {
-		if _, err := io.WriteString(c, raw("instruction", "2000m")); err != nil {
+		if _, err := io.WriteString(c, rawRequest("instruction", "2000m")); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _, whole := answer(t, c); resp.StatusCode != 200 || !whole {
-			t.Errorf("%d whole %v", resp.StatusCode, whole)
+		if resp, _, complete := readAnswer(t, c); resp.StatusCode != 200 || !complete {
+			t.Errorf("%d complete %v", resp.StatusCode, complete)
 		}
 	}
 	if totals, _ := rig.Core.Counts.Snapshot(); totals.Outcomes["connection-lost"] != 0 {
@@ -153,25 +155,27 @@
 	}
 }
 
-// Guards: a refused connection proves that nothing ran, so an instruction goes to another writer.
-func TestInstructionGoesOnWhereItNeverRan(t *testing.T) {
+// Guards: a refused connection proves that nothing has run, so an instruction is sent to another
+// writer.
+func TestInstructionIsRetriedWhereItNeverRan(t *testing.T) {
 	full := func(x *standin.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full, serve)
 	rig.Writers[0].Close()
 	for range 4 {
-		if resp, _, whole := answer(t, send(t, addr, raw("instruction", "2000m"))); resp.StatusCode != 200 || !whole {
-			t.Errorf("%d whole %v", resp.StatusCode, whole)
+		if resp, _, complete := readAnswer(t, send(t, addr, rawRequest("instruction", "2000m"))); resp.StatusCode != 200 || !complete {
+			t.Errorf("%d complete %v", resp.StatusCode, complete)
 		}
 	}
 	if n := len(rig.Writers[1].Calls("POST")); n != 4 {
-		t.Errorf("%d sends to the writer that is well", n)
+		t.Errorf("%d sends to the healthy writer", n)
 	}
 }
 
-// Guards: a read that broke off may have ended well, and what it left behind is released.
-func TestReadThatBrokeIsReleased(t *testing.T) {
+// Guards: a read that broke off may have succeeded, so the state that it may have left at the
+// replica is released.
+func TestBrokenReadIsReleased(t *testing.T) {
 	rig, addr := start(t, func(x *standin.Exchange) { x.Break() }, serve)
-	if resp, _, _ := answer(t, send(t, addr, raw("instruction", "1000m"))); resp.StatusCode != 503 {
+	if resp, _, _ := readAnswer(t, send(t, addr, rawRequest("instruction", "1000m"))); resp.StatusCode != 503 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	fronttest.WaitFor(t, "the release", func() bool {
@@ -179,10 +183,10 @@
 	})
 }
 
-// Guards: bad input gets its 4xx and never reaches a replica.
+// Guards: invalid requests get a 4xx status and never reach a replica.
 func TestBadInput(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
-	good := raw("enquiry", "2000m")
+	good := rawRequest("enquiry", "2000m")
 	for _, c := range []struct {
 		old, new string
 		want     int
@@ -192,7 +196,7 @@
 		{"X-Trace-Id: 0", "X-Trace-Id: ../0", 400}, {"/v1/chat", "/v2/chat", 404}, {"POST", "GET", 405},
 		{"Content-Length: 4", "Content-Length: 300000", 413}, {"HTTP/1.1", "HTTP", 400},
 	} {
-		if resp, _, _ := answer(t, send(t, addr, strings.Replace(good, c.old, c.new, 1))); resp.StatusCode != c.want {
+		if resp, _, _ := readAnswer(t, send(t, addr, strings.Replace(good, c.old, c.new, 1))); resp.StatusCode != c.want {
 			t.Errorf("%s: %d, want %d", c.new, resp.StatusCode, c.want)
 		}
 	}
@@ -201,22 +205,22 @@
 	}
 }
 
-func TestReadyTellsThePhase(t *testing.T) {
+func TestReadinessReportsPhase(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 200 {
+	if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != 200 {
 		t.Errorf("ready: %d", resp.StatusCode)
 	}
 	if err := rig.Core.Phases.Enter(dispatch.Draining); err != nil {
 		t.Fatal(err)
 	}
-	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 503 || resp.Close {
+	if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != 503 || resp.Close {
 		t.Errorf("draining: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil {
 		t.Fatal(err)
 	}
-	if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != 503 || !resp.Close {
+	if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("leaving: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if err := rig.Core.Phases.Enter(dispatch.Ready); err == nil {
@@ -224,8 +228,8 @@
 	}
 }
 
-// Guards: a program that knew no replicas answered that it was ready, and turned away all that came.
-func TestReadyOnlyWhereSomebodyCouldBeServed(t *testing.T) {
+// Guards: a program that knew no replicas reported that it was ready and refused every request.
+func TestNotReadyWithoutUsableReplicas(t *testing.T) {
 	get := "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	rig, addr := start(t, fronttest.HealthyReader, serve)
 	list := rig.Core.List()
@@ -240,8 +244,8 @@
 			}
 		}
 		rig.Core.UpdateServers(u)
-		rig.Core.List() // the one before has been taken up
-		if resp, _, _ := answer(t, send(t, addr, get)); resp.StatusCode != c.want {
+		rig.Core.List() // returns after the update above was applied
+		if resp, _, _ := readAnswer(t, send(t, addr, get)); resp.StatusCode != c.want {
 			t.Errorf("with %v: %d, want %d", c.listed, resp.StatusCode, c.want)
 		}
 	}
--- a/internal/front/port_test.go
+++ b/internal/front/port_test.go
@@ -8,9 +8,10 @@
 	"standpulley/internal/front"
 )
 
-// Guards: connections that the machine had accepted, and nobody had taken yet, were reset when the address was closed. Here all wait in the
-// machine's queue as the end begins, with the time for further ones over.
-func TestWhatTheMachineAcceptedIsTakenAtTheEnd(t *testing.T) {
+// Guards: connections that the kernel had accepted, and the program had not, were reset when the
+// address was closed. Here all connections wait in the kernel's queue when the shutdown begins, and
+// the time for further ones is over at once or soon.
+func TestQueuedConnectionsAreHandedOutAtShutdown(t *testing.T) {
 	const waiting = 20
 	for _, wait := range []time.Duration{-time.Second, 0, 10 * time.Millisecond} {
 		port, err := front.Listen("127.0.0.1:0", front.NewConnLimiter(2*waiting, 1<<20), false)
@@ -40,11 +41,11 @@
 		}()
 		port.Shutdown(wait)
 		if n := <-taken; n != waiting {
-			t.Errorf("wait %v: %d of %d connections are taken", wait, n, waiting)
+			t.Errorf("wait %v: %d of %d connections were handed out", wait, n, waiting)
 		}
 		if c, err := net.Dial("tcp", port.Addr()); err == nil {
 			_ = c.Close()
-			t.Errorf("wait %v: the address is open", wait)
+			t.Errorf("wait %v: the address is still open", wait)
 		}
 	}
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -9,13 +9,13 @@
 	"standpulley/logic"
 )
 
-// Writer encodes a reply.
+// Writer encodes replies.
 type Writer struct {
 	out *bufio.Writer
 	buf []byte
 }
 
-// NewWriter writes to out.
+// NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
 func (w *Writer) text(name, v string) {
@@ -28,9 +28,9 @@
 
 // Action writes one action of an instance.
 func (w *Writer) Action(instance int, a *logic.Action) error {
-	words := [...]string{logic.Send: "PASS_ON", logic.Refuse: "BOUNCE", logic.Fail: "REPORT_FAILURE",
+	verbs := [...]string{logic.Send: "PASS_ON", logic.Refuse: "BOUNCE", logic.Fail: "REPORT_FAILURE",
 		logic.Release: "DISCARD", logic.Cancel: "REVOKE", logic.Wake: "WAKE_AT", logic.Watch: "LISTEN", logic.Probe: "ASK_LOAD"}
-	w.buf = append(w.buf[:0], words[a.Kind]...)
+	w.buf = append(w.buf[:0], verbs[a.Kind]...)
 	w.int("i", int64(instance))
 	if a.RequestID != "" {
 		w.text("corr", a.RequestID)
@@ -58,7 +58,7 @@
 	return w.line()
 }
 
-// InternalError reports that the adapter cannot go on.
+// InternalError reports that the adapter can't continue.
 func (w *Writer) InternalError(instance int, text string) error {
 	w.buf = append(w.buf[:0], "INTERNAL_ERROR"...)
 	w.int("i", int64(instance))
@@ -66,7 +66,7 @@
 	return w.line()
 }
 
-// EndBatch ends the reply to a batch and sends it off.
+// EndBatch ends the reply to a batch and flushes it.
 func (w *Writer) EndBatch(batch string) error {
 	w.buf = append(w.buf[:0], "YIELD"...)
 	w.text("n", batch)
