--- a/cmd/proving/measure.go
+++ b/cmd/proving/measure.go
@@ -243,7 +243,7 @@
 				if err != nil {
 					return err
 				}
-				late += o.Late
+				late += o.LateActs
 			}
 			fmt.Printf("| %s | %.3f | %.3f | %d |\n", mode, before, after, late)
 			return nil
--- a/cmd/standpulley/list.go
+++ b/cmd/standpulley/list.go
@@ -24,8 +24,8 @@
 }
 
 func (c *context) listView(replica string) (agreement.Reply, error) {
-	r, err := c.ask(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfList, Replica: replica}})
-	if err == nil && r.View.Book.List.Number == 0 && len(r.View.Readers) == 0 {
+	r, err := c.ask(agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionList, Replica: replica}})
+	if err == nil && r.View.Record.List.Number == 0 && len(r.View.RegistryReaders) == 0 {
 		err = fmt.Errorf("dispatchers do not agree on lists here, or nobody has read the register yet")
 	}
 	return r, err
@@ -43,9 +43,9 @@
 	if c.json {
 		return c.print(r)
 	}
-	b := &r.View.Book
+	b := &r.View.Record
 	fmt.Fprintf(c.out, "version %d, of the register's version %d; readers: %s; dispatchers that live: %d\n", b.List.Number, b.List.RegistryVersion,
-		strings.Join(r.View.Readers, ", "), len(b.Census.Names))
+		strings.Join(r.View.RegistryReaders, ", "), len(b.Census.Names))
 	if h := r.View.Held; h != nil {
 		fmt.Fprintf(c.out, "HELD, %d replicas: %s. What drains there is kept all the same. A second reading or `list confirm` lets it pass.\n", len(h.Entries), h.Why)
 	}
@@ -57,20 +57,20 @@
 		if o, ok := b.Orders[e.ID]; ok {
 			order = fmt.Sprintf("%s by %s: %s", o.Do, o.Owner, o.Why)
 		}
-		if n := r.View.Flaps[e.ID]; n > 0 {
+		if n := r.View.Flapping[e.ID]; n > 0 {
 			order = strings.TrimSpace(fmt.Sprintf("%s damped after %d turns", order, n))
 		}
-		if x, ok := r.Beside[e.ID]; ok {
-			own = fmt.Sprintf("%s for %v", x.Says, (time.Duration(x.ForMS) * time.Millisecond).Round(100*time.Millisecond))
+		if x, ok := r.RegistryDifferences[e.ID]; ok {
+			own = fmt.Sprintf("%s for %v", x.Registry, (time.Duration(x.ForMS) * time.Millisecond).Round(100*time.Millisecond))
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.ID, e.Kind, e.Zone, e.Addr, e.State, own, order)
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.Beside)) {
+	for _, id := range slices.Sorted(maps.Keys(r.RegistryDifferences)) {
 		if l.ID != "" && l.ID != id {
 			continue
 		}
 		if _, ok := b.List.Entries[id]; !ok {
-			fmt.Fprintf(w, "%s\t\t\t\t-\t%s\t\n", id, r.Beside[id].Says)
+			fmt.Fprintf(w, "%s\t\t\t\t-\t%s\t\n", id, r.RegistryDifferences[id].Registry)
 		}
 	}
 	return w.Flush()
@@ -84,11 +84,11 @@
 		return err
 	}
 	if c.json {
-		return c.print(r.View.Book.Changes)
+		return c.print(r.View.Record.Changes)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tREGISTER\tBY\tCHANGES")
-	for _, x := range r.View.Book.Changes {
+	for _, x := range r.View.Record.Changes {
 		var words []string
 		for _, e := range x.Entries[:min(len(x.Entries), 6)] {
 			words = append(words, e.ID+" "+e.State)
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		seen = r.View.Book.List.Number
+		seen = r.View.Record.List.Number
 	}
 	do.By, do.Seen = operator(), seen
 	_, err := c.ask(do)
--- a/cmd/standpulley/recovery.go
+++ b/cmd/standpulley/recovery.go
@@ -46,7 +46,7 @@
 	if len(folders) == 0 {
 		folders = []string{string(c.dir)}
 	}
-	var all []agreement.Remains
+	var all []agreement.SurveyResult
 	for _, folder := range folders {
 		r, err := agreement.Survey(folder)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -65,32 +65,32 @@
 }
 
 // remains prints what folders know, and what would be lost.
-func (c *context) remains(all []agreement.Remains) {
+func (c *context) remains(all []agreement.SurveyResult) {
 	newest := -1
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FOLDER\tCLUSTER\tDISK\tLOG TO (TERM, ENTRY)\tIN FORCE\tACTED ON\tLIST\tORDERS\tSEATS")
 	for i := range all {
 		r := &all[i]
-		if !r.Voted {
-			fmt.Fprintf(w, "%s\t%x\t%x\tno voter's log\t\t%d\t\t\t\n", r.Folder, r.Cluster, r.Disk, r.Acts.Number)
+		if !r.HasVoterLog {
+			fmt.Fprintf(w, "%s\t%x\t%x\tno voter's log\t\t%d\t\t\t\n", r.Folder, r.Cluster, r.Disk, r.ActsOn.Number)
 			continue
 		}
 		if newest < 0 || r.Newer(&all[newest]) {
 			newest = i
 		}
 		var seats []string
-		for _, s := range r.Book.Seats {
+		for _, s := range r.Record.Seats {
 			seats = append(seats, s.Name)
 		}
-		fmt.Fprintf(w, "%s\t%x\t%x\t%d, %d\t%d\t%d\t%d\t%d\t%s\n", r.Folder, r.Cluster, r.Disk, r.Term, r.Index, r.Book.Force, r.Acts.Number, r.Book.List.Number,
-			len(r.Book.Orders), strings.Join(seats, " "))
+		fmt.Fprintf(w, "%s\t%x\t%x\t%d, %d\t%d\t%d\t%d\t%d\t%s\n", r.Folder, r.Cluster, r.Disk, r.Term, r.Index, r.Record.InForceNumber, r.ActsOn.Number, r.Record.List.Number,
+			len(r.Record.Orders), strings.Join(seats, " "))
 	}
 	_ = w.Flush() // to the same place as all else
 	if newest < 0 {
 		fmt.Fprintln(c.out, "None of these holds a voter's log: a new cluster can only be founded by settings init.")
 		return
 	}
-	b := &all[newest].Book
+	b := &all[newest].Record
 	fmt.Fprintf(c.out, "The newest log is in %s. %d seats were taken: any %d of their logs together know all that was acknowledged.\n", all[newest].Folder,
 		len(b.Seats), len(b.Seats)/2+1)
 	fmt.Fprintln(c.out, "With fewer, what was decided after the newest one's last entry is lost: versions that none of these dispatchers acted on, changes of the list, and orders.")
@@ -111,7 +111,7 @@
 		c.code = exitRefused
 		return err
 	}
-	fmt.Fprintf(c.out, "Cluster %x takes the place of %x, with version %d in force once all %d voters have taken their seats.\n", book.Cluster, lost, book.Force, book.Wanted)
+	fmt.Fprintf(c.out, "Cluster %x takes the place of %x, with version %d in force once all %d voters have taken their seats.\n", book.Cluster, lost, book.InForceNumber, book.RequiredSeats)
 	fmt.Fprintf(c.out, "Next: recovery join --lost %x at every other dispatcher whose folder is left, then start all. The old logs must not run again.\n", lost)
 	return nil
 }
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	if err := agreement.Leave(string(c.dir), lost); err != nil {
+	if err := agreement.LeaveCluster(string(c.dir), lost); err != nil {
 		c.code = exitRefused
 		return err
 	}
--- a/cmd/standpulley/settings.go
+++ b/cmd/standpulley/settings.go
@@ -49,7 +49,7 @@
 	}
 	if r.Error != "" {
 		c.code = exitError
-		if strings.HasPrefix(r.Error, agreement.ErrUnknown.Error()) {
+		if strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()) {
 			c.code = exitUnknown
 		}
 		return r, errors.New(r.Error)
@@ -59,7 +59,7 @@
 
 // view asks for all of the record.
 func (c *context) view() (*agreement.View, error) {
-	r, err := c.ask(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+	r, err := c.ask(agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	return r.View, err
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.File, err)
 	}
-	return c.propose(agreement.Command{Do: "propose", Base: p.From, Content: content, Why: p.Why, Only: p.Canary}, p.Wait)
+	return c.propose(agreement.Command{Do: "propose", Base: p.From, Content: content, Why: p.Why, CanaryMember: p.Canary}, p.Wait)
 }
 
 type rollbackCmd struct {
@@ -104,11 +104,11 @@
 	if err != nil {
 		return err
 	}
-	v := view.Book.At(r.Version)
+	v := view.Record.Version(r.Version)
 	if v == nil {
 		return fmt.Errorf("version %d is not kept", r.Version)
 	}
-	return c.propose(agreement.Command{Do: "propose", Base: view.Book.Force, Content: v.Content, Back: r.Version, Why: r.Why}, r.Wait)
+	return c.propose(agreement.Command{Do: "propose", Base: view.Record.InForceNumber, Content: v.Content, RollbackTo: r.Version, Why: r.Why}, r.Wait)
 }
 
 // propose brings a version before the voters and waits for what becomes of it.
@@ -126,7 +126,7 @@
 		if err != nil {
 			return err
 		}
-		v := view.Book.At(r.Number)
+		v := view.Record.Version(r.Number)
 		if v == nil {
 			return fmt.Errorf("version %d is not kept any more", r.Number)
 		}
@@ -146,7 +146,7 @@
 		}
 		if time.Now().After(end) {
 			c.code = exitUnknown
-			return fmt.Errorf("version %d is still %s; it waits for: %s", v.Number, v.State, strings.Join(view.Blocks, ", "))
+			return fmt.Errorf("version %d is still %s; it waits for: %s", v.Number, v.State, strings.Join(view.WaitingFor, ", "))
 		}
 	}
 }
@@ -169,9 +169,9 @@
 	}
 	number := s.Version
 	if number == 0 {
-		number = view.Book.Force
+		number = view.Record.InForceNumber
 	}
-	v := view.Book.At(number)
+	v := view.Record.Version(number)
 	if v == nil {
 		return fmt.Errorf("version %d is not kept", number)
 	}
@@ -200,15 +200,15 @@
 	if err != nil {
 		return err
 	}
-	a, b := view.Book.At(d.A), view.Book.At(d.B)
+	a, b := view.Record.Version(d.A), view.Record.Version(d.B)
 	if a == nil || b == nil {
 		return fmt.Errorf("of versions %d and %d not both are kept", d.A, d.B)
 	}
 	all := []difference{}
-	for _, key := range agree.Differs(a.Keys, b.Keys) {
+	for _, key := range agree.DifferingKeys(a.Keys, b.Keys) {
 		effect, why := agree.EffectOf(key)
 		word := "may differ: " + why
-		if effect == agree.Harm {
+		if effect == agree.Harmful {
 			word = "contradicts: " + why
 		}
 		all = append(all, difference{key, a.Keys[key], b.Keys[key], word})
@@ -234,19 +234,19 @@
 		return err
 	}
 	if c.json {
-		return c.print(view.Book.Versions)
+		return c.print(view.Record.Versions)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tFROM\tSTATE\tBY\tAT\tPRINT\tWHY")
-	for _, v := range view.Book.Versions {
+	for _, v := range view.Record.Versions {
 		why := v.Why
-		if v.Back != 0 {
-			why = strings.TrimSpace(fmt.Sprintf("back to %d. %s", v.Back, why))
+		if v.RollbackTo != 0 {
+			why = strings.TrimSpace(fmt.Sprintf("back to %d. %s", v.RollbackTo, why))
 		}
 		if v.Fault != nil {
 			why = strings.TrimSpace(fmt.Sprintf("%s: %v. %s", v.Member, v.Fault, why))
 		}
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%.8s\t%s\n", v.Number, v.Base, v.State, v.By, v.At, v.Print, why)
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%.8s\t%s\n", v.Number, v.Base, v.State, v.By, v.At, v.Fingerprint, why)
 	}
 	return w.Flush()
 }
@@ -267,28 +267,28 @@
 type statusCmd struct{}
 
 func (statusCmd) Run(c *context) error {
-	r, err := c.ask(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
-	if err != nil && r.Own == nil {
+	r, err := c.ask(agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+	if err != nil && r.Status == nil {
 		return err
 	}
 	c.code = 0
 	if c.json {
 		return c.print(r)
 	}
-	o := r.Own
+	o := r.Status
 	fmt.Fprintf(c.out, "%s: version %d, %s, cluster %s, disk %s\n", o.Name, o.Version, lease(o.LeaseMS, o.LostMS), o.Cluster, o.Disk)
 	if o.Why != "" {
-		fmt.Fprintf(c.out, "  %s; alone=%s\n", o.Why, o.Alone)
+		fmt.Fprintf(c.out, "  %s; alone=%s\n", o.Why, o.OnLeaseLoss)
 	}
 	if r.View == nil {
 		fmt.Fprintf(c.out, "what the others do is not known: %v\n", err)
 		c.code = exitError
 		return nil
 	}
-	b := &r.View.Book
-	fmt.Fprintf(c.out, "in force: version %d; leader %s, term %d; seats %d of %d\n", b.Force, r.View.Leader, r.View.Term, len(b.Seats), b.Wanted)
-	if open := b.Open(); open != nil {
-		fmt.Fprintf(c.out, "under way: version %d, %s, by %s; waits for: %s\n", open.Number, open.State, open.By, strings.Join(r.View.Blocks, ", "))
+	b := &r.View.Record
+	fmt.Fprintf(c.out, "in force: version %d; leader %s, term %d; seats %d of %d\n", b.InForceNumber, r.View.Leader, r.View.Term, len(b.Seats), b.RequiredSeats)
+	if open := b.InProgress(); open != nil {
+		fmt.Fprintf(c.out, "under way: version %d, %s, by %s; waits for: %s\n", open.Number, open.State, open.By, strings.Join(r.View.WaitingFor, ", "))
 	}
 	slices.SortFunc(r.View.Members, func(a, b agreement.MemberView) int { return strings.Compare(a.Name, b.Name) })
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
@@ -300,10 +300,10 @@
 			trouble = m.Unfit.Error()
 		case m.Fault != nil:
 			trouble = fmt.Sprintf("turned down version %d: %v", m.Checked, m.Fault)
-		case m.Leaves:
+		case m.Leaving:
 			trouble = "has left"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d ms\t%d ms ago\t%s\t%s\n", m.Name, m.Holds, m.LeaseMS, m.HeardMS, m.Phase, trouble)
+		fmt.Fprintf(w, "%s\t%d\t%d ms\t%d ms ago\t%s\t%s\n", m.Name, m.ActsOn, m.LeaseMS, m.HeardMS, m.Phase, trouble)
 	}
 	return w.Flush()
 }
--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -13,16 +13,16 @@
 }
 
 // founded gives a Book with all its seats taken and version 1 in force.
-func founded(t testing.TB) *Book {
+func founded(t testing.TB) *Record {
 	t.Helper()
-	b := &Book{}
-	must(t, b, Entry{Found: &Found{Cluster: 7, Wanted: 3, Seat: Seat{"a", 1}, First: Propose{Content: "1", Keys: keysWith("6", "1"), Print: "p1"}}})
-	must(t, b, Entry{Sit: &Seat{"b", 2}})
-	must(t, b, Entry{Sit: &Seat{"c", 3}})
+	b := &Record{}
+	must(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 7, RequiredSeats: 3, Seat: Seat{"a", 1}, First: Propose{Content: "1", Keys: keysWith("6", "1"), Fingerprint: "p1"}}})
+	must(t, b, Entry{TakeSeat: &Seat{"b", 2}})
+	must(t, b, Entry{TakeSeat: &Seat{"c", 3}})
 	return b
 }
 
-func must(t testing.TB, b *Book, e Entry) uint64 {
+func must(t testing.TB, b *Record, e Entry) uint64 {
 	t.Helper()
 	n, err := b.Apply(e)
 	if err != nil {
@@ -32,10 +32,10 @@
 }
 
 func proposal(id string, base uint64, keys map[string]string) Entry {
-	return Entry{Propose: &Propose{ID: id, Base: base, Content: id, Keys: keys, Print: "p" + id, By: "op"}}
+	return Entry{Propose: &Propose{ID: id, Base: base, Content: id, Keys: keys, Fingerprint: "p" + id, By: "op"}}
 }
 
-func refused(t *testing.T, b *Book, e Entry, words ...string) {
+func refused(t *testing.T, b *Record, e Entry, words ...string) {
 	t.Helper()
 	before := fmt.Sprintf("%+v", b.Versions)
 	_, err := b.Apply(e)
@@ -53,8 +53,8 @@
 	b := founded(t)
 	n := must(t, b, proposal("x", 1, keysWith("5", "1")))
 	refused(t, b, proposal("y", 1, keysWith("4", "1")), "version 2", "under way", "limits.try_limit")
-	if again, err := b.Apply(proposal("x", 1, keysWith("5", "1"))); err != nil || again != n || b.Last != 2 {
-		t.Errorf("the same proposal twice: %d, %v, last %d", again, err, b.Last)
+	if again, err := b.Apply(proposal("x", 1, keysWith("5", "1"))); err != nil || again != n || b.LastNumber != 2 {
+		t.Errorf("the same proposal twice: %d, %v, last %d", again, err, b.LastNumber)
 	}
 	must(t, b, Entry{Activate: &Activate{Number: n}})
 	refused(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
@@ -66,31 +66,31 @@
 	must(t, b, Entry{TurnDown: &TurnDown{Number: n, Member: "c", Fault: Fault{"limits.try_limit", "too few"}}})
 	refused(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
 	back := proposal("back", 2, keysWith("6", "1"))
-	back.Propose.Back = 1
-	if n := must(t, b, back); n != 4 || b.At(4).Back != 1 || b.Force != 2 {
-		t.Errorf("back as %d, in force %d", n, b.Force)
+	back.Propose.RollbackTo = 1
+	if n := must(t, b, back); n != 4 || b.Version(4).RollbackTo != 1 || b.InForceNumber != 2 {
+		t.Errorf("back as %d, in force %d", n, b.InForceNumber)
 	}
 	must(t, b, Entry{Withdraw: &Withdraw{ID: "w", Number: 4, By: "op"}})
-	if b.At(4).State != Withdrawn || b.Open() != nil || b.InForce().Number != 2 || b.Decide != 2 {
+	if b.Version(4).State != Withdrawn || b.InProgress() != nil || b.InForce().Number != 2 || b.Decisions != 2 {
 		t.Errorf("%+v", b)
 	}
 }
 
 func TestSeats(t *testing.T) {
 	b := founded(t)
-	refused(t, b, Entry{Sit: &Seat{"d", 3}}, "has a seat")
-	must(t, b, Entry{Sit: &Seat{"c", 9}})
-	refused(t, b, Entry{Sit: &Seat{"c", 3}}, "had a seat before")
-	if disk, ok := b.SeatOf("c"); disk != 9 || !ok || !b.Complete || !slices.Equal(b.Past, []uint64{3}) {
+	refused(t, b, Entry{TakeSeat: &Seat{"d", 3}}, "has a seat")
+	must(t, b, Entry{TakeSeat: &Seat{"c", 9}})
+	refused(t, b, Entry{TakeSeat: &Seat{"c", 3}}, "had a seat before")
+	if disk, ok := b.SeatOf("c"); disk != 9 || !ok || !b.Complete || !slices.Equal(b.RetiredDisks, []uint64{3}) {
 		t.Errorf("%+v", b)
 	}
-	refused(t, b, Entry{Found: &Found{Cluster: 8}}, "founded before")
+	refused(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 8}}, "founded before")
 }
 
 func TestContentsAreKeptWithinBounds(t *testing.T) {
 	b := founded(t)
 	for i := range 3 * keptVersions {
-		e := proposal(fmt.Sprint(i), b.Force, keysWith(fmt.Sprint(i), "1"))
+		e := proposal(fmt.Sprint(i), b.InForceNumber, keysWith(fmt.Sprint(i), "1"))
 		e.Propose.Content = strings.Repeat("x", 40<<10)
 		must(t, b, Entry{Activate: &Activate{Number: must(t, b, e)}})
 	}
@@ -98,30 +98,30 @@
 	for _, v := range b.Versions {
 		bytes += len(v.Content)
 	}
-	if bytes > keptBytes+40<<10 || len(b.Done) > keptDone || b.InForce() == nil || b.Last != 3*keptVersions+1 {
-		t.Errorf("%d bytes, %d answers, last %d", bytes, len(b.Done), b.Last)
+	if bytes > keptBytes+40<<10 || len(b.Results) > keptDone || b.InForce() == nil || b.LastNumber != 3*keptVersions+1 {
+		t.Errorf("%d bytes, %d answers, last %d", bytes, len(b.Results), b.LastNumber)
 	}
 	refused(t, b, proposal("old", 1, keysWith("9", "1")), "no longer kept")
 }
 
 func TestKeys(t *testing.T) {
-	for key, want := range map[string]Effect{"siblings": Harm, "services.3.repeat": Harm, "services.0.goal_time_us": Free, "prices.cross_zone": Harm, "zone": Local,
-		"obligations.cold_from": Harm, "limits.retry_after": Free, "services.0": Unknown, "services.x.y.z": Unknown, "prices": Unknown, "limits.try_limt": Unknown} {
+	for key, want := range map[string]Effect{"siblings": Harmful, "services.3.repeat": Harmful, "services.0.goal_time_us": Harmless, "prices.cross_zone": Harmful, "zone": Local,
+		"obligations.cold_from": Harmful, "limits.retry_after": Harmless, "services.0": Unknown, "services.x.y.z": Unknown, "prices": Unknown, "limits.try_limt": Unknown} {
 		if got, _ := EffectOf(key); got != want {
 			t.Errorf("%s: %v, wanted %v", key, got, want)
 		}
 	}
 	a, b := keysWith("6", "1"), keysWith("5", "2")
-	if got := Contradicts(a, b); !slices.Equal(got, []string{"limits.try_limit"}) {
+	if got := ConflictingKeys(a, b); !slices.Equal(got, []string{"limits.try_limit"}) {
 		t.Errorf("contradicts: %v", got)
 	}
-	if got := Differs(a, b); len(got) != 2 {
+	if got := DifferingKeys(a, b); len(got) != 2 {
 		t.Errorf("differs: %v", got)
 	}
-	if f := Check(map[string]string{"limits.try_limt": "1"}); f == nil || !strings.Contains(f.Error(), "is limits.try_limit meant") {
+	if f := CheckKeys(map[string]string{"limits.try_limt": "1"}); f == nil || !strings.Contains(f.Error(), "is limits.try_limit meant") {
 		t.Errorf("%v", f)
 	}
-	if f := Check(map[string]string{"zone": "a"}); f == nil || f.Key != "zone" {
+	if f := CheckKeys(map[string]string{"zone": "a"}); f == nil || f.Key != "zone" {
 		t.Errorf("%v", f)
 	}
 }
@@ -131,7 +131,7 @@
 	timing := TimingOf(2 * time.Second)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, x := range []struct {
-		alone       Alone
+		alone       LeaseLossPolicy
 		at          time.Duration
 		take, send  bool // of a class that must not run twice
 		safe, again bool // of another: a first attempt, a further one
@@ -144,37 +144,37 @@
 		{Safe, ms(1800), false, false, true, false, true, true},
 		{Hold, ms(9000), true, true, true, true, false, true},
 	} {
-		l := &Lease{Number: 3, Print: "0123456789", Alone: x.alone}
-		l.Renewed(ms(100), timing)
-		l.Renewed(ms(50), timing) // an older answer that came later moves nothing back
-		got := []bool{l.MayTake(x.at, true) == nil, l.MaySend(x.at, true, false) == nil, l.MaySend(x.at, false, false) == nil, l.MaySend(x.at, false, true) == nil,
-			l.Once(x.at), l.Ready(x.at)}
+		l := &Lease{Number: 3, Fingerprint: "0123456789", OnLeaseLoss: x.alone}
+		l.Extend(ms(100), timing)
+		l.Extend(ms(50), timing) // an older answer that came later moves nothing back
+		got := []bool{l.MayAccept(x.at, true) == nil, l.MaySend(x.at, true, false) == nil, l.MaySend(x.at, false, false) == nil, l.MaySend(x.at, false, true) == nil,
+			l.AtMostOnce(x.at), l.Ready(x.at)}
 		if want := []bool{x.take, x.send, x.safe, x.again, x.once, x.ready}; !slices.Equal(got, want) {
 			t.Errorf("%s at %v: %v, wanted %v", x.alone, x.at, got, want)
 		}
 	}
-	for _, alone := range []Alone{Stop, Safe, Hold} { // that never held a version
-		if l := (&Lease{Alone: alone}); l.MayTake(0, false) == nil || l.Ready(0) {
+	for _, alone := range []LeaseLossPolicy{Stop, Safe, Hold} { // that never held a version
+		if l := (&Lease{OnLeaseLoss: alone}); l.MayAccept(0, false) == nil || l.Ready(0) {
 			t.Errorf("%s takes what nobody agreed on", alone)
 		}
 	}
-	if l := (&Lease{Number: 3, Print: "0123456789"}); l.Mark() != "3-01234567" {
-		t.Errorf("mark %q", l.Mark())
+	if l := (&Lease{Number: 3, Fingerprint: "0123456789"}); l.SettingsVersion() != "3-01234567" {
+		t.Errorf("mark %q", l.SettingsVersion())
 	}
-	for within, good := range map[time.Duration]bool{400 * time.Millisecond: false, WithinLeast: true, WithinMost: true, time.Minute: false} {
+	for within, good := range map[time.Duration]bool{400 * time.Millisecond: false, MinWithin: true, MaxWithin: true, time.Minute: false} {
 		if (TimingOf(within).Check() == nil) != good {
 			t.Errorf("%v: %v", within, !good)
 		}
 	}
 	// No lease lasts as long as the promise allows, by any clock within the drift.
-	if timing.Run >= timing.Within || timing.Take >= timing.Send || timing.Send+timing.Send/Drift >= timing.Run {
+	if timing.MaxLease >= timing.Within || timing.AcceptFor >= timing.SendFor || timing.SendFor+timing.SendFor/DriftDivisor >= timing.MaxLease {
 		t.Errorf("%+v", timing)
 	}
 }
 
 func TestTally(t *testing.T) {
 	b, timing := founded(t), TimingOf(time.Second)
-	tally := NewTally(0, timing)
+	tally := NewLeaseTable(0, timing)
 	now := 10 * time.Second // leases that another leader granted are over
 	renew := func(name string, checked uint64, f *Fault) bool {
 		return tally.Renew(now, Renewal{Name: name, Checked: checked, Fault: f}, b)
@@ -187,15 +187,15 @@
 	if e := tally.Next(now, b); e != nil {
 		t.Fatalf("b may be acting and has not checked: %+v", e)
 	}
-	if got := tally.Blocks(now, b); !slices.Equal(got, []string{"b"}) {
+	if got := tally.WaitingFor(now, b); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("waits for %v", got)
 	}
-	now += timing.Run / 2
+	now += timing.MaxLease / 2
 	renew("a", n, nil)
-	if e := tally.Next(now+timing.Run/2-1, b); e != nil {
+	if e := tally.Next(now+timing.MaxLease/2-1, b); e != nil {
 		t.Errorf("b's lease may run: %+v", e)
 	}
-	now += timing.Run / 2
+	now += timing.MaxLease / 2
 	renew("a", n, nil)
 	if e := tally.Next(now, b); e == nil || e.Activate == nil || e.Activate.Number != n {
 		t.Fatalf("b's lease is over: %+v", e)
@@ -217,8 +217,8 @@
 	if e := tally.Next(now, b); e == nil || e.TurnDown == nil || e.TurnDown.Member != "b" {
 		t.Errorf("%+v", e)
 	}
-	tally.Renew(now, Renewal{Name: "b", Leaves: true}, b)
-	tally.Renew(now, Renewal{Name: "d", Leaves: true}, b)
+	tally.Renew(now, Renewal{Name: "b", Leaving: true}, b)
+	tally.Renew(now, Renewal{Name: "d", Leaving: true}, b)
 	if e := tally.Next(now, b); e == nil || e.Activate == nil {
 		t.Errorf("b has left: %+v", e)
 	}
@@ -226,22 +226,22 @@
 		t.Error("a lease for who can't act on the version in force")
 	}
 	// A new leader waits for leases that it knows nothing of.
-	if e := NewTally(now, timing).Next(now+timing.Run-1, b); e != nil {
+	if e := NewLeaseTable(now, timing).Next(now+timing.MaxLease-1, b); e != nil {
 		t.Errorf("%+v", e)
 	}
 }
 
 func TestCanary(t *testing.T) {
 	timing := TimingOf(time.Second)
-	start := func() (*Book, *Tally, uint64) {
+	start := func() (*Record, *LeaseTable, uint64) {
 		b := founded(t)
 		harm := proposal("h", 1, keysWith("5", "1"))
-		harm.Propose.Only = "a"
+		harm.Propose.CanaryMember = "a"
 		refused(t, b, harm, "alone may not", "limits.try_limit")
 		free := proposal("f", 1, keysWith("6", "2"))
-		free.Propose.Only = "a"
+		free.Propose.CanaryMember = "a"
 		n := must(t, b, free)
-		tally := NewTally(0, timing)
+		tally := NewLeaseTable(0, timing)
 		now := 10 * time.Second
 		tally.Renew(now, Renewal{Name: "a", Boot: 1, Checked: n}, b)
 		tally.Renew(now, Renewal{Name: "b", Checked: n}, b)
@@ -250,19 +250,19 @@
 			t.Fatalf("%+v", e)
 		}
 		must(t, b, *e)
-		if b.For("a").Number != n || b.For("b").Number != 1 || b.Force != 1 {
-			t.Fatalf("a %d, b %d", b.For("a").Number, b.For("b").Number)
+		if b.VersionFor("a").Number != n || b.VersionFor("b").Number != 1 || b.InForceNumber != 1 {
+			t.Fatalf("a %d, b %d", b.VersionFor("a").Number, b.VersionFor("b").Number)
 		}
 		return b, tally, n
 	}
-	run := func(b *Book, tally *Tally, n uint64, reboot bool) *Entry {
+	run := func(b *Record, tally *LeaseTable, n uint64, reboot bool) *Entry {
 		for now := 10 * time.Second; now < 25*time.Second; now += 100 * time.Millisecond {
 			boot := uint64(1)
 			if reboot && now > 15*time.Second {
 				boot = 2
 			}
-			tally.Renew(now, Renewal{Name: "a", Boot: boot, Holds: n, Checked: n}, b)
-			tally.Renew(now, Renewal{Name: "b", Holds: 1, Checked: n}, b)
+			tally.Renew(now, Renewal{Name: "a", Boot: boot, ActsOn: n, Checked: n}, b)
+			tally.Renew(now, Renewal{Name: "b", ActsOn: 1, Checked: n}, b)
 			if e := tally.Next(now, b); e != nil {
 				if e.Activate != nil && now < 20*time.Second {
 					t.Errorf("the others follow at %v", now)
@@ -282,7 +282,7 @@
 		t.Fatalf("it went down: %+v", e)
 	}
 	must(t, b, *e)
-	if b.For("a").Number != 1 || b.At(n).State != Withdrawn {
+	if b.VersionFor("a").Number != 1 || b.Version(n).State != Withdrawn {
 		t.Errorf("%+v", b)
 	}
 }
--- a/internal/agree/book.go
+++ b/internal/agree/book.go
@@ -44,19 +44,19 @@
 
 // Version is one content of the settings. Numbers are never used twice.
 type Version struct {
-	Number  uint64            `json:"number"`
-	Base    uint64            `json:"base"` // the version that it was made from
-	State   State             `json:"state"`
-	Content string            `json:"content"` // JSON
-	Keys    map[string]string `json:"keys"`    // the same, by path
-	Print   string            `json:"print"`   // fingerprint of the content
-	By      string            `json:"by"`
-	Why     string            `json:"why,omitempty"`
-	At      string            `json:"at"`               // wall clock of the dispatcher that took it, for people
-	Only    string            `json:"only,omitempty"`   // the dispatcher that goes first
-	Back    uint64            `json:"back,omitempty"`   // the version whose content it brings back
-	Member  string            `json:"member,omitempty"` // who turned it down ...
-	Fault   *Fault            `json:"fault,omitempty"`  // ... and why
+	Number       uint64            `json:"number"`
+	Base         uint64            `json:"base"` // the version that it was made from
+	State        State             `json:"state"`
+	Content      string            `json:"content"` // JSON
+	Keys         map[string]string `json:"keys"`    // the same, by path
+	Fingerprint  string            `json:"print"`   // fingerprint of the content
+	By           string            `json:"by"`
+	Why          string            `json:"why,omitempty"`
+	At           string            `json:"at"`               // wall clock of the dispatcher that took it, for people
+	CanaryMember string            `json:"only,omitempty"`   // the dispatcher that goes first
+	RollbackTo   uint64            `json:"back,omitempty"`   // the version whose content it brings back
+	Member       string            `json:"member,omitempty"` // who turned it down ...
+	Fault        *Fault            `json:"fault,omitempty"`  // ... and why
 }
 
 // Seat is a voter's place. Its disk is drawn with its log: a voter that has lost its log is not the one that was seated.
@@ -66,29 +66,29 @@
 }
 
 // Book is what all voters record alike.
-type Book struct {
-	Cluster  uint64    `json:"cluster"` // drawn when the cluster was founded
-	Wanted   int       `json:"wanted"`  // seats: nothing is in force until all have been taken once
-	Complete bool      `json:"complete"`
-	Seats    []Seat    `json:"seats"`
-	Past     []uint64  `json:"past"` // disks that had a seat
-	Versions []Version `json:"versions"`
-	Force    uint64    `json:"force"`  // the number in force; 0 before the first
-	Last     uint64    `json:"last"`   // the last number that was given out
-	Done     []Done    `json:"done"`   // what was answered to the latest proposals
-	Stamp    uint64    `json:"stamp"`  // grows with every change
-	Decide   uint64    `json:"decide"` // entries that put something in force, counted: the history of decisions
+type Record struct {
+	Cluster       uint64    `json:"cluster"` // drawn when the cluster was founded
+	RequiredSeats int       `json:"wanted"`  // seats: nothing is in force until all have been taken once
+	Complete      bool      `json:"complete"`
+	Seats         []Seat    `json:"seats"`
+	RetiredDisks  []uint64  `json:"past"` // disks that had a seat
+	Versions      []Version `json:"versions"`
+	InForceNumber uint64    `json:"force"`  // the number in force; 0 before the first
+	LastNumber    uint64    `json:"last"`   // the last number that was given out
+	Results       []Result  `json:"done"`   // what was answered to the latest proposals
+	Revision      uint64    `json:"stamp"`  // grows with every change
+	Decisions     uint64    `json:"decide"` // entries that put something in force, counted: the history of decisions
 
 	List    membership.List     `json:"list"`    // of replicas, where dispatchers agree on that too
 	Changes []membership.Change `json:"changes"` // the latest, for who has missed few of them
 	Orders  membership.Orders   `json:"orders"`
 	Census  membership.Census   `json:"census"`
 
-	Ledgers map[string]uint64 `json:"ledgers,omitempty"` // the file with which each voter last held the ledger
+	LedgerDisks map[string]uint64 `json:"ledgers,omitempty"` // the file with which each voter last held the ledger
 }
 
 // Done is the answer to a proposal, kept as its proposer may ask again after a leader was lost.
-type Done struct {
+type Result struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number"`
 	Error  string `json:"error,omitempty"`
@@ -103,7 +103,7 @@
 )
 
 // At gives a version, nil if it is not known any more or never was.
-func (b *Book) At(number uint64) *Version {
+func (b *Record) Version(number uint64) *Version {
 	for i := range b.Versions {
 		if b.Versions[i].Number == number {
 			return &b.Versions[i]
@@ -113,10 +113,10 @@
 }
 
 // InForce gives the version in force, nil before the first.
-func (b *Book) InForce() *Version { return b.At(b.Force) }
+func (b *Record) InForce() *Version { return b.Version(b.InForceNumber) }
 
 // Open gives the version that is under way, if any.
-func (b *Book) Open() *Version {
+func (b *Record) InProgress() *Version {
 	for i := range b.Versions {
 		if s := b.Versions[i].State; s == Pending || s == Canary {
 			return &b.Versions[i]
@@ -126,7 +126,7 @@
 }
 
 // SeatOf gives the disk that sits in a voter's seat.
-func (b *Book) SeatOf(name string) (disk uint64, taken bool) {
+func (b *Record) SeatOf(name string) (disk uint64, taken bool) {
 	for _, s := range b.Seats {
 		if s.Name == name {
 			return s.Disk, true
@@ -136,10 +136,10 @@
 }
 
 // Apply makes one change. An entry that does not fit the Book as it is by now changes nothing, and the error says why.
-func (b *Book) Apply(e Entry) (number uint64, err error) {
+func (b *Record) Apply(e Entry) (number uint64, err error) {
 	switch {
-	case e.Found != nil:
-		err = b.found(e.Found)
+	case e.Bootstrap != nil:
+		err = b.found(e.Bootstrap)
 	case e.Propose != nil:
 		return b.answer(e.Propose.ID, func() (uint64, error) { return b.propose(e.Propose) })
 	case e.Withdraw != nil:
@@ -148,18 +148,18 @@
 		number, err = e.TurnDown.Number, b.turnDown(e.TurnDown)
 	case e.Activate != nil:
 		number, err = e.Activate.Number, b.activate(e.Activate)
-	case e.Sit != nil:
-		err = b.sit(*e.Sit)
+	case e.TakeSeat != nil:
+		err = b.sit(*e.TakeSeat)
 	case e.Order != nil:
 		return b.answer(e.Order.Request, func() (uint64, error) { return b.List.Number, b.order(e.Order.Order) })
 	case e.Lift != nil:
 		return b.answer(e.Lift.Request, func() (uint64, error) { return b.List.Number, b.lift(e.Lift) })
 	case e.Ledger != nil:
 		return b.answer(e.Ledger.Request, func() (uint64, error) {
-			if b.Ledgers == nil {
-				b.Ledgers = map[string]uint64{}
+			if b.LedgerDisks == nil {
+				b.LedgerDisks = map[string]uint64{}
 			}
-			b.Ledgers[e.Ledger.Name] = e.Ledger.Disk
+			b.LedgerDisks[e.Ledger.Name] = e.Ledger.Disk
 			return 0, nil
 		})
 	case e.Change != nil:
@@ -168,14 +168,14 @@
 		err = b.count(*e.Census)
 	}
 	if err == nil {
-		b.Stamp++
+		b.Revision++
 	}
 	return number, err
 }
 
 // answer makes a change once for each ID and repeats what was answered before.
-func (b *Book) answer(id string, change func() (uint64, error)) (uint64, error) {
-	for _, d := range b.Done {
+func (b *Record) answer(id string, change func() (uint64, error)) (uint64, error) {
+	for _, d := range b.Results {
 		if d.ID == id {
 			if d.Error != "" {
 				return d.Number, fmt.Errorf("%s", d.Error)
@@ -184,34 +184,34 @@
 		}
 	}
 	n, err := change()
-	d := Done{ID: id, Number: n}
+	d := Result{ID: id, Number: n}
 	if err != nil {
 		d.Error = err.Error()
 	} else {
-		b.Stamp++
+		b.Revision++
 	}
-	b.Done = append(b.Done, d)
-	if len(b.Done) > keptDone {
-		b.Done = slices.Clone(b.Done[len(b.Done)-keptDone:])
+	b.Results = append(b.Results, d)
+	if len(b.Results) > keptDone {
+		b.Results = slices.Clone(b.Results[len(b.Results)-keptDone:])
 	}
 	return n, err
 }
 
-func (b *Book) found(f *Found) error {
+func (b *Record) found(f *Bootstrap) error {
 	if b.Cluster != 0 {
 		return fmt.Errorf("the cluster was founded before")
 	}
-	b.Cluster, b.Wanted, b.Seats = f.Cluster, f.Wanted, []Seat{f.Seat}
+	b.Cluster, b.RequiredSeats, b.Seats = f.Cluster, f.RequiredSeats, []Seat{f.Seat}
 	b.add(&f.First)
 	b.force(1)
-	b.Complete = len(b.Seats) >= b.Wanted
+	b.Complete = len(b.Seats) >= b.RequiredSeats
 	return nil
 }
 
-func (b *Book) add(p *Propose) uint64 {
-	b.Last++
-	b.Versions = append(b.Versions, Version{Number: b.Last, Base: p.Base, State: Pending, Content: p.Content, Keys: p.Keys,
-		Print: p.Print, By: p.By, Why: p.Why, At: p.At, Only: p.Only, Back: p.Back})
+func (b *Record) add(p *Propose) uint64 {
+	b.LastNumber++
+	b.Versions = append(b.Versions, Version{Number: b.LastNumber, Base: p.Base, State: Pending, Content: p.Content, Keys: p.Keys,
+		Fingerprint: p.Fingerprint, By: p.By, Why: p.Why, At: p.At, CanaryMember: p.CanaryMember, RollbackTo: p.RollbackTo})
 	for i := 0; i < len(b.Versions) && b.tooMuch(); {
 		if s := b.Versions[i].State; s == InForce || s == Pending || s == Canary {
 			i++
@@ -219,11 +219,11 @@
 		}
 		b.Versions = slices.Delete(b.Versions, i, i+1)
 	}
-	return b.Last
+	return b.LastNumber
 }
 
 // tooMuch tells whether the contents hold more than is kept.
-func (b *Book) tooMuch() bool {
+func (b *Record) tooMuch() bool {
 	bytes := 0
 	for _, v := range b.Versions {
 		bytes += len(v.Content)
@@ -232,28 +232,28 @@
 }
 
 // propose enters a version for all to check. It must be made from the newest one.
-func (b *Book) propose(p *Propose) (uint64, error) {
-	if open := b.Open(); open != nil {
+func (b *Record) propose(p *Propose) (uint64, error) {
+	if open := b.InProgress(); open != nil {
 		return 0, fmt.Errorf("version %d by %s is under way; keys that it moves: %s", open.Number, open.By,
 			moved(b.keysOf(open.Base), open.Keys))
 	}
-	if p.Base != b.Force {
-		return 0, fmt.Errorf("made from version %d, and %d is in force since; keys that moved: %s", p.Base, b.Force,
-			moved(b.keysOf(p.Base), b.keysOf(b.Force)))
+	if p.Base != b.InForceNumber {
+		return 0, fmt.Errorf("made from version %d, and %d is in force since; keys that moved: %s", p.Base, b.InForceNumber,
+			moved(b.keysOf(p.Base), b.keysOf(b.InForceNumber)))
 	}
-	if len(Differs(b.keysOf(b.Force), p.Keys)) == 0 {
-		return 0, fmt.Errorf("no key differs from version %d, which is in force", b.Force)
+	if len(DifferingKeys(b.keysOf(b.InForceNumber), p.Keys)) == 0 {
+		return 0, fmt.Errorf("no key differs from version %d, which is in force", b.InForceNumber)
 	}
-	if p.Only != "" {
-		if keys := Contradicts(b.keysOf(b.Force), p.Keys); len(keys) > 0 {
-			return 0, fmt.Errorf("%s alone may not act on it: it contradicts version %d in %s", p.Only, b.Force, strings.Join(keys, ", "))
+	if p.CanaryMember != "" {
+		if keys := ConflictingKeys(b.keysOf(b.InForceNumber), p.Keys); len(keys) > 0 {
+			return 0, fmt.Errorf("%s alone may not act on it: it contradicts version %d in %s", p.CanaryMember, b.InForceNumber, strings.Join(keys, ", "))
 		}
 	}
 	return b.add(p), nil
 }
 
-func (b *Book) keysOf(number uint64) map[string]string {
-	if v := b.At(number); v != nil {
+func (b *Record) keysOf(number uint64) map[string]string {
+	if v := b.Version(number); v != nil {
 		return v.Keys
 	}
 	return nil
@@ -265,22 +265,22 @@
 	if from == nil {
 		return "not known, the version is no longer kept"
 	}
-	keys := Differs(from, to)
+	keys := DifferingKeys(from, to)
 	if len(keys) > namedMost {
 		return fmt.Sprintf("%s and %d more", strings.Join(keys[:namedMost], ", "), len(keys)-namedMost)
 	}
 	return strings.Join(keys, ", ")
 }
 
-func (b *Book) open(number uint64) (*Version, error) {
-	v := b.Open()
+func (b *Record) open(number uint64) (*Version, error) {
+	v := b.InProgress()
 	if v == nil || v.Number != number {
 		return nil, fmt.Errorf("version %d is not under way", number)
 	}
 	return v, nil
 }
 
-func (b *Book) turnDown(t *TurnDown) error {
+func (b *Record) turnDown(t *TurnDown) error {
 	v, err := b.open(t.Number)
 	if err != nil {
 		return err
@@ -289,7 +289,7 @@
 	return nil
 }
 
-func (b *Book) withdraw(w *Withdraw) error {
+func (b *Record) withdraw(w *Withdraw) error {
 	v, err := b.open(w.Number)
 	if err != nil {
 		return err
@@ -298,14 +298,14 @@
 	return nil
 }
 
-func (b *Book) activate(a *Activate) error {
+func (b *Record) activate(a *Activate) error {
 	v, err := b.open(a.Number)
 	if err != nil {
 		return err
 	}
-	if a.Canary && v.Only != "" {
+	if a.Canary && v.CanaryMember != "" {
 		if v.State == Canary {
-			return fmt.Errorf("version %d is at %s already", v.Number, v.Only)
+			return fmt.Errorf("version %d is at %s already", v.Number, v.CanaryMember)
 		}
 		v.State = Canary
 		return nil
@@ -314,18 +314,18 @@
 	return nil
 }
 
-func (b *Book) force(number uint64) {
+func (b *Record) force(number uint64) {
 	if before := b.InForce(); before != nil {
 		before.State = Superseded
 	}
-	b.At(number).State = InForce
-	b.Force = number
-	b.Decide++
+	b.Version(number).State = InForce
+	b.InForceNumber = number
+	b.Decisions++
 }
 
 // sit gives a disk the seat of a voter. The disk that sat there never comes back.
-func (b *Book) sit(s Seat) error {
-	if slices.Contains(b.Past, s.Disk) {
+func (b *Record) sit(s Seat) error {
+	if slices.Contains(b.RetiredDisks, s.Disk) {
 		return fmt.Errorf("the disk of %s had a seat before and lost it", s.Name)
 	}
 	for i := range b.Seats {
@@ -335,12 +335,12 @@
 	}
 	for i := range b.Seats {
 		if b.Seats[i].Name == s.Name {
-			b.Past = append(b.Past, b.Seats[i].Disk)
+			b.RetiredDisks = append(b.RetiredDisks, b.Seats[i].Disk)
 			b.Seats[i] = s
 			return nil
 		}
 	}
 	b.Seats = append(b.Seats, s)
-	b.Complete = b.Complete || len(b.Seats) >= b.Wanted
+	b.Complete = b.Complete || len(b.Seats) >= b.RequiredSeats
 	return nil
 }
--- a/internal/agree/entry.go
+++ b/internal/agree/entry.go
@@ -4,17 +4,17 @@
 
 // Entry is one change of the Book. Exactly one of its fields is set.
 type Entry struct {
-	Found    *Found             `json:"found,omitempty"`
-	Propose  *Propose           `json:"propose,omitempty"`
-	TurnDown *TurnDown          `json:"turn_down,omitempty"`
-	Activate *Activate          `json:"activate,omitempty"`
-	Withdraw *Withdraw          `json:"withdraw,omitempty"`
-	Change   *membership.Change `json:"change,omitempty"` // of the list of replicas
-	Order    *Ordered           `json:"order,omitempty"`  // an operator's override
-	Lift     *Lifted            `json:"lift,omitempty"`   // ends one
-	Census   *membership.Census `json:"census,omitempty"`
-	Ledger   *Ledger            `json:"ledger,omitempty"` // notes the file with which a voter holds the ledger
-	Sit      *Seat              `json:"sit,omitempty"`    // takes an empty seat, or that of the voter that Sit replaces
+	Bootstrap *Bootstrap         `json:"found,omitempty"`
+	Propose   *Propose           `json:"propose,omitempty"`
+	TurnDown  *TurnDown          `json:"turn_down,omitempty"`
+	Activate  *Activate          `json:"activate,omitempty"`
+	Withdraw  *Withdraw          `json:"withdraw,omitempty"`
+	Change    *membership.Change `json:"change,omitempty"` // of the list of replicas
+	Order     *PlaceOrder        `json:"order,omitempty"`  // an operator's override
+	Lift      *LiftOrder         `json:"lift,omitempty"`   // ends one
+	Census    *membership.Census `json:"census,omitempty"`
+	Ledger    *SetLedger         `json:"ledger,omitempty"` // notes the file with which a voter holds the ledger
+	TakeSeat  *Seat              `json:"sit,omitempty"`    // takes an empty seat, or that of the voter that Sit replaces
 }
 
 // Request is the number that a proposer drew for its entry, by which it is answered; empty where nobody waits for it.
@@ -35,32 +35,32 @@
 }
 
 // Ledger is the file with which a voter holds the ledger.
-type Ledger struct {
+type SetLedger struct {
 	Request string `json:"request"`
 	Name    string `json:"name"`
 	Disk    uint64 `json:"disk"`
 }
 
 // Found begins a cluster with its first voter and version.
-type Found struct {
-	Cluster uint64  `json:"cluster"`
-	Wanted  int     `json:"wanted"`
-	Seat    Seat    `json:"seat"`
-	First   Propose `json:"first"`
+type Bootstrap struct {
+	Cluster       uint64  `json:"cluster"`
+	RequiredSeats int     `json:"wanted"`
+	Seat          Seat    `json:"seat"`
+	First         Propose `json:"first"`
 }
 
 // Propose asks for a new version.
 type Propose struct {
-	ID      string            `json:"id"` // drawn by the proposer: the same proposal twice is one
-	Base    uint64            `json:"base"`
-	Content string            `json:"content"`
-	Keys    map[string]string `json:"keys"`
-	Print   string            `json:"print"`
-	By      string            `json:"by"`
-	Why     string            `json:"why,omitempty"`
-	At      string            `json:"at"`
-	Only    string            `json:"only,omitempty"`
-	Back    uint64            `json:"back,omitempty"`
+	ID           string            `json:"id"` // drawn by the proposer: the same proposal twice is one
+	Base         uint64            `json:"base"`
+	Content      string            `json:"content"`
+	Keys         map[string]string `json:"keys"`
+	Fingerprint  string            `json:"print"`
+	By           string            `json:"by"`
+	Why          string            `json:"why,omitempty"`
+	At           string            `json:"at"`
+	CanaryMember string            `json:"only,omitempty"`
+	RollbackTo   uint64            `json:"back,omitempty"`
 }
 
 // TurnDown says that a dispatcher can't act on a version.
--- a/internal/agree/keys.go
+++ b/internal/agree/keys.go
@@ -11,10 +11,10 @@
 
 // The effects.
 const (
-	Unknown Effect = iota // the key is not one of the settings
-	Local                 // it is each dispatcher's own and never agreed on
-	Free                  // it may differ for a while: it changes what is gained, not what is allowed
-	Harm                  // acting on both does harm: the values contradict each other
+	Unknown  Effect = iota // the key is not one of the settings
+	Local                  // it is each dispatcher's own and never agreed on
+	Harmless               // it may differ for a while: it changes what is gained, not what is allowed
+	Harmful                // acting on both does harm: the values contradict each other
 )
 
 // Key is one line of the table of keys: a path in which * stands for one part.
@@ -28,42 +28,42 @@
 var Keys = []Key{
 	{"zone", Local, "where this dispatcher stands"},
 
-	{"siblings", Harm, "shares of cold servers and of repeats are counted by it"},
-	{"registry_mode", Harm, "the load on the register is summed over the fleet"},
-	{"host_types", Harm, "what a server of a kind is sent"},
-	{"family_info.duty_by_kind", Harm, "what a server of a kind is sent"},
-	{"family_info.kv_tokens", Harm, "a server's memory is shared by all dispatchers"},
-	{"family_info.let_go_by_us", Harm, "how long anything may be held"},
-	{"family_info.read_in_place", Harm, "what a writer is sent"},
-	{"family_info.resume", Harm, "whether the rest of a stream is sent out again"},
-	{"family_info.aim_us_per_1000_prompt_tokens", Free, "what an answer earns"},
-	{"family_info.token_aim_us", Free, "what an answer earns"},
-	{"over_share_worth", Harm, "a price"},
-	{"prices.*", Harm, "a price"},
-	{"limits.try_limit", Harm, "attempts are summed over the fleet"},
-	{"limits.max_open", Harm, "a limit"},
-	{"limits.cancel", Harm, "whether an attempt may be given up"},
-	{"limits.probes", Harm, "probes are summed over the fleet"},
-	{"limits.retry_after", Free, "what clients are told"},
-	{"limits.max_retry_after_us", Free, "what clients are told"},
-	{"limits.conn_idle_us", Free, "what is known of the machines"},
-	{"limits.connect_timeout_us", Free, "what is known of the network"},
-	{"obligations.*", Harm, "figures for cold servers, drains and answers"},
-	{"services.count", Harm, "which classes there are"},
-	{"services", Harm, "which classes there are"},
-	{"services.*.name", Harm, "which classes there are"},
-	{"services.*.repeat", Harm, "whether a class may repeat"},
-	{"services.*.key_scope", Harm, "whether a class may repeat"},
-	{"services.*.window_us", Harm, "whether a class may repeat"},
-	{"services.*.deadline_us", Harm, "a deadline"},
-	{"services.*.goal_time_us", Free, "what an answer earns"},
-	{"services.*.late_worth", Free, "what an answer earns"},
-	{"services.*.credit", Free, "what an answer earns"},
-	{"services.*.stream", Free, "how an answer comes"},
-	{"tenants.count", Harm, "shares are summed over the fleet"},
-	{"tenants", Harm, "shares are summed over the fleet"},
-	{"tenants.*.name", Harm, "shares are summed over the fleet"},
-	{"tenants.*.quota_rps", Harm, "shares are summed over the fleet"},
+	{"siblings", Harmful, "shares of cold servers and of repeats are counted by it"},
+	{"registry_mode", Harmful, "the load on the register is summed over the fleet"},
+	{"host_types", Harmful, "what a server of a kind is sent"},
+	{"family_info.duty_by_kind", Harmful, "what a server of a kind is sent"},
+	{"family_info.kv_tokens", Harmful, "a server's memory is shared by all dispatchers"},
+	{"family_info.let_go_by_us", Harmful, "how long anything may be held"},
+	{"family_info.read_in_place", Harmful, "what a writer is sent"},
+	{"family_info.resume", Harmful, "whether the rest of a stream is sent out again"},
+	{"family_info.aim_us_per_1000_prompt_tokens", Harmless, "what an answer earns"},
+	{"family_info.token_aim_us", Harmless, "what an answer earns"},
+	{"over_share_worth", Harmful, "a price"},
+	{"prices.*", Harmful, "a price"},
+	{"limits.try_limit", Harmful, "attempts are summed over the fleet"},
+	{"limits.max_open", Harmful, "a limit"},
+	{"limits.cancel", Harmful, "whether an attempt may be given up"},
+	{"limits.probes", Harmful, "probes are summed over the fleet"},
+	{"limits.retry_after", Harmless, "what clients are told"},
+	{"limits.max_retry_after_us", Harmless, "what clients are told"},
+	{"limits.conn_idle_us", Harmless, "what is known of the machines"},
+	{"limits.connect_timeout_us", Harmless, "what is known of the network"},
+	{"obligations.*", Harmful, "figures for cold servers, drains and answers"},
+	{"services.count", Harmful, "which classes there are"},
+	{"services", Harmful, "which classes there are"},
+	{"services.*.name", Harmful, "which classes there are"},
+	{"services.*.repeat", Harmful, "whether a class may repeat"},
+	{"services.*.key_scope", Harmful, "whether a class may repeat"},
+	{"services.*.window_us", Harmful, "whether a class may repeat"},
+	{"services.*.deadline_us", Harmful, "a deadline"},
+	{"services.*.goal_time_us", Harmless, "what an answer earns"},
+	{"services.*.late_worth", Harmless, "what an answer earns"},
+	{"services.*.credit", Harmless, "what an answer earns"},
+	{"services.*.stream", Harmless, "how an answer comes"},
+	{"tenants.count", Harmful, "shares are summed over the fleet"},
+	{"tenants", Harmful, "shares are summed over the fleet"},
+	{"tenants.*.name", Harmful, "shares are summed over the fleet"},
+	{"tenants.*.quota_rps", Harmful, "shares are summed over the fleet"},
 }
 
 // EffectOf looks a key up in the table.
@@ -91,7 +91,7 @@
 }
 
 // Differs lists the keys whose values differ, in order; one that is missing counts as empty.
-func Differs(a, b map[string]string) []string {
+func DifferingKeys(a, b map[string]string) []string {
 	var keys []string
 	for k, v := range a {
 		if b[k] != v {
@@ -108,15 +108,15 @@
 }
 
 // Contradicts lists the keys of two contents on which it does harm to act by both.
-func Contradicts(a, b map[string]string) []string {
-	return slices.DeleteFunc(Differs(a, b), func(key string) bool {
+func ConflictingKeys(a, b map[string]string) []string {
+	return slices.DeleteFunc(DifferingKeys(a, b), func(key string) bool {
 		effect, _ := EffectOf(key)
-		return effect == Free || effect == Local
+		return effect == Harmless || effect == Local
 	})
 }
 
 // Check names the first key that may not be part of a version, with the known key that it is nearest to.
-func Check(keys map[string]string) *Fault {
+func CheckKeys(keys map[string]string) *Fault {
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		switch effect, why := EffectOf(key); effect {
 		case Unknown:
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -8,13 +8,13 @@
 )
 
 // Ordered is an operator's override of a replica, with a number of its own, so that asking twice makes one.
-type Ordered struct {
+type PlaceOrder struct {
 	Request string           `json:"request"`
 	Order   membership.Order `json:"order"`
 }
 
 // Lifted ends an override: by its owner, or because it ran out.
-type Lifted struct {
+type LiftOrder struct {
 	Request string `json:"request"`
 	ID      string `json:"id"`
 	Owner   string `json:"owner"`             // empty where it ran out
@@ -27,7 +27,7 @@
 	keptEntries = 4096 // of all of them together, but for the last
 )
 
-func (b *Book) change(c membership.Change) error {
+func (b *Record) change(c membership.Change) error {
 	if err := b.List.Apply(c); err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 }
 
 // Part gives what brings a copy of the list nearer to the present one.
-func (b *Book) Part(at membership.Cursor, pager *membership.Pager) membership.Part {
+func (b *Record) Part(at membership.Cursor, pager *membership.Pager) membership.Part {
 	p := membership.Part{Number: b.List.Number}
 	changes, kept := b.since(at.Number)
 	if !kept || at.After != "" {
@@ -68,7 +68,7 @@
 }
 
 // since gives the changes that lead from a version of the list to the present one; false where not all are kept.
-func (b *Book) since(number uint64) ([]membership.Change, bool) {
+func (b *Record) since(number uint64) ([]membership.Change, bool) {
 	if number == b.List.Number {
 		return nil, true
 	}
@@ -80,7 +80,7 @@
 	return nil, false
 }
 
-func (b *Book) order(o membership.Order) error {
+func (b *Record) order(o membership.Order) error {
 	if err := b.Orders.Check(o, &b.List); err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func (b *Book) lift(l *Lifted) error {
+func (b *Record) lift(l *LiftOrder) error {
 	had, ok := b.Orders[l.ID]
 	switch {
 	case !ok:
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (b *Book) count(c membership.Census) error {
+func (b *Record) count(c membership.Census) error {
 	if c.Number != b.Census.Number+1 {
 		return fmt.Errorf("census %d does not follow %d", c.Number, b.Census.Number)
 	}
--- a/internal/agree/lists_test.go
+++ b/internal/agree/lists_test.go
@@ -14,7 +14,7 @@
 // the list that is agreed on, whatever it had before.
 func TestPartsMakeTheList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var b Book
+		var b Record
 		var pager membership.Pager
 		var c membership.Copy
 		change := func(most int) {
@@ -79,7 +79,7 @@
 
 // A gap, or a page that does not follow, is noticed, and the copy begins anew and comes to the list.
 func TestCopyBeginsAnewAfterAGap(t *testing.T) {
-	var b Book
+	var b Record
 	var pager membership.Pager
 	var c membership.Copy
 	for i := range 3 {
@@ -99,7 +99,7 @@
 
 // What is kept of changes is bounded by their entries.
 func TestKeptChangesAreBounded(t *testing.T) {
-	var b Book
+	var b Record
 	for n := range 40 {
 		c := membership.Change{Number: uint64(n + 1)}
 		for i := range 500 {
--- a/internal/agree/promise_test.go
+++ b/internal/agree/promise_test.go
@@ -19,8 +19,8 @@
 	now    time.Duration
 	events events
 	timing Timing
-	book   Book
-	tally  *Tally
+	book   Record
+	tally  *LeaseTable
 	leader int // counted up
 	nodes  []*simNode
 	loss   float64
@@ -77,7 +77,7 @@
 	}
 	sent, r := n.clock(s.now), Renewal{Name: n.name, Checked: n.checked, Fault: n.fault}
 	if n.lease != nil {
-		r.Holds = n.lease.Number
+		r.ActsOn = n.lease.Number
 	}
 	s.message(n, func() {
 		leader := s.leader
@@ -86,7 +86,7 @@
 				return
 			}
 			granted := s.tally.Renew(s.now, r, &s.book)
-			force, open := *s.book.For(n.name), s.book.Open()
+			force, open := *s.book.VersionFor(n.name), s.book.InProgress()
 			var next uint64
 			var keys map[string]string
 			if open != nil {
@@ -113,12 +113,12 @@
 		return
 	}
 	if n.lease == nil || n.lease.Number < force.Number {
-		n.lease = &Lease{Number: force.Number, Alone: Stop}
+		n.lease = &Lease{Number: force.Number, OnLeaseLoss: Stop}
 	}
 	if n.lease.Number != force.Number {
 		return // an older answer that came later
 	}
-	n.lease.Renewed(sent, s.timing)
+	n.lease.Extend(sent, s.timing)
 	s.judge(n)
 }
 
@@ -132,7 +132,7 @@
 		s.t.Fatalf("%s acts on version %d, which was turned down", n.name, n.lease.Number)
 	}
 	for v := n.lease.Number + 1; v < uint64(len(s.decided)); v++ {
-		if s.decided[v] == 0 || len(Contradicts(s.book.keysOf(n.lease.Number), s.book.keysOf(v))) == 0 {
+		if s.decided[v] == 0 || len(ConflictingKeys(s.book.keysOf(n.lease.Number), s.book.keysOf(v))) == 0 {
 			continue
 		}
 		over := end - s.decided[v]
@@ -164,7 +164,7 @@
 	if err != nil {
 		return
 	}
-	for uint64(len(s.decided)) <= s.book.Last {
+	for uint64(len(s.decided)) <= s.book.LastNumber {
 		s.decided = append(s.decided, 0)
 	}
 	switch {
@@ -186,7 +186,7 @@
 	case 0:
 		s.leader++
 		s.putting = false
-		s.tally = NewTally(s.now, s.timing)
+		s.tally = NewLeaseTable(s.now, s.timing)
 	case 1:
 		n.cut = !n.cut
 	case 2:
@@ -195,7 +195,7 @@
 		n.lease, n.checked, n.fault = nil, 0, nil
 	default:
 		limit := fmt.Sprint(1 + s.r.IntN(6))
-		s.decide(proposal(fmt.Sprint(s.r.Uint64()), s.book.Force, map[string]string{"siblings": "3", "limits.try_limit": limit, "services.0.credit": fmt.Sprint(s.r.IntN(3))}))
+		s.decide(proposal(fmt.Sprint(s.r.Uint64()), s.book.InForceNumber, map[string]string{"siblings": "3", "limits.try_limit": limit, "services.0.credit": fmt.Sprint(s.r.IntN(3))}))
 	}
 }
 
@@ -210,9 +210,9 @@
 		s := &sim{t: rt, r: rand.New(rand.NewPCG(seed, 1)), timing: TimingOf(within), turned: map[uint64]bool{}, decided: make([]time.Duration, 2),
 			loss: float64(rapid.IntRange(0, 30).Draw(rt, "loss")) / 100, slow: within * time.Duration(rapid.IntRange(1, 40).Draw(rt, "slow")) / 100}
 		s.book = *founded(t)
-		s.tally = NewTally(0, s.timing)
+		s.tally = NewLeaseTable(0, s.timing)
 		for i := range 300 {
-			drift := (s.r.Float64()*2 - 1) / Drift
+			drift := (s.r.Float64()*2 - 1) / DriftDivisor
 			n := &simNode{name: fmt.Sprintf("d%d", i), rate: 1 + drift, picky: i == 7}
 			s.nodes = append(s.nodes, n)
 			s.after(time.Duration(s.r.Int64N(int64(s.timing.Renew))), func() { s.renew(n) })
--- a/internal/agree/readers.go
+++ b/internal/agree/readers.go
@@ -11,15 +11,15 @@
 
 // Readers picks those who read the register for all. Who reads goes on for as long as it is heard and hears the register; its
 // place is taken by the next one of an order that is drawn from names, so that the load is not always on the same.
-type Readers struct {
+type RegistryReaders struct {
 	now map[string]bool
 }
 
 // Pick gives the readers at a time, at most so many.
-func (r *Readers) Pick(now time.Duration, t *Tally, most int) map[string]bool {
+func (r *RegistryReaders) Pick(now time.Duration, t *LeaseTable, most int) map[string]bool {
 	able := map[string]bool{}
 	for name, m := range t.Members {
-		if m.Reads && !m.Leaves && !m.Deaf && now < m.Until {
+		if m.CanReadRegistry && !m.Leaving && !m.RegistrySilent && now < m.LeaseEnd {
 			able[name] = true
 		}
 	}
@@ -57,14 +57,14 @@
 
 // Living gives the next census where who holds a lease is no longer who is counted; nil where it is. Who may be acting, as its
 // lease can still run, is counted; and while a new leader does not know who may be, nobody is counted out.
-func (t *Tally) Living(now time.Duration, b *Book) *membership.Census {
+func (t *LeaseTable) NextCensus(now time.Duration, b *Record) *membership.Census {
 	names := map[string]bool{}
 	for name, m := range t.Members {
-		if now < m.Until {
+		if now < m.LeaseEnd {
 			names[name] = true
 		}
 	}
-	if now < t.Known {
+	if now < t.AllLeasesKnown {
 		maps.Copy(names, b.Census.Names)
 	}
 	if len(names) == 0 || maps.Equal(names, b.Census.Names) {
--- a/internal/agree/refound_test.go
+++ b/internal/agree/refound_test.go
@@ -9,20 +9,20 @@
 	must(t, b, proposal("x", 1, keysWith("5", "1")))
 	must(t, b, Entry{Activate: &Activate{Number: 2}})
 	must(t, b, proposal("y", 2, keysWith("4", "1")))
-	four := Version{Number: 4, Print: "p4", Content: "4", Keys: keysWith("3", "1")}
+	four := Version{Number: 4, Fingerprint: "p4", Content: "4", Keys: keysWith("3", "1")}
 	for name, x := range map[string]struct {
 		acted []Version
 		force uint64
 		three State
 	}{
-		"nobody knows more":      {[]Version{{}, {Number: 1, Print: "p1"}, {Number: 2, Print: "px"}}, 2, Withdrawn},
-		"what was under way was": {[]Version{{Number: 3, Print: "py"}}, 3, InForce},
-		"a later one was":        {[]Version{four, {Number: 2, Print: "px"}}, 4, Withdrawn},
-		"both":                   {[]Version{four, {Number: 3, Print: "py"}}, 4, Superseded},
+		"nobody knows more":      {[]Version{{}, {Number: 1, Fingerprint: "p1"}, {Number: 2, Fingerprint: "px"}}, 2, Withdrawn},
+		"what was under way was": {[]Version{{Number: 3, Fingerprint: "py"}}, 3, InForce},
+		"a later one was":        {[]Version{four, {Number: 2, Fingerprint: "px"}}, 4, Withdrawn},
+		"both":                   {[]Version{four, {Number: 3, Fingerprint: "py"}}, 4, Superseded},
 	} {
-		n, err := b.Refound(8, 3, Seat{"c", 9}, x.acted, "op")
-		if err != nil || n.Force != x.force || n.InForce().State != InForce || n.At(3).State != x.three || n.Open() != nil {
-			t.Errorf("%s: %v, in force %d, the open one %s", name, err, n.Force, n.At(3).State)
+		n, err := b.Rebootstrap(8, 3, Seat{"c", 9}, x.acted, "op")
+		if err != nil || n.InForceNumber != x.force || n.InForce().State != InForce || n.Version(3).State != x.three || n.InProgress() != nil {
+			t.Errorf("%s: %v, in force %d, the open one %s", name, err, n.InForceNumber, n.Version(3).State)
 		}
 		inForce := 0
 		for _, v := range n.Versions {
@@ -30,8 +30,8 @@
 				inForce++
 			}
 		}
-		if inForce != 1 || n.Last <= max(b.Last, 4)+50 || n.Cluster != 8 || n.Complete {
-			t.Errorf("%s: %d in force, last %d, %+v", name, inForce, n.Last, n.Seats)
+		if inForce != 1 || n.LastNumber <= max(b.LastNumber, 4)+50 || n.Cluster != 8 || n.Complete {
+			t.Errorf("%s: %d in force, last %d, %+v", name, inForce, n.LastNumber, n.Seats)
 		}
 		for _, s := range b.Seats {
 			if err := n.sit(s); err == nil {
@@ -39,13 +39,13 @@
 			}
 		}
 	}
-	if b.Force != 2 || b.Open() == nil || len(b.Past) != 0 {
+	if b.InForceNumber != 2 || b.InProgress() == nil || len(b.RetiredDisks) != 0 {
 		t.Error("the record of before was changed")
 	}
-	if _, err := b.Refound(8, 3, Seat{"c", 9}, []Version{{Number: 2, Print: "other"}}, "op"); err == nil {
+	if _, err := b.Rebootstrap(8, 3, Seat{"c", 9}, []Version{{Number: 2, Fingerprint: "other"}}, "op"); err == nil {
 		t.Error("another cluster's version is taken")
 	}
-	if _, err := (&Book{}).Refound(8, 3, Seat{"c", 9}, nil, "op"); err == nil {
+	if _, err := (&Record{}).Rebootstrap(8, 3, Seat{"c", 9}, nil, "op"); err == nil {
 		t.Error("made from nothing")
 	}
 }
--- a/internal/agree/tally.go
+++ b/internal/agree/tally.go
@@ -10,43 +10,43 @@
 
 // Renewal is what a dispatcher says of itself when it asks for its lease to be renewed.
 type Renewal struct {
-	Name    string            `json:"name"`
-	Boot    uint64            `json:"boot"`                // drawn at its start
-	Holds   uint64            `json:"holds"`               // the version that it acts on, 0 for none
-	Checked uint64            `json:"checked"`             // the version that it has checked last ...
-	Fault   *Fault            `json:"fault,omitempty"`     // ... and turned down for this
-	Unfit   *Fault            `json:"unfit,omitempty"`     // why it can't act on the version in force
-	Leaves  bool              `json:"leaves,omitempty"`    // it acts no more: this is its last word
-	Crashes int               `json:"crashes,omitempty"`   // shortly after the activation of what it holds back from
-	Version uint64            `json:"version,omitempty"`   // a content that it has, and needs not be sent
-	Phase   string            `json:"phase,omitempty"`     // for people
-	LateBy  int64             `json:"late_by,omitempty"`   // acts that its choice for being alone allowed, for people
-	Since   int64             `json:"since_ms,omitempty"`  // how long it was without a lease before, for people
-	List    membership.Cursor `json:"list"`                // how far its copy of the list of replicas is
-	Reads   bool              `json:"reads,omitempty"`     // it could read the register
-	Serves  int64             `json:"serves_ms,omitempty"` // how long it has served as usual
-	Deaf    bool              `json:"deaf,omitempty"`      // it reads, and the register says nothing
-
-	Learns bool               `json:"learns,omitempty"` // it knows nothing of what follows, and wants to
-	Bears  map[string]float64 `json:"bears,omitempty"`  // what a replica of a kind bears of its requests a second, as it knows from before
+	Name            string            `json:"name"`
+	Boot            uint64            `json:"boot"`                // drawn at its start
+	ActsOn          uint64            `json:"holds"`               // the version that it acts on, 0 for none
+	Checked         uint64            `json:"checked"`             // the version that it has checked last ...
+	Fault           *Fault            `json:"fault,omitempty"`     // ... and turned down for this
+	Unfit           *Fault            `json:"unfit,omitempty"`     // why it can't act on the version in force
+	Leaving         bool              `json:"leaves,omitempty"`    // it acts no more: this is its last word
+	Crashes         int               `json:"crashes,omitempty"`   // shortly after the activation of what it holds back from
+	CachedVersion   uint64            `json:"version,omitempty"`   // a content that it has, and needs not be sent
+	Phase           string            `json:"phase,omitempty"`     // for people
+	LateActs        int64             `json:"late_by,omitempty"`   // acts that its choice for being alone allowed, for people
+	WithoutLeaseMS  int64             `json:"since_ms,omitempty"`  // how long it was without a lease before, for people
+	List            membership.Cursor `json:"list"`                // how far its copy of the list of replicas is
+	CanReadRegistry bool              `json:"reads,omitempty"`     // it could read the register
+	ServingMS       int64             `json:"serves_ms,omitempty"` // how long it has served as usual
+	RegistrySilent  bool              `json:"deaf,omitempty"`      // it reads, and the register says nothing
+
+	WantsWarmRates bool               `json:"learns,omitempty"` // it knows nothing of what follows, and wants to
+	WarmRates      map[string]float64 `json:"bears,omitempty"`  // what a replica of a kind bears of its requests a second, as it knows from before
 }
 
 // Member is a dispatcher as the leader sees it.
 type Member struct {
 	Renewal
-	Until time.Duration // by then its lease is over, whatever its clock does
-	Heard time.Duration // when it was heard last
+	LeaseEnd    time.Duration // by then its lease is over, whatever its clock does
+	LastRenewal time.Duration // when it was heard last
 }
 
 // Tally is the leader's view of who may be acting on what. A new leader begins a new one: leases that others granted may
 // run until Known.
-type Tally struct {
-	timing  Timing
-	Members map[string]*Member
-	Known   time.Duration
-	sealed  uint64 // the version whose activation was proposed: leases are only for who has checked it
-	swept   time.Duration
-	first   trial // of the dispatcher that goes first
+type LeaseTable struct {
+	timing         Timing
+	Members        map[string]*Member
+	AllLeasesKnown time.Duration
+	sealed         uint64 // the version whose activation was proposed: leases are only for who has checked it
+	swept          time.Duration
+	first          trial // of the dispatcher that goes first
 }
 
 // trial is how the dispatcher that goes first fares.
@@ -63,38 +63,38 @@
 const keepMember = 30
 
 // NewTally begins at a time of the leader's monotonic clock.
-func NewTally(now time.Duration, timing Timing) *Tally {
-	return &Tally{timing: timing, Members: map[string]*Member{}, Known: now + timing.Run}
+func NewLeaseTable(now time.Duration, timing Timing) *LeaseTable {
+	return &LeaseTable{timing: timing, Members: map[string]*Member{}, AllLeasesKnown: now + timing.MaxLease}
 }
 
 // Renew books a renewal that came at a time and tells whether the lease is granted. The grant counts only if the leader
 // is found to be the leader still after that time.
-func (t *Tally) Renew(now time.Duration, r Renewal, b *Book) bool {
+func (t *LeaseTable) Renew(now time.Duration, r Renewal, b *Record) bool {
 	m := t.Members[r.Name]
 	if m == nil {
 		m = &Member{}
 		t.Members[r.Name] = m
 	}
-	m.Renewal, m.Heard = r, now
-	if r.Leaves {
-		m.Until = now // its word that it acts no more
+	m.Renewal, m.LastRenewal = r, now
+	if r.Leaving {
+		m.LeaseEnd = now // its word that it acts no more
 		return false
 	}
 	if !b.Complete || b.InForce() == nil || r.Unfit != nil {
 		return false
 	}
-	if open := b.Open(); open != nil && open.Number == t.sealed && r.Checked != open.Number {
+	if open := b.InProgress(); open != nil && open.Number == t.sealed && r.Checked != open.Number {
 		return false
 	}
-	m.Until = now + t.timing.Run
+	m.LeaseEnd = now + t.timing.MaxLease
 	return true
 }
 
 // Serves is how long another dispatcher that holds a lease has served as usual, in milliseconds, the longest.
-func (t *Tally) Serves(now time.Duration, than string) (most int64) {
+func (t *LeaseTable) LongestServing(now time.Duration, than string) (most int64) {
 	for name, m := range t.Members {
-		if name != than && now < m.Until {
-			most = max(most, m.Serves)
+		if name != than && now < m.LeaseEnd {
+			most = max(most, m.ServingMS)
 		}
 	}
 	return most
@@ -102,17 +102,17 @@
 
 // Bears is what replicas of each kind bear of one dispatcher's requests a second, for one that does not know: the lower median of what
 // others say that may be acting, so that one that lies moves little, and nothing alone. Those who know share it with those who do not: it counts in their part.
-func (t *Tally) Bears(now time.Duration) map[string]float64 {
+func (t *LeaseTable) WarmRates(now time.Duration) map[string]float64 {
 	said, know, living := map[string][]float64{}, 0.0, 0.0
 	for _, m := range t.Members {
-		if now >= m.Until {
+		if now >= m.LeaseEnd {
 			continue
 		}
 		living++
-		if len(m.Bears) > 0 {
+		if len(m.WarmRates) > 0 {
 			know++
 		}
-		for kind, x := range m.Bears {
+		for kind, x := range m.WarmRates {
 			said[kind] = append(said[kind], x)
 		}
 	}
@@ -128,13 +128,13 @@
 }
 
 // sweep forgets, once in a while, who has not been heard for long.
-func (t *Tally) sweep(now time.Duration) {
+func (t *LeaseTable) sweep(now time.Duration) {
 	if now < t.swept+t.timing.Within {
 		return
 	}
 	t.swept = now
 	for name, m := range t.Members {
-		if now > m.Heard+keepMember*t.timing.Within && now > m.Until {
+		if now > m.LastRenewal+keepMember*t.timing.Within && now > m.LeaseEnd {
 			delete(t.Members, name)
 		}
 	}
@@ -142,9 +142,9 @@
 
 // Next gives the entry that is due: a version that somebody turned down is turned down, one that all have checked who
 // may be acting is put in force. Nil where nothing is due.
-func (t *Tally) Next(now time.Duration, b *Book) *Entry {
+func (t *LeaseTable) Next(now time.Duration, b *Record) *Entry {
 	t.sweep(now)
-	open := b.Open()
+	open := b.InProgress()
 	if open == nil || !b.Complete {
 		return nil
 	}
@@ -152,7 +152,7 @@
 	for name, m := range t.Members {
 		switch {
 		case m.Checked != open.Number:
-			all = all && now >= m.Until
+			all = all && now >= m.LeaseEnd
 		case m.Fault != nil && t.sealed != open.Number && (down == "" || name < down):
 			down = name
 		}
@@ -164,13 +164,13 @@
 		}
 		return &Entry{TurnDown: &TurnDown{Number: open.Number, Member: down, Fault: *fault}}
 	}
-	if !all || now < t.Known {
+	if !all || now < t.AllLeasesKnown {
 		return nil
 	}
-	if open.Only != "" && open.State == Pending {
+	if open.CanaryMember != "" && open.State == Pending {
 		return &Entry{Activate: &Activate{Number: open.Number, Canary: true}}
 	}
-	if open.Only != "" {
+	if open.CanaryMember != "" {
 		if failed, proven := t.try(now, open); failed != "" {
 			return withdrawal(open, failed)
 		} else if !proven {
@@ -186,36 +186,36 @@
 }
 
 // try follows the dispatcher that goes first. It has proven the version once it has acted on it for TrialTime in one life.
-func (t *Tally) try(now time.Duration, v *Version) (failed string, proven bool) {
-	m := t.Members[v.Only]
-	if m == nil || m.Holds != v.Number {
+func (t *LeaseTable) try(now time.Duration, v *Version) (failed string, proven bool) {
+	m := t.Members[v.CanaryMember]
+	if m == nil || m.ActsOn != v.Number {
 		return "", false
 	}
 	switch {
 	case t.first.number != v.Number:
 		t.first = trial{v.Number, m.Boot, now}
 	case t.first.boot != m.Boot:
-		return v.Only + " ended while it went first", false
+		return v.CanaryMember + " ended while it went first", false
 	}
-	return "", now-t.first.since >= TrialTime && now < m.Until
+	return "", now-t.first.since >= TrialTime && now < m.LeaseEnd
 }
 
 // For gives the version that a dispatcher is to act on: the one in force, or the one that it tries first.
-func (b *Book) For(name string) *Version {
-	if open := b.Open(); open != nil && open.State == Canary && open.Only == name {
+func (b *Record) VersionFor(name string) *Version {
+	if open := b.InProgress(); open != nil && open.State == Canary && open.CanaryMember == name {
 		return open
 	}
 	return b.InForce()
 }
 
 // Blocks names the dispatchers that a version under way waits for.
-func (t *Tally) Blocks(now time.Duration, b *Book) (names []string) {
-	open := b.Open()
+func (t *LeaseTable) WaitingFor(now time.Duration, b *Record) (names []string) {
+	open := b.InProgress()
 	if open == nil {
 		return nil
 	}
 	for name, m := range t.Members {
-		if now < m.Until && m.Checked != open.Number {
+		if now < m.LeaseEnd && m.Checked != open.Number {
 			names = append(names, name)
 		}
 	}
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -37,7 +37,7 @@
 	if v == nil {
 		return nil
 	}
-	b := &brief{Number: v.Number, Print: v.Print}
+	b := &brief{Number: v.Number, Print: v.Fingerprint}
 	if !has {
 		b.Content, b.Keys = v.Content, v.Keys
 	}
@@ -86,24 +86,24 @@
 }
 
 // Extract says which parts of the record are wanted, as a list may be long. The zero value wants all.
-type Extract struct {
-	Of      string `json:"of,omitempty"`      // OfSettings, OfList
+type ViewFilter struct {
+	Section string `json:"of,omitempty"`      // OfSettings, OfList
 	Replica string `json:"replica,omitempty"` // of the list only this entry, and no changes
 }
 
 // The parts.
 const (
-	OfSettings = "settings"
-	OfList     = "list"
+	SectionSettings = "settings"
+	SectionList     = "list"
 )
 
 // of gives a copy of the wanted parts.
-func (x Extract) of(b *agree.Book) agree.Book {
+func (x ViewFilter) of(b *agree.Record) agree.Record {
 	c := *b
-	c.Versions, c.Seats, c.Past, c.Done, c.Changes = slices.Clone(b.Versions), slices.Clone(b.Seats), slices.Clone(b.Past), nil, slices.Clone(b.Changes)
-	c.Orders, c.Ledgers = maps.Clone(b.Orders), maps.Clone(b.Ledgers) // the rest is replaced as a whole where it changes
+	c.Versions, c.Seats, c.RetiredDisks, c.Results, c.Changes = slices.Clone(b.Versions), slices.Clone(b.Seats), slices.Clone(b.RetiredDisks), nil, slices.Clone(b.Changes)
+	c.Orders, c.LedgerDisks = maps.Clone(b.Orders), maps.Clone(b.LedgerDisks) // the rest is replaced as a whole where it changes
 	switch {
-	case x.Of == OfSettings:
+	case x.Section == SectionSettings:
 		c.List.Entries, c.Changes = nil, nil
 	case x.Replica != "":
 		c.List.Entries, c.Changes = map[string]membership.Entry{}, nil
@@ -113,7 +113,7 @@
 	default:
 		c.List.Entries = maps.Clone(b.List.Entries)
 	}
-	if x.Of == OfList {
+	if x.Section == SectionList {
 		c.Versions = nil
 	}
 	return c
@@ -128,14 +128,14 @@
 
 // View is what operators see of the agreement.
 type View struct {
-	Book    agree.Book       `json:"book"`
-	Leader  string           `json:"leader"`
-	Term    uint64           `json:"term"`
-	Members []MemberView     `json:"members"`
-	Blocks  []string         `json:"blocks,omitempty"` // the dispatchers that a version under way waits for
-	Readers []string         `json:"readers,omitempty"`
-	Held    *membership.Held `json:"held,omitempty"`  // a change of the list that must be confirmed
-	Flaps   map[string]int   `json:"flaps,omitempty"` // replicas that are damped, with their turns
+	Record          agree.Record     `json:"book"`
+	Leader          string           `json:"leader"`
+	Term            uint64           `json:"term"`
+	Members         []MemberView     `json:"members"`
+	WaitingFor      []string         `json:"blocks,omitempty"` // the dispatchers that a version under way waits for
+	RegistryReaders []string         `json:"readers,omitempty"`
+	Held            *membership.Held `json:"held,omitempty"`  // a change of the list that must be confirmed
+	Flapping        map[string]int   `json:"flaps,omitempty"` // replicas that are damped, with their turns
 }
 
 // MemberView is one dispatcher as the leader sees it. Times are in milliseconds.
@@ -160,7 +160,7 @@
 }
 
 // Speak makes a call of another part to a voter.
-func (n *Node) Speak(name, path string, ask, answer any, limit time.Duration) error {
+func (n *Node) Call(name, path string, ask, answer any, limit time.Duration) error {
 	l := n.links[name]
 	if l == nil {
 		return fmt.Errorf("%s is no other voter", name)
@@ -197,7 +197,7 @@
 			answer, err = v.propose(e)
 		}
 	case showCall:
-		var x Extract
+		var x ViewFilter
 		if err = n.decode(from, body, &x); err == nil {
 			answer, err = v.show(x)
 		}
@@ -220,7 +220,7 @@
 			answer, err = v.sit(s)
 		}
 	default:
-		if f := n.opt.Calls[path]; f != nil {
+		if f := n.opt.Handlers[path]; f != nil {
 			if answer, err = f(from.Name, body); err == nil {
 				break
 			}
--- a/internal/agreement/counter.go
+++ b/internal/agreement/counter.go
@@ -15,27 +15,27 @@
 // told here was so after it had come.
 func (v *voter) renew(r agree.Renewal) (renewed, error) {
 	answer := make(chan renewed, 1)
-	err := v.surely(v.n.opt.Timing.Take, func(sure bool) {
-		a := renewed{Leader: v.leaderName(), Sure: sure && v.book.InForce() != nil, Cluster: v.book.Cluster, Stamp: v.book.Stamp}
+	err := v.surely(v.n.opt.Timing.AcceptFor, func(sure bool) {
+		a := renewed{Leader: v.leaderName(), Sure: sure && v.book.InForce() != nil, Cluster: v.book.Cluster, Stamp: v.book.Revision}
 		if !a.Sure {
 			a.Why = "no leader yet"
 			answer <- a
 			return
 		}
 		a.Lease = v.tally.Renew(v.n.now(), r, &v.book)
-		a.Serves = v.tally.Serves(v.n.now(), r.Name)
-		if r.Learns {
-			a.Bears = v.tally.Bears(v.n.now())
+		a.Serves = v.tally.LongestServing(v.n.now(), r.Name)
+		if r.WantsWarmRates {
+			a.Bears = v.tally.WarmRates(v.n.now())
 		}
-		force := v.book.For(r.Name)
-		a.Force = briefOf(force, r.Version == force.Number)
-		if open := v.book.Open(); open != nil && open.Number != r.Checked {
+		force := v.book.VersionFor(r.Name)
+		a.Force = briefOf(force, r.CachedVersion == force.Number)
+		if open := v.book.InProgress(); open != nil && open.Number != r.Checked {
 			a.Open = briefOf(open, false)
 		}
 		switch {
 		case !v.book.Complete:
-			a.Why = fmt.Sprintf("%d of %d voters have taken their seats", len(v.book.Seats), v.book.Wanted)
-		case !a.Lease && r.Unfit == nil && !r.Leaves:
+			a.Why = fmt.Sprintf("%d of %d voters have taken their seats", len(v.book.Seats), v.book.RequiredSeats)
+		case !a.Lease && r.Unfit == nil && !r.Leaving:
 			a.Why = "a version is being put in force that this dispatcher has not checked"
 		}
 		if v.n.opt.Lists != nil {
@@ -56,7 +56,7 @@
 		if len(p.Content) > agree.MaxContent {
 			return proposed{Error: fmt.Sprintf("%d bytes are too many: a version holds %d at most", len(p.Content), agree.MaxContent)}, nil
 		}
-		if fault := agree.Check(p.Keys); fault != nil {
+		if fault := agree.CheckKeys(p.Keys); fault != nil {
 			return proposed{Error: fault.Error()}, nil
 		}
 	}
@@ -89,7 +89,7 @@
 }
 
 // show gives the record, or parts of it, as it surely is.
-func (v *voter) show(x Extract) (*View, error) {
+func (v *voter) show(x ViewFilter) (*View, error) {
 	answer := make(chan *View, 1)
 	err := v.surely(proposeWait, func(sure bool) {
 		if !sure {
@@ -97,10 +97,10 @@
 			return
 		}
 		now := v.n.now()
-		view := &View{Book: x.of(&v.book), Leader: v.n.opt.Name, Term: v.term, Blocks: v.tally.Blocks(now, &v.book)}
+		view := &View{Record: x.of(&v.book), Leader: v.n.opt.Name, Term: v.term, WaitingFor: v.tally.WaitingFor(now, &v.book)}
 		v.lists.show(view)
 		for _, m := range v.tally.Members {
-			view.Members = append(view.Members, MemberView{m.Renewal, max(m.Until-now, 0).Milliseconds(), (now - m.Heard).Milliseconds()})
+			view.Members = append(view.Members, MemberView{m.Renewal, max(m.LeaseEnd-now, 0).Milliseconds(), (now - m.LastRenewal).Milliseconds()})
 		}
 		answer <- view
 	})
@@ -139,7 +139,7 @@
 			changes = append(changes, change(raftpb.ConfChangeRemoveNode, disk))
 		}
 		changes = append(changes, change(raftpb.ConfChangeAddNode, s.Disk))
-		text, err := jsoniter.Marshal(agree.Entry{Sit: &agree.Seat{Name: s.Name, Disk: s.Disk}})
+		text, err := jsoniter.Marshal(agree.Entry{TakeSeat: &agree.Seat{Name: s.Name, Disk: s.Disk}})
 		if err == nil {
 			v.names[s.Disk] = s.Name
 			err = v.rn.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: text})
--- a/internal/agreement/frames.go
+++ b/internal/agreement/frames.go
@@ -45,7 +45,7 @@
 	switch {
 	case m.GetTo() != v.n.log.Identity().Disk:
 		wrong = fmt.Sprintf("for disk %x, which is not here", m.GetTo())
-	case slices.Contains(v.book.Past, m.GetFrom()):
+	case slices.Contains(v.book.RetiredDisks, m.GetFrom()):
 		wrong = fmt.Sprintf("of disk %x, whose seat was given on", m.GetFrom())
 	case known && name != from:
 		wrong = fmt.Sprintf("of disk %x, which is that of %s", m.GetFrom(), name)
--- a/internal/agreement/life.go
+++ b/internal/agreement/life.go
@@ -28,7 +28,7 @@
 func (m *member) recall(n *Node) error {
 	m.n, m.silent = n, map[string]time.Duration{}
 	m.register.news, m.leaves = make(chan struct{}, 1), make(chan chan struct{})
-	m.lease = &agree.Lease{Alone: n.opt.Alone}
+	m.lease = &agree.Lease{OnLeaseLoss: n.opt.OnLeaseLoss}
 	text, err := n.log.Noted(lifeNote)
 	if err != nil || text == nil {
 		return err
@@ -65,7 +65,7 @@
 		return nil, m.lease
 	}
 	m.holds = v
-	m.lease = &agree.Lease{Number: v.Number, Print: v.Print, Alone: n.opt.Alone}
+	m.lease = &agree.Lease{Number: v.Number, Fingerprint: v.Fingerprint, OnLeaseLoss: n.opt.OnLeaseLoss}
 	return &v, m.lease
 }
 
--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -19,7 +19,7 @@
 // listing is the leader's part in agreeing on lists of replicas: what the readers heard, and the orders' time.
 type listing struct {
 	merger  *membership.Merger
-	readers agree.Readers
+	readers agree.RegistryReaders
 	now     map[string]bool // who reads
 	dueAt   time.Duration
 	orders  map[string]time.Duration // since when this leader has them on record
@@ -33,8 +33,8 @@
 	}
 	limits := v.n.opt.Lists.Limits
 	limits.RoleOf = v.role
-	if v.n.opt.Seams.Limits != nil {
-		v.n.opt.Seams.Limits(&limits)
+	if v.n.opt.Hooks.Limits != nil {
+		v.n.opt.Hooks.Limits(&limits)
 	}
 	*l = listing{merger: membership.NewMerger(limits), orders: map[string]time.Duration{}}
 }
@@ -61,7 +61,7 @@
 	if e == nil {
 		if c := l.merger.Next(now, &v.book.List, v.book.Orders); c != nil {
 			e = &agree.Entry{Change: c}
-		} else if c := v.tally.Living(now, &v.book); c != nil {
+		} else if c := v.tally.NextCensus(now, &v.book); c != nil {
 			e = &agree.Entry{Census: c}
 		}
 	}
@@ -83,7 +83,7 @@
 			l.orders[id] = now
 		} else if now-since > time.Duration(o.ForMS)*time.Millisecond {
 			slog.Info("agreement: an order has run out", "replica", id, "do", o.Do, "owner", o.Owner, "why", o.Why)
-			return &agree.Entry{Lift: &agree.Lifted{Request: strconv.FormatUint(Draw(), 16), ID: id}}
+			return &agree.Entry{Lift: &agree.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id}}
 		}
 	}
 	return nil
@@ -92,14 +92,14 @@
 // news is what a dispatcher is told with the answer to its renewal.
 func (l *listing) news(v *voter, r agree.Renewal) *listNews {
 	before := l.now
-	l.now = l.readers.Pick(v.n.now(), v.tally, v.n.opt.Lists.Readers)
+	l.now = l.readers.Pick(v.n.now(), v.tally, v.n.opt.Lists.MaxReaders)
 	for name := range before {
 		if !l.now[name] {
 			l.merger.RemoveReader(name)
 		}
 	}
 	read := uint64(0)
-	if r.Reads && !r.Deaf && l.now[r.Name] {
+	if r.CanReadRegistry && !r.RegistrySilent && l.now[r.Name] {
 		read = l.merger.Refresh(v.n.now(), r.Name, r.Boot)
 	}
 	return &listNews{Part: v.book.Part(r.List, &l.pager), Living: len(v.book.Census.Names), Counted: v.book.Census.Names[r.Name], Read: l.now[r.Name],
@@ -111,7 +111,7 @@
 	if l.merger == nil {
 		return
 	}
-	view.Readers, view.Flaps = slices.Sorted(maps.Keys(l.now)), l.merger.Flapping()
+	view.RegistryReaders, view.Flapping = slices.Sorted(maps.Keys(l.now)), l.merger.Flapping()
 	if held := l.merger.Held(); held != nil {
 		copied := *held
 		view.Held = &copied
@@ -188,7 +188,7 @@
 
 // Heard hands the leader what this dispatcher's register says: all of it, with the register's own version. The entries must
 // not change any more.
-func (n *Node) Heard(index int64, entries map[string]membership.Entry) {
+func (n *Node) ReportRegistry(index int64, entries map[string]membership.Entry) {
 	r := &n.member.register
 	r.mu.Lock()
 	r.index, r.entries = index, entries
@@ -241,7 +241,7 @@
 	if leader == n.opt.Name {
 		p, err = n.voter.read(reading)
 	} else {
-		err = call(n.links[leader], readingCall, reading, &p, n.opt.Timing.Take)
+		err = call(n.links[leader], readingCall, reading, &p, n.opt.Timing.AcceptFor)
 	}
 	if p.Whole {
 		r.toldWhom = "" // it begins anew
@@ -271,7 +271,7 @@
 	if l == nil {
 		return errors.New("the voters do not agree on lists of replicas: agree.lists is not set there")
 	}
-	m.n.prog.Read(l.Read)
+	m.n.prog.SetReading(l.Read)
 	if l.Read {
 		m.register.known.Store(l.Heard)
 		m.register.asked.Store(int64(sent))
@@ -295,7 +295,7 @@
 	}
 	uses := membership.Share(l.Living, l.Counted, m.counted, now, m.n.opt.Timing.Within) > 0
 	if next.Number != m.list.Number || l.Living != m.living || uses != m.uses {
-		if err := m.n.prog.TakeList(next, l.Living, uses); err != nil {
+		if err := m.n.prog.ApplyList(next, l.Living, uses); err != nil {
 			return err
 		}
 		m.mu.Lock()
@@ -312,14 +312,14 @@
 }
 
 // Order gives an operator's override.
-func (n *Node) Order(o membership.Order) error {
-	_, err := n.decide(agree.Entry{Order: &agree.Ordered{Request: strconv.FormatUint(Draw(), 16), Order: o}})
+func (n *Node) PlaceOrder(o membership.Order) error {
+	_, err := n.decide(agree.Entry{Order: &agree.PlaceOrder{Request: strconv.FormatUint(NewID(), 16), Order: o}})
 	return err
 }
 
 // Lift ends one.
-func (n *Node) Lift(id, owner string, seen uint64) error {
-	_, err := n.decide(agree.Entry{Lift: &agree.Lifted{Request: strconv.FormatUint(Draw(), 16), ID: id, Owner: owner, Version: seen}})
+func (n *Node) LiftOrder(id, owner string, seen uint64) error {
+	_, err := n.decide(agree.Entry{Lift: &agree.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id, Owner: owner, Version: seen}})
 	return err
 }
 
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -96,7 +96,7 @@
 func (m *member) watch() {
 	now := m.n.now()
 	m.mu.Lock()
-	over := m.holds.Number != 0 && m.heard != 0 && m.lease.Left(now) <= 0
+	over := m.holds.Number != 0 && m.heard != 0 && m.lease.Remaining(now) <= 0
 	first := over && m.lost == 0
 	if first {
 		m.lost = now
@@ -110,8 +110,8 @@
 	why := m.why
 	m.mu.Unlock()
 	if first {
-		m.n.prog.Alone()
-		slog.Warn("agreement: the lease is over", "version", m.lease.Number, "why", why, "alone", m.n.opt.Alone)
+		m.n.prog.LeaseLost()
+		slog.Warn("agreement: the lease is over", "version", m.lease.Number, "why", why, "alone", m.n.opt.OnLeaseLoss)
 	}
 }
 
@@ -138,24 +138,24 @@
 func (m *member) renewal() agree.Renewal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := agree.Renewal{Name: m.n.opt.Name, Boot: m.n.boot, Holds: m.holds.Number, Version: m.holds.Number, Checked: m.checked, Fault: m.fault,
-		Unfit: m.unfit, Crashes: m.life.Crashes, Phase: m.n.prog.Phase(), Serves: m.n.prog.Serves().Milliseconds(), Bears: m.n.prog.Bears(), LateBy: m.lease.Late()}
-	r.Learns = r.Bears != nil && len(r.Bears) == 0
+	r := agree.Renewal{Name: m.n.opt.Name, Boot: m.n.boot, ActsOn: m.holds.Number, CachedVersion: m.holds.Number, Checked: m.checked, Fault: m.fault,
+		Unfit: m.unfit, Crashes: m.life.Crashes, Phase: m.n.prog.Phase(), ServingMS: m.n.prog.ServingTime().Milliseconds(), WarmRates: m.n.prog.WarmRates(), LateActs: m.lease.LateActs()}
+	r.WantsWarmRates = r.WarmRates != nil && len(r.WarmRates) == 0
 	if m.lost != 0 {
-		r.Since = (m.n.now() - m.lost).Milliseconds()
+		r.WithoutLeaseMS = (m.n.now() - m.lost).Milliseconds()
 	}
 	if m.n.opt.Lists != nil {
-		r.List, r.Reads, r.Deaf = m.copied.Cursor(), m.n.opt.Lists.Reads, m.n.prog.Deaf()
+		r.List, r.CanReadRegistry, r.RegistrySilent = m.copied.Cursor(), m.n.opt.Lists.CanRead, m.n.prog.RegistrySilent()
 	}
-	if m.open.Number != 0 && m.open.Number > r.Version {
-		r.Version = m.open.Number // if that is in force by now its content is here
+	if m.open.Number != 0 && m.open.Number > r.CachedVersion {
+		r.CachedVersion = m.open.Number // if that is in force by now its content is here
 	}
 	return r
 }
 
 // ask finds the voter that leads and renews there.
 func (m *member) ask(r agree.Renewal) (a renewed, err error) {
-	n, limit := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Seams.Patience
+	n, limit := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Hooks.ExtraRenewTimeout
 	leader := m.target()
 	if n.voter != nil {
 		if a, err = n.voter.renew(r); err == nil && a.Sure {
@@ -200,7 +200,7 @@
 }
 
 func (m *member) wasSilent(name string) int {
-	if at, ok := m.silent[name]; ok && m.n.now()-at < m.n.opt.Timing.Take {
+	if at, ok := m.silent[name]; ok && m.n.now()-at < m.n.opt.Timing.AcceptFor {
 		return 1
 	}
 	return 0
@@ -217,7 +217,7 @@
 	fault := m.n.prog.Check(b.Content)
 	m.mu.Lock()
 	m.checked, m.fault = b.Number, fault
-	m.open = agree.Version{Number: b.Number, Print: b.Print, Content: b.Content, Keys: b.Keys}
+	m.open = agree.Version{Number: b.Number, Fingerprint: b.Print, Content: b.Content, Keys: b.Keys}
 	m.mu.Unlock()
 	if fault != nil {
 		m.n.turnedDown.Add(1)
@@ -230,10 +230,10 @@
 	m.mu.Lock()
 	holds, lease := m.holds, m.lease
 	m.mu.Unlock()
-	force := agree.Version{Number: a.Force.Number, Print: a.Force.Print, Content: a.Force.Content, Keys: a.Force.Keys}
+	force := agree.Version{Number: a.Force.Number, Fingerprint: a.Force.Print, Content: a.Force.Content, Keys: a.Force.Keys}
 	stale := holds.Number != force.Number
-	if m.n.opt.Seams.Stale != nil {
-		stale = m.n.opt.Seams.Stale(stale)
+	if m.n.opt.Hooks.Stale != nil {
+		stale = m.n.opt.Hooks.Stale(stale)
 	}
 	if stale && force.Content == "" && m.open.Number == force.Number {
 		force = m.open
@@ -242,11 +242,11 @@
 	if a.Lease {
 		listed = m.takeList(sent, a.List)
 	}
-	if m.n.opt.Seams.Renewed != nil {
-		sent = m.n.opt.Seams.Renewed(sent, m.n.now())
+	if m.n.opt.Hooks.RenewedAt != nil {
+		sent = m.n.opt.Hooks.RenewedAt(sent, m.n.now())
 	}
 	if stale && m.holdsBack(force.Number) {
-		if keys := agree.Contradicts(holds.Keys, force.Keys); len(keys) > 0 {
+		if keys := agree.ConflictingKeys(holds.Keys, force.Keys); len(keys) > 0 {
 			m.setUnfit(&agree.Fault{Key: keys[0], Reason: fmt.Sprintf("version %d brought this dispatcher down twice, and the last good one, %d, contradicts it in %s",
 				force.Number, holds.Number, strings.Join(keys, ", "))})
 			return false
@@ -258,12 +258,12 @@
 			m.forget() // so that the whole of it is sent
 			return true
 		}
-		lease = &agree.Lease{Number: force.Number, Print: force.Print, Alone: m.n.opt.Alone}
+		lease = &agree.Lease{Number: force.Number, Fingerprint: force.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
 		if a.Lease && listed == nil {
-			lease.Renewed(sent, m.n.opt.Timing)
+			lease.Extend(sent, m.n.opt.Timing)
 		}
-		if m.n.opt.Seams.Lease != nil {
-			m.n.opt.Seams.Lease(lease)
+		if m.n.opt.Hooks.Lease != nil {
+			m.n.opt.Hooks.Lease(lease)
 		}
 		if !m.takeUp(force, lease) {
 			return false
@@ -278,7 +278,7 @@
 		m.say("no lease: " + listed.Error())
 		return again || errors.Is(listed, errPart)
 	}
-	lease.Renewed(sent, m.n.opt.Timing)
+	lease.Extend(sent, m.n.opt.Timing)
 	now := m.n.now()
 	m.mu.Lock()
 	lost := m.lost
@@ -321,7 +321,7 @@
 		m.tookUp = m.n.now()
 		m.mu.Unlock()
 		m.remember()
-		if err := m.n.prog.TakeUp(v, lease); err != nil {
+		if err := m.n.prog.Activate(v, lease); err != nil {
 			fault = &agree.Fault{Reason: err.Error()}
 		}
 	}
@@ -332,7 +332,7 @@
 	m.mu.Lock()
 	m.holds, m.lease, m.unfit = v, lease, nil
 	m.mu.Unlock()
-	slog.Info("agreement: in force here", "version", v.Number, "print", v.Print)
+	slog.Info("agreement: in force here", "version", v.Number, "print", v.Fingerprint)
 	return true
 }
 
@@ -354,7 +354,7 @@
 		}
 		names := n.voters(m.target())
 		var is news
-		if len(names) == 0 || call(n.links[names[0]], newsCall, news{stamp}, &is, newsWait+n.opt.Timing.Take) != nil {
+		if len(names) == 0 || call(n.links[names[0]], newsCall, news{stamp}, &is, newsWait+n.opt.Timing.AcceptFor) != nil {
 			m.pause(n.opt.Timing.Renew)
 			continue
 		}
@@ -397,6 +397,6 @@
 	m.mu.Unlock()
 	m.remember()
 	r := m.renewal()
-	r.Leaves = true
+	r.Leaving = true
 	_, _ = m.ask(r) // where nobody hears it the lease runs out
 }
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -43,76 +43,76 @@
 	// Check says why this dispatcher can't act on a content. It must not block for long.
 	Check(content string) *agree.Fault
 	// TakeUp puts a version in force under a lease, which is this dispatcher's leave to act on it.
-	TakeUp(v agree.Version, lease *agree.Lease) error
+	Activate(v agree.Version, lease *agree.Lease) error
 	// TakeList acts on a list of replicas from now on; it returns when nothing goes by the one before any more. living is the
 	// number of dispatchers, and counted whether this one may use its share of what is summed over them.
-	TakeList(l membership.List, living int, counted bool) error
+	ApplyList(l membership.List, living int, counted bool) error
 	// Read starts or stops reading the register for all.
-	Read(bool)
+	SetReading(bool)
 	// Alone tells that the lease is over.
-	Alone()
+	LeaseLost()
 	// Deaf tells that the register is read and says nothing.
-	Deaf() bool
+	RegistrySilent() bool
 	// Phase is the program's phase, for people.
 	Phase() string
 	// Serves is how long the program has served as usual.
-	Serves() time.Duration
+	ServingTime() time.Duration
 	// Bears is what the program knows of what a replica of each kind bears of its requests a second; empty where it knows nothing, nil
 	// where it does not want to know.
-	Bears() map[string]float64
+	WarmRates() map[string]float64
 }
 
 // Options are what a node is told.
 type Options struct {
-	Name    string
-	Cluster string
-	Listen  string            // empty where it is no voter
-	Voters  map[string]string // addresses by name
-	Knows   func(name string) bool
-	Timing  agree.Timing
-	Alone   agree.Alone
-	Conns   int             // from other dispatchers, at most
-	Folder  string          // holds the log
-	Calls   map[string]Call // further ones that others may make here, by path
-	Lists   *Lists          // nil where dispatchers do not agree on lists of replicas
-	Seams   Seams
+	Name        string
+	Cluster     string
+	Listen      string            // empty where it is no voter
+	Voters      map[string]string // addresses by name
+	IsMember    func(name string) bool
+	Timing      agree.Timing
+	OnLeaseLoss agree.LeaseLossPolicy
+	MaxConns    int                // from other dispatchers, at most
+	Folder      string             // holds the log
+	Handlers    map[string]Handler // further ones that others may make here, by path
+	Lists       *Lists             // nil where dispatchers do not agree on lists of replicas
+	Hooks       Hooks
 }
 
 // Call answers a call of another dispatcher.
-type Call func(from string, body []byte) (any, error)
+type Handler func(from string, body []byte) (any, error)
 
 // Lists says how dispatchers agree on lists of replicas.
 type Lists struct {
-	Readers int  // of the register, at once
-	Reads   bool // this dispatcher could be one
-	Limits  membership.Limits
+	MaxReaders int  // of the register, at once
+	CanRead    bool // this dispatcher could be one
+	Limits     membership.Limits
 }
 
 // Disk is where a voter writes before it speaks.
-type Disk interface {
+type LogWriter interface {
 	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error
 }
 
 // Seams are where tests put faults in. The zero value puts in none.
-type Seams struct {
-	Disk     func(*raftlog.Log) Disk
-	Renewed  func(sent, now time.Duration) time.Duration // from when a renewal counts
-	Tally    func(*agree.Tally)                          // before each use
-	Entry    func(*agree.Book, *agree.Entry)             // before it is applied
-	Lease    func(*agree.Lease)                          // a new one
-	Stale    func(bool) bool                             // whether another version is in force than the one that is held
-	Wall     func() time.Time
-	Limits   func(*membership.Limits)
-	Patience time.Duration // more than is waited for a renewal
-	Refound  func(before, next *agree.Book)
-	Unsure   bool // a leader answers without asking the others whether it still leads
+type Hooks struct {
+	LogWriter         func(*raftlog.Log) LogWriter
+	RenewedAt         func(sent, now time.Duration) time.Duration // from when a renewal counts
+	Leases            func(*agree.LeaseTable)                     // before each use
+	Entry             func(*agree.Record, *agree.Entry)           // before it is applied
+	Lease             func(*agree.Lease)                          // a new one
+	Stale             func(bool) bool                             // whether another version is in force than the one that is held
+	WallClock         func() time.Time
+	Limits            func(*membership.Limits)
+	ExtraRenewTimeout time.Duration // more than is waited for a renewal
+	Rebootstrap       func(before, next *agree.Record)
+	SkipLeaderCheck   bool // a leader answers without asking the others whether it still leads
 }
 
 // Node is a dispatcher's part.
 type Node struct {
 	opt    Options
 	log    *raftlog.Log
-	disk   Disk
+	disk   LogWriter
 	voter  *voter // nil where it is none
 	server *peers.Server
 	links  map[string]*peers.Link
@@ -132,10 +132,10 @@
 }
 
 // Path is the file of a state folder that holds the log.
-func Path(folder string) string { return filepath.Join(folder, "agreement.db") }
+func LogPath(folder string) string { return filepath.Join(folder, "agreement.db") }
 
 // Draw gives a number that nobody else has, never 0.
-func Draw() uint64 {
+func NewID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])                      // never fails
 	return binary.BigEndian.Uint64(b[:])>>1 | 1 // some tools read it as a signed one
@@ -143,13 +143,13 @@
 
 // Open opens the log and reads what was known before. Run begins the rest.
 func Open(opt Options) (*Node, error) {
-	l, err := raftlog.Open(Path(opt.Folder), Draw)
+	l, err := raftlog.Open(LogPath(opt.Folder), NewID)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{opt: opt, log: l, disk: l, links: map[string]*peers.Link{}, start: time.Now(), boot: Draw(), pokes: make(chan struct{}, 1)}
-	if opt.Seams.Disk != nil {
-		n.disk = opt.Seams.Disk(l)
+	n := &Node{opt: opt, log: l, disk: l, links: map[string]*peers.Link{}, start: time.Now(), boot: NewID(), pokes: make(chan struct{}, 1)}
+	if opt.Hooks.LogWriter != nil {
+		n.disk = opt.Hooks.LogWriter(l)
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.id.Store(l.Identity().Cluster)
@@ -165,7 +165,7 @@
 }
 
 // Known gives the last version that this dispatcher acted on, with a lease that has never begun; nil where there is none.
-func (n *Node) Known() (*agree.Version, *agree.Lease) { return n.member.begin(n) }
+func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.begin(n) }
 
 // Run begins: it listens where this dispatcher is a voter, and renews the lease from now on.
 func (n *Node) Run(p Program) error {
@@ -175,8 +175,8 @@
 		if n.voter, err = newVoter(n); err != nil {
 			return err
 		}
-		n.server = &peers.Server{Cluster: n.opt.Cluster, ID: n.id.Load, Counts: &n.counts, Handle: n.handle, Knows: n.opt.Knows}
-		if err := n.server.Start(n.opt.Listen, n.opt.Conns); err != nil {
+		n.server = &peers.Server{Cluster: n.opt.Cluster, ID: n.id.Load, Counts: &n.counts, Handle: n.handle, Knows: n.opt.IsMember}
+		if err := n.server.Start(n.opt.Listen, n.opt.MaxConns); err != nil {
 			return err
 		}
 		n.ended.Go(n.voter.run)
@@ -275,8 +275,8 @@
 
 // Found makes the log of a cluster's first voter with its first version. The others take their seats when they start;
 // nothing is in force before.
-func Found(opt Options, content string, keys map[string]string, print string) error {
-	l, err := raftlog.Open(Path(opt.Folder), Draw)
+func Bootstrap(opt Options, content string, keys map[string]string, print string) error {
+	l, err := raftlog.Open(LogPath(opt.Folder), NewID)
 	if err != nil {
 		return err
 	}
@@ -286,22 +286,22 @@
 
 func found(l *raftlog.Log, opt Options, content string, keys map[string]string, print string) error {
 	if l.Identity().Cluster != 0 {
-		return fmt.Errorf("%s belongs to a cluster already", Path(opt.Folder))
+		return fmt.Errorf("%s belongs to a cluster already", LogPath(opt.Folder))
 	}
-	if fault := agree.Check(keys); fault != nil {
+	if fault := agree.CheckKeys(keys); fault != nil {
 		return fault
 	}
-	var book agree.Book
-	cluster, disk := Draw(), l.Identity().Disk
-	if _, err := book.Apply(agree.Entry{Found: &agree.Found{Cluster: cluster, Wanted: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
-		First: agree.Propose{Content: content, Keys: keys, Print: print, By: opt.Name, Why: "the cluster was founded", At: opt.wall()}}}); err != nil {
+	var book agree.Record
+	cluster, disk := NewID(), l.Identity().Disk
+	if _, err := book.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
+		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wall()}}}); err != nil {
 		return err
 	}
 	return begin(l, &book)
 }
 
 // begin writes a cluster's record into the empty log of its first voter.
-func begin(l *raftlog.Log, book *agree.Book) error {
+func begin(l *raftlog.Log, book *agree.Record) error {
 	data, err := jsoniter.Marshal(book)
 	if err != nil {
 		return err
@@ -318,8 +318,8 @@
 // wall is the wall clock, for people alone: nothing is decided by it.
 func (o *Options) wall() string {
 	now := time.Now
-	if o.Seams.Wall != nil {
-		now = o.Seams.Wall
+	if o.Hooks.WallClock != nil {
+		now = o.Hooks.WallClock
 	}
 	return now().UTC().Format(time.RFC3339)
 }
--- a/internal/agreement/reads.go
+++ b/internal/agreement/reads.go
@@ -20,7 +20,7 @@
 		v.waiting = v.waiting[:0]
 		return
 	}
-	if v.n.opt.Seams.Unsure {
+	if v.n.opt.Hooks.SkipLeaderCheck {
 		for _, r := range v.waiting {
 			r.then(true)
 		}
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -17,20 +17,20 @@
 )
 
 // Remains is what a state folder still knows of a cluster. The program must not run on it.
-type Remains struct {
-	Folder  string        `json:"folder"`
-	Cluster uint64        `json:"cluster"` // 0: it has never heard of one
-	Disk    uint64        `json:"disk"`
-	Voted   bool          `json:"voted"` // it holds a voter's log
-	Term    uint64        `json:"term"`  // of the last entry; with Index it says which of two logs is newer
-	Index   uint64        `json:"index"`
-	Book    agree.Book    `json:"book"` // what the whole log makes, the entries too of which it is not known whether they were decided
-	Acts    agree.Version `json:"acts"` // the version that the dispatcher acted on last
-	bears   []byte
+type SurveyResult struct {
+	Folder      string        `json:"folder"`
+	Cluster     uint64        `json:"cluster"` // 0: it has never heard of one
+	Disk        uint64        `json:"disk"`
+	HasVoterLog bool          `json:"voted"` // it holds a voter's log
+	Term        uint64        `json:"term"`  // of the last entry; with Index it says which of two logs is newer
+	Index       uint64        `json:"index"`
+	Record      agree.Record  `json:"book"` // what the whole log makes, the entries too of which it is not known whether they were decided
+	ActsOn      agree.Version `json:"acts"` // the version that the dispatcher acted on last
+	bears       []byte
 }
 
 // Newer tells whether r's log goes further than another.
-func (r *Remains) Newer(than *Remains) bool {
+func (r *SurveyResult) Newer(than *SurveyResult) bool {
 	if r.Term != than.Term {
 		return r.Term > than.Term
 	}
@@ -38,23 +38,23 @@
 }
 
 // Survey reads what a state folder knows.
-func Survey(folder string) (Remains, error) {
-	r := Remains{Folder: folder}
-	if _, err := os.Stat(Path(folder)); err != nil {
+func Survey(folder string) (SurveyResult, error) {
+	r := SurveyResult{Folder: folder}
+	if _, err := os.Stat(LogPath(folder)); err != nil {
 		return r, err
 	}
-	l, err := raftlog.Open(Path(folder), Draw)
+	l, err := raftlog.Open(LogPath(folder), NewID)
 	if err != nil {
 		return r, err
 	}
 	err = r.read(l)
 	if err != nil {
-		err = fmt.Errorf("%s: %w", Path(folder), err)
+		err = fmt.Errorf("%s: %w", LogPath(folder), err)
 	}
 	return r, errors.Join(err, l.Close())
 }
 
-func (r *Remains) read(l *raftlog.Log) error {
+func (r *SurveyResult) read(l *raftlog.Log) error {
 	r.Cluster, r.Disk = l.Identity().Cluster, l.Identity().Disk
 	text, err := l.Noted(lifeNote)
 	if err != nil {
@@ -65,7 +65,7 @@
 		if err := jsoniter.Unmarshal(text, &was); err != nil {
 			return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
 		}
-		r.Acts = was.Acts
+		r.ActsOn = was.Acts
 	}
 	if r.bears, err = l.Noted(bearsNote); err != nil {
 		return err
@@ -75,9 +75,9 @@
 	if err != nil || raft.IsEmptySnap(snap) {
 		return err // it has never voted
 	}
-	r.Voted = true
+	r.HasVoterLog = true
 	r.Index, r.Term = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetTerm()
-	if err := jsoniter.Unmarshal(snap.GetData(), &r.Book); err != nil {
+	if err := jsoniter.Unmarshal(snap.GetData(), &r.Record); err != nil {
 		return fmt.Errorf("the snapshot of the agreement: %w", err)
 	}
 	last, err := store.LastIndex()
@@ -94,7 +94,7 @@
 			return err
 		}
 		if change != nil {
-			_, _ = r.Book.Apply(*change) // one that does not fit changes nothing, here as at the voters
+			_, _ = r.Record.Apply(*change) // one that does not fit changes nothing, here as at the voters
 		}
 		r.Index, r.Term = e.GetIndex(), e.GetTerm()
 	}
@@ -131,59 +131,59 @@
 // Refound makes a new cluster out of what is left of a lost one, whose voters' logs are gone for the greater part, with this folder's voter
 // as its first. others are the folders of all dispatchers that are left; the newest log must be this one's. The old log is kept beside the
 // new one.
-func Refound(opt Options, lost uint64, others []string, by string) (agree.Book, error) {
+func Rebootstrap(opt Options, lost uint64, others []string, by string) (agree.Record, error) {
 	own, err := Survey(opt.Folder)
 	if err != nil {
-		return agree.Book{}, err
+		return agree.Record{}, err
 	}
-	if !own.Voted {
-		return agree.Book{}, fmt.Errorf("%s holds no voter's log", Path(opt.Folder))
+	if !own.HasVoterLog {
+		return agree.Record{}, fmt.Errorf("%s holds no voter's log", LogPath(opt.Folder))
 	}
 	if own.Cluster != lost {
-		return agree.Book{}, fmt.Errorf("%s belongs to cluster %x, not to %x", Path(opt.Folder), own.Cluster, lost)
+		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lost)
 	}
-	acted := []agree.Version{own.Acts}
+	acted := []agree.Version{own.ActsOn}
 	for _, folder := range others {
 		r, err := Survey(folder)
 		switch {
 		case err != nil:
-			return agree.Book{}, err
+			return agree.Record{}, err
 		case r.Cluster != 0 && r.Cluster != lost:
-			return agree.Book{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lost)
-		case r.Voted && r.Newer(&own):
-			return agree.Book{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
+			return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lost)
+		case r.HasVoterLog && r.Newer(&own):
+			return agree.Record{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
 				folder, r.Term, r.Index, own.Term, own.Index)
 		}
-		acted = append(acted, r.Acts)
+		acted = append(acted, r.ActsOn)
 	}
-	cluster, disk := Draw(), Draw()
-	book, err := own.Book.Refound(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, acted, by)
+	cluster, disk := NewID(), NewID()
+	book, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, acted, by)
 	if err != nil {
 		return book, err
 	}
-	if opt.Seams.Refound != nil {
-		opt.Seams.Refound(&own.Book, &book)
+	if opt.Hooks.Rebootstrap != nil {
+		opt.Hooks.Rebootstrap(&own.Record, &book)
 	}
 	return book, replaceLog(&own, disk, func(l *raftlog.Log) error { return begin(l, &book) })
 }
 
 // Leave has a folder forget the cluster that it belongs to, so that its dispatcher can come into the one that took its place. The old log is
 // kept beside.
-func Leave(folder string, cluster uint64) error {
+func LeaveCluster(folder string, cluster uint64) error {
 	r, err := Survey(folder)
 	if err != nil {
 		return err
 	}
 	if r.Cluster != cluster {
-		return fmt.Errorf("%s belongs to cluster %x, not to %x", Path(folder), r.Cluster, cluster)
+		return fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(folder), r.Cluster, cluster)
 	}
-	return replaceLog(&r, Draw(), func(*raftlog.Log) error { return nil })
+	return replaceLog(&r, NewID(), func(*raftlog.Log) error { return nil })
 }
 
 // replaceLog puts a log of another disk, which is made whole first, in the place of one that is kept under the number of its own. What was
 // known of replicas goes over. Whatever cuts it short, one of the two is in place.
-func replaceLog(old *Remains, disk uint64, fill func(*raftlog.Log) error) error {
-	path := Path(old.Folder)
+func replaceLog(old *SurveyResult, disk uint64, fill func(*raftlog.Log) error) error {
+	path := LogPath(old.Folder)
 	next, kept := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
 	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that was cut short
 		return err
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -24,7 +24,7 @@
 func founded(t *testing.T, entries ...agree.Entry) Options {
 	t.Helper()
 	opt := state(t)
-	if err := Found(opt, `{"limits":{"try_limit":1}}`, map[string]string{"limits.try_limit": "1"}, "p1"); err != nil {
+	if err := Bootstrap(opt, `{"limits":{"try_limit":1}}`, map[string]string{"limits.try_limit": "1"}, "p1"); err != nil {
 		t.Fatal(err)
 	}
 	writes(t, opt.Folder, func(l *raftlog.Log) error {
@@ -45,7 +45,7 @@
 
 func writes(t *testing.T, folder string, f func(l *raftlog.Log) error) {
 	t.Helper()
-	l, err := raftlog.Open(Path(folder), Draw)
+	l, err := raftlog.Open(LogPath(folder), NewID)
 	if err == nil {
 		err = errors.Join(f(l), l.Close())
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-var two = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Print: "p2"}},
+var two = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
 	{Activate: &agree.Activate{Number: 2}}}
 
 // Guards: the new cluster holds what the newest log holds, the entries too that were not known to be decided; what a dispatcher acted on
@@ -63,12 +63,12 @@
 func TestRefoundFromWhatIsLeft(t *testing.T) {
 	opt := founded(t, two...)
 	was, err := Survey(opt.Folder)
-	if err != nil || was.Book.Force != 2 || was.Term != 2 || was.Index != 3 || !was.Voted {
+	if err != nil || was.Record.InForceNumber != 2 || was.Term != 2 || was.Index != 3 || !was.HasVoterLog {
 		t.Fatalf("%+v, %v", was, err)
 	}
 	member := state(t) // it never voted, and acted on what no log that is left holds
 	writes(t, member.Folder, func(l *raftlog.Log) error {
-		text, err := jsoniter.Marshal(&life{Acts: agree.Version{Number: 5, Print: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
+		text, err := jsoniter.Marshal(&life{Acts: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
 		return errors.Join(err, l.Note(lifeNote, text), l.Join(was.Cluster))
 	})
 	foreign := founded(t)
@@ -87,24 +87,24 @@
 		"a newer log elsewhere":    {was.Cluster, []string{older, newer}, newer},
 		"no log there":             {was.Cluster, []string{t.TempDir()}, "no such file"},
 	} {
-		if _, err := Refound(opt, x.lost, x.others, "op"); err == nil || !strings.Contains(err.Error(), x.word) {
+		if _, err := Rebootstrap(opt, x.lost, x.others, "op"); err == nil || !strings.Contains(err.Error(), x.word) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Refound(member, was.Cluster, nil, "op"); err == nil {
+	if _, err := Rebootstrap(member, was.Cluster, nil, "op"); err == nil {
 		t.Error("made from a folder without a voter's log")
 	}
-	if err := os.WriteFile(Path(opt.Folder)+".new", []byte("cut short"), 0o600); err != nil {
+	if err := os.WriteFile(LogPath(opt.Folder)+".new", []byte("cut short"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Refound(opt, was.Cluster, []string{older, member.Folder}, "op"); err != nil {
+	if _, err := Rebootstrap(opt, was.Cluster, []string{older, member.Folder}, "op"); err != nil {
 		t.Fatal(err)
 	}
 	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster == was.Cluster || is.Disk == was.Disk || is.Book.Force != 5 || is.Book.At(2).State != agree.Superseded || is.Book.Complete {
+	if err != nil || is.Cluster == was.Cluster || is.Disk == was.Disk || is.Record.InForceNumber != 5 || is.Record.Version(2).State != agree.Superseded || is.Record.Complete {
 		t.Errorf("%+v, %v", is, err)
 	}
-	kept, err := filepath.Glob(Path(opt.Folder) + ".*")
+	kept, err := filepath.Glob(LogPath(opt.Folder) + ".*")
 	if err != nil || len(kept) != 1 {
 		t.Errorf("%v, %v", kept, err)
 	}
@@ -118,14 +118,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Leave(opt.Folder, was.Cluster+1); err == nil {
+	if err := LeaveCluster(opt.Folder, was.Cluster+1); err == nil {
 		t.Error("it left a cluster that is not its own")
 	}
-	if err := Leave(opt.Folder, was.Cluster); err != nil {
+	if err := LeaveCluster(opt.Folder, was.Cluster); err != nil {
 		t.Fatal(err)
 	}
 	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster != 0 || is.Disk == was.Disk || is.Voted || string(is.bears) != `{"w":3}` {
+	if err != nil || is.Cluster != 0 || is.Disk == was.Disk || is.HasVoterLog || string(is.bears) != `{"w":3}` {
 		t.Errorf("%+v, %v", is, err)
 	}
 	if _, err := Survey(t.TempDir()); !errors.Is(err, fs.ErrNotExist) {
@@ -136,9 +136,9 @@
 func copyOf(t *testing.T, folder string) string {
 	t.Helper()
 	to := t.TempDir()
-	text, err := os.ReadFile(Path(folder))
+	text, err := os.ReadFile(LogPath(folder))
 	if err == nil {
-		err = os.WriteFile(Path(to), text, 0o600)
+		err = os.WriteFile(LogPath(to), text, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -67,7 +67,7 @@
 		frames, snaps := s.queue, s.snaps
 		s.queue, s.snaps = nil, nil
 		s.mu.Unlock()
-		_, err := s.link.Call(peers.RaftCall, frames, s.n.opt.Timing.Take)
+		_, err := s.link.Call(peers.RaftCall, frames, s.n.opt.Timing.AcceptFor)
 		status := raft.SnapshotFinish
 		if err != nil {
 			status = raft.SnapshotFailure
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -34,14 +34,14 @@
 	// What follows belongs to the goroutine.
 	rn      *raft.RawNode
 	conf    *raftpb.ConfState
-	book    agree.Book
+	book    agree.Record
 	applied uint64
 	kept    uint64 // the index of the last snapshot
 	seated  bool   // seats have changed since: a voter takes no snapshot from before it had one
 	leads   bool
 	leader  uint64
 	term    uint64
-	tally   *agree.Tally
+	tally   *agree.LeaseTable
 	waiting []read
 	flying  []read // asked with the consensus, under the number asked
 	rounds  uint64
@@ -95,7 +95,7 @@
 }
 
 func (v *voter) restore(snap *raftpb.Snapshot) error {
-	var book agree.Book
+	var book agree.Record
 	if err := jsoniter.Unmarshal(snap.GetData(), &book); err != nil {
 		return fmt.Errorf("the snapshot of the agreement: %w", err)
 	}
@@ -218,7 +218,7 @@
 	v.leads, v.leader = s.RaftState == raft.StateLeader, s.Lead
 	switch {
 	case v.leads && !was:
-		v.tally = agree.NewTally(v.n.now(), v.n.opt.Timing)
+		v.tally = agree.NewLeaseTable(v.n.now(), v.n.opt.Timing)
 		v.lists.begin(v)
 		v.n.elections.Add(1)
 		slog.Info("agreement: this dispatcher leads the voters", "term", v.term)
@@ -244,8 +244,8 @@
 	if !v.leads || now < v.dueAt {
 		return
 	}
-	if v.n.opt.Seams.Tally != nil {
-		v.n.opt.Seams.Tally(v.tally)
+	if v.n.opt.Hooks.Leases != nil {
+		v.n.opt.Hooks.Leases(v.tally)
 	}
 	if e := v.tally.Next(now, &v.book); e != nil {
 		v.dueAt = now + retryTicks*v.n.opt.Timing.Tick
@@ -278,7 +278,7 @@
 				return nil
 			}
 			v.nameSeats()
-			slog.Info("agreement: a voter has taken its seat", "voter", change.Sit.Name, "disk", fmt.Sprintf("%x", change.Sit.Disk))
+			slog.Info("agreement: a voter has taken its seat", "voter", change.TakeSeat.Name, "disk", fmt.Sprintf("%x", change.TakeSeat.Disk))
 		}
 		v.conf, v.seated = v.rn.ApplyConfChange(seats), true
 		v.join()
@@ -288,8 +288,8 @@
 	if change == nil {
 		return nil
 	}
-	if v.n.opt.Seams.Entry != nil {
-		v.n.opt.Seams.Entry(&v.book, change)
+	if v.n.opt.Hooks.Entry != nil {
+		v.n.opt.Hooks.Entry(&v.book, change)
 	}
 	number, err := v.book.Apply(*change)
 	v.dueAt = 0
@@ -320,7 +320,7 @@
 
 // change tells all that wait for news.
 func (v *voter) change() {
-	before := v.state.Swap(&stamped{v.book.Stamp, make(chan struct{})})
+	before := v.state.Swap(&stamped{v.book.Revision, make(chan struct{})})
 	close(before.changed)
 	v.n.poke()
 }
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -20,12 +20,12 @@
 
 // Agree sets up settings on which dispatchers agree. It is off where the operator's file has none.
 type Agree struct {
-	Cluster string            `json:"cluster"` // its name
-	Voters  map[string]string `json:"voters"`  // address by name of dispatcher: three or five
-	Others  []string          `json:"others"`  // names of the other dispatchers, or patterns of them
-	Within  string            `json:"within"`  // after this nobody acts on a version that another took the place of
-	Alone   agree.Alone       `json:"alone"`   // what a dispatcher does that has lost contact
-	Lists   *Lists            `json:"lists"`   // nil: each goes by its own register
+	Cluster string                `json:"cluster"` // its name
+	Voters  map[string]string     `json:"voters"`  // address by name of dispatcher: three or five
+	Others  []string              `json:"others"`  // names of the other dispatchers, or patterns of them
+	Within  string                `json:"within"`  // after this nobody acts on a version that another took the place of
+	Alone   agree.LeaseLossPolicy `json:"alone"`   // what a dispatcher does that has lost contact
+	Lists   *Lists                `json:"lists"`   // nil: each goes by its own register
 }
 
 // Lists sets up lists of replicas on which dispatchers agree.
@@ -78,7 +78,7 @@
 func (a Agree) Timing() agree.Timing {
 	within, err := time.ParseDuration(a.Within)
 	if err != nil {
-		within = agree.WithinDefault // the checks have seen to it
+		within = agree.DefaultWithin // the checks have seen to it
 	}
 	return agree.TimingOf(within)
 }
@@ -243,7 +243,7 @@
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if fault := agree.Check(val); fault != nil {
+	if fault := agree.CheckKeys(val); fault != nil {
 		return c, &Fault{"settings." + fault.Key, fault.Reason}
 	}
 	for key, v := range c.content {
@@ -283,7 +283,7 @@
 	if err != nil {
 		return err
 	}
-	for _, key := range agree.Differs(then, now) {
+	for _, key := range agree.DifferingKeys(then, now) {
 		if now[key] != force[key] {
 			return &Fault{"settings." + key, fmt.Sprintf("changed to %q, and the agreed value is %q: propose it (standpulley settings propose)",
 				now[key], force[key])}
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -49,11 +49,13 @@
 	now   func() time.Duration
 }
 
-func (l *licence) MayAdmit(q dispatch.Admission) error { return l.lease.MayTake(l.now(), q.AtMostOnce) }
-func (l *licence) MaySend(once, again bool) error      { return l.lease.MaySend(l.now(), once, again) }
-func (l *licence) AtMostOnce() bool                    { return l.lease.Once(l.now()) }
-func (l *licence) Ready() bool                         { return l.lease.Ready(l.now()) }
-func (l *licence) SettingsVersion() string             { return l.lease.Mark() }
+func (l *licence) MayAdmit(q dispatch.Admission) error {
+	return l.lease.MayAccept(l.now(), q.AtMostOnce)
+}
+func (l *licence) MaySend(once, again bool) error { return l.lease.MaySend(l.now(), once, again) }
+func (l *licence) AtMostOnce() bool               { return l.lease.AtMostOnce(l.now()) }
+func (l *licence) Ready() bool                    { return l.lease.Ready(l.now()) }
+func (l *licence) SettingsVersion() string        { return l.lease.SettingsVersion() }
 
 // Bounds of what is agreed on about lists of replicas.
 const (
@@ -69,16 +71,16 @@
 
 // Options gives what a node of the agreement is told by a configuration.
 func Options(cfg config.Config, folder string) agreement.Options {
-	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), Alone: cfg.Agree.Alone,
-		Conns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Seams: AgreementHooks}
+	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), OnLeaseLoss: cfg.Agree.Alone,
+		MaxConns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Hooks: AgreementHooks}
 	if l := cfg.Agree.Lists; l != nil {
-		opt.Lists = &agreement.Lists{Readers: l.Readers, Reads: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMost,
+		opt.Lists = &agreement.Lists{MaxReaders: l.Readers, CanRead: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMost,
 			MaxAge: listFresh, MaxFlaps: listFlaps, FlapWindow: listCalm}}
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; votes {
 		opt.Listen = cfg.Peers.Listen
 	}
-	opt.Knows = func(name string) bool {
+	opt.IsMember = func(name string) bool {
 		_, votes := cfg.Agree.Voters[name]
 		return votes || cfg.Agree.MatchesOthers(name)
 	}
@@ -86,7 +88,7 @@
 }
 
 // AgreementHooks are where a test's own build puts faults in; none elsewhere.
-var AgreementHooks agreement.Seams
+var AgreementHooks agreement.Hooks
 
 // ListHooks are those of lists; the zero value puts in none.
 var ListHooks struct {
@@ -128,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	return agreement.Found(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
+	return agreement.Bootstrap(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
 }
 
 // ReclaimSeat gives the seat of the voter that runs on a state folder to its present log, as its earlier one is lost.
@@ -144,15 +146,15 @@
 }
 
 // Rebootstrap makes a new cluster out of what is left of a lost one, with the voter of a state folder as its first.
-func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (agree.Book, error) {
+func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (agree.Record, error) {
 	cfg, err := dir.Load()
 	if err != nil {
-		return agree.Book{}, err
+		return agree.Record{}, err
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; !votes {
-		return agree.Book{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is no voter", cfg.Name)}
+		return agree.Record{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is no voter", cfg.Name)}
 	}
-	return agreement.Refound(Options(cfg, string(dir)), lost, others, by)
+	return agreement.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
 }
 
 // agreeOn opens the node and gives the configuration to start on: the last version that was acted on, if any, in place of
@@ -161,7 +163,7 @@
 	a := &agreed{p: p, takeups: make(chan takeup), file: cfg}
 	opt := Options(cfg, folder)
 	if cfg.Ledger != nil {
-		opt.Calls = map[string]agreement.Call{ledgerCall: a.ledgerCall}
+		opt.Handlers = map[string]agreement.Handler{ledgerCall: a.ledgerCall}
 	}
 	node, err := agreement.Open(opt)
 	if err != nil {
@@ -179,7 +181,7 @@
 	if cfg.Recovery != nil {
 		a.back = newComeback(a, cfg)
 	}
-	known, lease := node.Known()
+	known, lease := node.RestoreVersion()
 	p.licence = a.under(lease)
 	a.fit(&cfg)
 	if known == nil {
@@ -220,7 +222,7 @@
 }
 
 // TakeUp acts on a version from now on. What is open stays open.
-func (a *agreed) TakeUp(v agree.Version, lease *agree.Lease) error {
+func (a *agreed) Activate(v agree.Version, lease *agree.Lease) error {
 	a.mu.Lock()
 	cfg, err := a.file.WithSettings(v.Content)
 	a.mu.Unlock()
@@ -249,7 +251,7 @@
 }
 
 // TakeList acts on an agreed list of replicas from now on, and goes by the number of dispatchers that live.
-func (a *agreed) TakeList(l membership.List, living int, counted bool) error {
+func (a *agreed) ApplyList(l membership.List, living int, counted bool) error {
 	if !a.lists.take(l, living, counted) {
 		return nil
 	}
@@ -270,28 +272,28 @@
 }
 
 // Read starts or stops reading the register for all.
-func (a *agreed) Read(yes bool) {
+func (a *agreed) SetReading(yes bool) {
 	if a.lists != nil {
 		a.lists.read(yes)
 	}
 }
 
 // Alone tells that there is no lease: nobody reads the register for this dispatcher.
-func (a *agreed) Alone() {
+func (a *agreed) LeaseLost() {
 	if a.lists != nil {
 		a.lists.alone()
 	}
 }
 
 // Deaf tells that the register is read and says nothing.
-func (a *agreed) Deaf() bool { return a.lists != nil && a.lists.Deaf() }
+func (a *agreed) RegistrySilent() bool { return a.lists != nil && a.lists.Deaf() }
 
 // console adds what a console shows of it.
 func (a *agreed) console(r *appliance.Reply) {
 	if a.back != nil {
 		r.Stage = a.back.say()
 	}
-	if o := a.node.Own(); o.LeaseMS <= 0 {
+	if o := a.node.Status(); o.LeaseMS <= 0 {
 		r.Why = o.Why
 	}
 }
@@ -312,7 +314,7 @@
 }
 
 // Serves is how long the program has served as usual.
-func (a *agreed) Serves() time.Duration {
+func (a *agreed) ServingTime() time.Duration {
 	if a.back == nil {
 		return 0
 	}
@@ -320,7 +322,7 @@
 }
 
 // Bears is what replicas are known to bear; nil where nothing goes by it.
-func (a *agreed) Bears() map[string]float64 {
+func (a *agreed) WarmRates() map[string]float64 {
 	if a.back == nil {
 		return nil
 	}
@@ -359,7 +361,7 @@
 		r = a.ledger(c)
 	}
 	if a.lists != nil && r.View != nil {
-		r.Beside = a.lists.beside()
+		r.RegistryDifferences = a.lists.beside()
 	}
 	answer, err := jsoniter.Marshal(&r)
 	if err != nil {
@@ -370,7 +372,7 @@
 
 // figures are those of the agreement at the operators' door.
 func (a *agreed) figures(say func(name string, value int, kind string)) {
-	o := a.node.Own()
+	o := a.node.Status()
 	say("agreement.version", int(o.Version), "g")
 	say("agreement.lease_ms", int(o.LeaseMS), "g")
 	say("agreement.lost_ms", int(o.LostMS), "g")
@@ -381,7 +383,7 @@
 	say("agreement.leads", leads, "g")
 	say("agreement.elections", int(o.Elected), "c")
 	say("agreement.turned_down", int(o.TurnedDown), "c")
-	say("agreement.alone_acts", int(o.Late), "c")
+	say("agreement.alone_acts", int(o.LateActs), "c")
 	for _, cause := range slices.Sorted(maps.Keys(o.Dropped)) {
 		say("agreement.dropped."+cause, int(o.Dropped[cause]), "c")
 	}
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -69,7 +69,7 @@
 		drawn: rand.New(rand.NewPCG(cfg.Seed, 23))}
 	b.machine = recovery.NewMachine(0, recovery.Bounds{Find: cfg.Recovery.FindTimeout(), Learn: cfg.Recovery.LearnTimeout(), Admit: cfg.Settings.RampTime + backSlack, Leave: leaveTime})
 	b.manner = recovery.Manner{Why: "it is starting"}
-	text, err := a.node.Recall(bearsNote)
+	text, err := a.node.LoadValue(bearsNote)
 	if err == nil && text != nil {
 		err = jsoniter.Unmarshal(text, &b.known)
 	}
@@ -160,8 +160,8 @@
 		for _, r := range f.Classes {
 			n, away = n+r.Served, away+r.Refused
 		}
-		back := b.a.node.Back()
-		b.hear(back.Bears)
+		back := b.a.node.RecoveryInfo()
+		b.hear(back.WarmRates)
 		weights, warm := b.a.lists.inService()
 		facts, proven := b.facts(back, warm), served.rate(n)
 		b.step(facts, weights, proven, refused.rate(away))
@@ -193,7 +193,7 @@
 	}
 	text, err := jsoniter.Marshal(next)
 	if err == nil {
-		err = b.a.node.Remember(bearsNote, text)
+		err = b.a.node.SaveValue(bearsNote, text)
 	}
 	if err != nil {
 		slog.Error("recovery: what the fleet bears can't be noted", "error", err)
@@ -202,9 +202,9 @@
 }
 
 // facts are what is known now.
-func (b *comeback) facts(back agreement.Back, warm bool) recovery.Facts {
-	f := recovery.Facts{DiskRead: true, Voters: back.Voters, VotersHeard: back.Heard, Lease: back.Lease, Listed: back.List > 0, Fresh: back.Fresh,
-		Warm: back.ServesMS >= b.ramp.Milliseconds() && back.ServesMS > 0, Warmed: warm, Whole: true}
+func (b *comeback) facts(back agreement.RecoveryInfo, warm bool) recovery.Facts {
+	f := recovery.Facts{DiskRead: true, Voters: back.Voters, VotersHeard: back.VotersHeard, Lease: back.Lease, Listed: back.ListVersion > 0, Fresh: back.ListFresh,
+		Warm: back.ServingMS >= b.ramp.Milliseconds() && back.ServingMS > 0, Warmed: warm, Whole: true}
 	if k := b.a.keeper; k != nil {
 		f.Whole = k.Ready()
 	}
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -23,9 +23,9 @@
 // openLedger opens this dispatcher's part of the ledger.
 func (a *agreed) openLedger(cfg config.Config, folder string) (*bookkeeping.Keeper, error) {
 	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
-		Find: cfg.Ledger.FindTimeout(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
+		Find: cfg.Ledger.FindTimeout(), Survive: cfg.Ledger.Survive, Draw: agreement.NewID, Record: (*ledgerRecord)(a.node),
 		Speak: func(name string, ask, answer any, limit time.Duration) error {
-			return a.node.Speak(name, ledgerCall, ask, answer, limit)
+			return a.node.Call(name, ledgerCall, ask, answer, limit)
 		}}
 	if LedgerHooks.Options != nil {
 		LedgerHooks.Options(&opt)
@@ -46,11 +46,11 @@
 type ledgerRecord agreement.Node
 
 func (r *ledgerRecord) Disk(name string) (uint64, bool, error) {
-	return (*agreement.Node)(r).Ledger(name)
+	return (*agreement.Node)(r).LedgerDisk(name)
 }
 
 func (r *ledgerRecord) SetDisk(name string, disk uint64) error {
-	return (*agreement.Node)(r).SetLedger(name, disk)
+	return (*agreement.Node)(r).SetLedgerDisk(name, disk)
 }
 
 // The commands about the ledger.
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -76,7 +76,7 @@
 	l.push()
 	all := maps.Clone(l.own)
 	l.mu.Unlock()
-	l.a.node.Heard(u.Version, all)
+	l.a.node.ReportRegistry(u.Version, all)
 }
 
 // hurry tells the core of drains before all else, as a list may be long. It needs mu.
@@ -176,12 +176,12 @@
 }
 
 // beside is how the own register stands beside the agreed list, for operators.
-func (l *lists) beside() map[string]agreement.Beside {
+func (l *lists) beside() map[string]agreement.RegistryDifference {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := map[string]agreement.Beside{}
+	all := map[string]agreement.RegistryDifference{}
 	for id, since := range l.differs {
-		all[id] = agreement.Beside{Says: membership.DescribeDifference(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
+		all[id] = agreement.RegistryDifference{Registry: membership.DescribeDifference(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
 	}
 	return all
 }
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -32,48 +32,48 @@
 	Harmless bool // it must do no harm
 }{
 	"lease-from-reply": {What: "a lease counts from when the renewal was answered, however late", put: func() {
-		program.AgreementHooks.Patience = 3 * time.Second
-		program.AgreementHooks.Renewed = func(_, now time.Duration) time.Duration { return now }
+		program.AgreementHooks.ExtraRenewTimeout = 3 * time.Second
+		program.AgreementHooks.RenewedAt = func(_, now time.Duration) time.Duration { return now }
 	}},
 	"lease-without-end": {What: "a lease never ends", put: func() {
-		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Renewed(1000*time.Hour, agree.TimingOf(time.Second)) }
+		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Extend(1000*time.Hour, agree.TimingOf(time.Second)) }
 	}},
 	"no-wait": {What: "a version is put in force without waiting for who may be acting", put: func() {
-		program.AgreementHooks.Tally = func(t *agree.Tally) {
-			t.Known = 0
+		program.AgreementHooks.Leases = func(t *agree.LeaseTable) {
+			t.AllLeasesKnown = 0
 			for _, m := range t.Members {
-				m.Until, m.Fault = 0, nil
+				m.LeaseEnd, m.Fault = 0, nil
 			}
 		}
 	}},
 	"turned-down-in-force": {What: "a version that was turned down is put in force", put: func() {
-		program.AgreementHooks.Entry = func(_ *agree.Book, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(_ *agree.Record, e *agree.Entry) {
 			if e.TurnDown != nil {
 				*e = agree.Entry{Activate: &agree.Activate{Number: e.TurnDown.Number}}
 			}
 		}
 	}},
 	"number-again": {What: "a number is given to another content", put: func() {
-		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
-			if e.Propose != nil && b.Last > 1 && b.Last%2 == 0 {
-				b.Last--
+		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
+			if e.Propose != nil && b.LastNumber > 1 && b.LastNumber%2 == 0 {
+				b.LastNumber--
 			}
 		}
 	}},
 	"no-check-at-send": {What: "leave is not asked again before the first byte", put: func() { wrap(dispatchSend) }},
 	"no-check-at-take": {What: "leave is not asked where a request is taken", put: func() { wrap(dispatchTake) }},
-	"unsure-leader":    {What: "a leader grants leases without asking whether it still leads", put: func() { program.AgreementHooks.Unsure = true }},
+	"unsure-leader":    {What: "a leader grants leases without asking whether it still leads", put: func() { program.AgreementHooks.SkipLeaderCheck = true }},
 	"old-version-renewed": {What: "a lease on the version before is renewed by what is granted for the one in force", put: func() {
 		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
 	"entries-unwritten": {What: "entries are acknowledged and not written", put: func() {
-		program.AgreementHooks.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l, entries: true} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &forgetful{Log: l, entries: true} }
 	}},
 	"vote-unwritten": {What: "votes and terms are given and not written", put: func() {
-		program.AgreementHooks.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &forgetful{Log: l} }
 	}},
 	"wall-clock-back": {What: "the wall clock is an hour behind", put: func() {
-		program.AgreementHooks.Wall = func() time.Time { return time.Now().Add(-time.Hour) }
+		program.AgreementHooks.WallClock = func() time.Time { return time.Now().Add(-time.Hour) }
 	}, Harmless: true},
 	"recovery-known-tenfold": {What: "what replicas bore is taken for ten times as much", put: func() {
 		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 10) }
@@ -99,12 +99,12 @@
 		program.RecoveryHooks.OverrideManner = func(m recovery.Manner) recovery.Manner { m.Instructions = m.Takes; return m }
 	}, Harmless: true},
 	"recovery-refound-forgets-acts": {What: "a new cluster leaves out what dispatchers acted on and its log lacks", put: func() {
-		program.AgreementHooks.Refound = func(before, next *agree.Book) {
-			*next, _ = before.Refound(next.Cluster, next.Wanted, next.Seats[0], nil, "fault")
+		program.AgreementHooks.Rebootstrap = func(before, next *agree.Record) {
+			*next, _ = before.Rebootstrap(next.Cluster, next.RequiredSeats, next.Seats[0], nil, "fault")
 		}
 	}},
 	"recovery-refound-forgets-orders": {What: "a new cluster leaves out the orders in force", put: func() {
-		program.AgreementHooks.Refound = func(_, next *agree.Book) {
+		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
 				e.State = membership.InService
@@ -113,12 +113,12 @@
 		}
 	}},
 	"recovery-refound-numbers-again": {What: "a new cluster begins its numbers anew", put: func() {
-		program.AgreementHooks.Refound = func(_, next *agree.Book) { next.Last = 1 }
+		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) { next.LastNumber = 1 }
 	}},
 	"recovery-refound-old-version": {What: "a new cluster goes back to version 1", put: func() {
-		program.AgreementHooks.Refound = func(_, next *agree.Book) {
+		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
 			next.InForce().State = agree.Superseded
-			next.Force, next.Versions[0].State = 1, agree.InForce
+			next.InForceNumber, next.Versions[0].State = 1, agree.InForce
 		}
 	}},
 	"list-own-drain-ignored": {What: "a drain that its own register tells does not count for a dispatcher", put: func() {
@@ -201,9 +201,9 @@
 	})},
 	"ledger-forgets": {What: "what is on disk is not read at the start", put: keeper(func(o *bookkeeping.Options) { o.Seams.Forgets = true })},
 	"base-unchecked": {What: "a proposal counts whatever version it was made from", put: func() {
-		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
 			if e.Propose != nil {
-				e.Propose.Base = b.Force
+				e.Propose.Base = b.InForceNumber
 			}
 		}
 	}},
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -328,7 +328,7 @@
 			if !d.Running() || d.stopped.Load() {
 				continue
 			}
-			if r, err := f.Ask(d, agreement.Command{Do: "own"}); err == nil && r.Own != nil && r.Own.Leader == d.Name {
+			if r, err := f.Ask(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
 				return []*Dispatcher{d}
 			}
 		}
@@ -343,8 +343,8 @@
 			if !d.Running() || d.stopped.Load() || time.Now().After(end) {
 				continue
 			}
-			if r, err := f.Ask(d, agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}}); err == nil && r.View != nil && len(r.View.Readers) > 0 {
-				return f.named(r.View.Readers[0])
+			if r, err := f.Ask(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
+				return f.named(r.View.RegistryReaders[0])
 			}
 		}
 	}
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -152,7 +152,7 @@
 		is, ok := contrary[key]
 		if !ok {
 			va, vb := versions[a], versions[b]
-			is = va != nil && vb != nil && len(agree.Contradicts(va.Keys, vb.Keys)) > 0
+			is = va != nil && vb != nil && len(agree.ConflictingKeys(va.Keys, vb.Keys)) > 0
 			contrary[key] = is
 		}
 		return is
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -75,12 +75,12 @@
 }
 
 // Own asks a dispatcher how it stands.
-func (b *Bench) Own(d *Dispatcher) (agreement.Own, error) {
+func (b *Bench) Own(d *Dispatcher) (agreement.Status, error) {
 	r, err := b.Ask(d, agreement.Command{Do: "own"})
-	if err != nil || r.Own == nil {
-		return agreement.Own{}, fmt.Errorf("%s: %w %s", d.Name, err, r.Error)
+	if err != nil || r.Status == nil {
+		return agreement.Status{}, fmt.Errorf("%s: %w %s", d.Name, err, r.Error)
 	}
-	return *r.Own, nil
+	return *r.Status, nil
 }
 
 // All waits until every dispatcher that runs acts on a version.
@@ -117,12 +117,12 @@
 		return 0, fmt.Errorf("no view: %w %s", err, r.Error)
 	}
 	b.next++
-	content, err := edited(r.View.Book.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.next)) // which changes nothing of what is served
+	content, err := edited(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.next)) // which changes nothing of what is served
 	if err != nil {
 		return 0, err
 	}
 	began := time.Now()
-	r, err = b.Ask(b.List[0], agreement.Command{Do: "propose", Base: r.View.Book.Force, Content: content, By: "measure"})
+	r, err = b.Ask(b.List[0], agreement.Command{Do: "propose", Base: r.View.Record.InForceNumber, Content: content, By: "measure"})
 	if err != nil || r.Error != "" {
 		return 0, fmt.Errorf("propose: %w %s", err, r.Error)
 	}
@@ -142,7 +142,7 @@
 	if err != nil || r.View == nil {
 		return fmt.Errorf("no view: %w %s", err, r.Error)
 	}
-	return b.All(r.View.Book.Force)
+	return b.All(r.View.Record.InForceNumber)
 }
 
 // Worth gives what the requests earned that were sent to a dispatcher in a stretch of time, of what they could have, and
@@ -217,15 +217,15 @@
 
 type idle struct{}
 
-func (idle) Check(string) *agree.Fault                 { return nil }
-func (idle) TakeUp(agree.Version, *agree.Lease) error  { return nil }
-func (idle) TakeList(membership.List, int, bool) error { return nil }
-func (idle) Read(bool)                                 {}
-func (idle) Alone()                                    {}
-func (idle) Deaf() bool                                { return false }
-func (idle) Phase() string                             { return "ready" }
-func (idle) Serves() time.Duration                     { return 0 }
-func (idle) Bears() map[string]float64                 { return nil }
+func (idle) Check(string) *agree.Fault                  { return nil }
+func (idle) Activate(agree.Version, *agree.Lease) error { return nil }
+func (idle) ApplyList(membership.List, int, bool) error { return nil }
+func (idle) SetReading(bool)                            {}
+func (idle) LeaseLost()                                 {}
+func (idle) RegistrySilent() bool                       { return false }
+func (idle) Phase() string                              { return "ready" }
+func (idle) ServingTime() time.Duration                 { return 0 }
+func (idle) WarmRates() map[string]float64              { return nil }
 
 // Crowd adds so many members to the fleet, all in this process; each has a log and links of its own.
 func (b *Bench) Crowd(size int) (*crowd, error) {
@@ -238,7 +238,7 @@
 	}
 	var lists *agreement.Lists
 	if b.Script.Lists {
-		lists = &agreement.Lists{Readers: 2} // these read nothing
+		lists = &agreement.Lists{MaxReaders: 2} // these read nothing
 	}
 	for i := range size {
 		folder := filepath.Join(b.folder, fmt.Sprintf("crowd-%d", i))
@@ -246,7 +246,7 @@
 			return c, err
 		}
 		n, err := agreement.Open(agreement.Options{Name: fmt.Sprintf("o-%d", i), Cluster: "proving", Voters: voters,
-			Timing: agree.TimingOf(length(b.Script.Within)), Alone: agree.Stop, Folder: folder, Lists: lists})
+			Timing: agree.TimingOf(length(b.Script.Within)), OnLeaseLoss: agree.Stop, Folder: folder, Lists: lists})
 		if err != nil {
 			return c, err
 		}
@@ -262,7 +262,7 @@
 func (c *crowd) All(number uint64) (time.Duration, error) {
 	began := time.Now()
 	for _, n := range c.nodes {
-		for o := n.Own(); o.Version != number || o.LeaseMS == 0; o = n.Own() {
+		for o := n.Status(); o.Version != number || o.LeaseMS == 0; o = n.Status() {
 			if time.Since(began) > generous {
 				return 0, fmt.Errorf("%s: %+v", o.Name, o)
 			}
@@ -276,9 +276,9 @@
 func (c *crowd) Listed(number uint64) error {
 	began := time.Now()
 	for _, n := range c.nodes {
-		for n.Own().List < number {
+		for n.Status().ListVersion < number {
 			if time.Since(began) > generous {
-				return fmt.Errorf("%s never goes by list %d", n.Own().Name, number)
+				return fmt.Errorf("%s never goes by list %d", n.Status().Name, number)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -142,7 +142,7 @@
 					if b.reg.agents[d.Name].Handed() >= version {
 						return
 					}
-				} else if o, err := b.Own(d); err == nil && o.List >= number {
+				} else if o, err := b.Own(d); err == nil && o.ListVersion >= number {
 					return
 				}
 			}
@@ -156,17 +156,17 @@
 // ListVersion gives the version of the agreed list at the first dispatcher.
 func (b *Bench) ListVersion() (uint64, error) {
 	o, err := b.Own(b.List[0])
-	return o.List, err
+	return o.ListVersion, err
 }
 
 // Readers names those who read the register for all.
 func (b *Bench) Readers() ([]*Dispatcher, error) {
-	r, err := b.Ask(b.List[0], agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+	r, err := b.Ask(b.List[0], agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	if err != nil || r.View == nil {
 		return nil, fmt.Errorf("no view: %w %s", err, r.Error)
 	}
 	var some []*Dispatcher
-	for _, name := range r.View.Readers {
+	for _, name := range r.View.RegistryReaders {
 		some = append(some, b.named(name)...)
 	}
 	return some, nil
--- a/internal/proving/operators.go
+++ b/internal/proving/operators.go
@@ -14,11 +14,11 @@
 
 // order is what an operator does to the list; he sees the list first.
 func (p *play) order(s Step, d *Dispatcher) {
-	r, err := p.f.Ask(d, agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+	r, err := p.f.Ask(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	if err != nil || r.View == nil {
 		return
 	}
-	c := agreement.Command{Do: s.Value, ID: s.Key, By: d.Name, Why: "trial", ForMS: length(s.Delay).Milliseconds(), Seen: r.View.Book.List.Number}
+	c := agreement.Command{Do: s.Value, ID: s.Key, By: d.Name, Why: "trial", ForMS: length(s.Delay).Milliseconds(), Seen: r.View.Record.List.Number}
 	if s.Value == "drain" && s.Wants == "" {
 		p.followDrain(s.Key, true)
 		p.endDrain(s.Key, p.f.Now()+length(s.Delay)) // it runs out then at the earliest
@@ -104,8 +104,8 @@
 		return
 	}
 	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if r, err := p.f.Ask(d, agreement.Command{Do: "own"}); err == nil && r.Own != nil {
-			lease := r.Own.LeaseMS > 0
+		if r, err := p.f.Ask(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil {
+			lease := r.Status.LeaseMS > 0
 			if s.Value == "lease" && lease || s.Value == "no lease" && !lease {
 				return
 			}
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -81,7 +81,7 @@
 			return Record{}, nil, err
 		}
 	}
-	if late := p.await(func(o *agreement.Own) bool { return o.Version == 1 && o.LeaseMS > 0 }); late != "" {
+	if late := p.await(func(o *agreement.Status) bool { return o.Version == 1 && o.LeaseMS > 0 }); late != "" {
 		return Record{}, nil, fmt.Errorf("%w: %s", ErrStart, late)
 	}
 	go t.meter()
@@ -208,12 +208,12 @@
 		err = p.f.Start(d)
 	case doLose:
 		p.f.Signal(d, syscall.SIGKILL)
-		err = os.Remove(agreement.Path(string(d.dir)))
+		err = os.Remove(agreement.LogPath(string(d.dir)))
 	case doAway:
-		err = os.Rename(agreement.Path(string(d.dir)), agreement.Path(string(d.dir))+".away")
+		err = os.Rename(agreement.LogPath(string(d.dir)), agreement.LogPath(string(d.dir))+".away")
 	case doBack:
 		p.f.Signal(d, syscall.SIGKILL)
-		err = os.Rename(agreement.Path(string(d.dir))+".away", agreement.Path(string(d.dir)))
+		err = os.Rename(agreement.LogPath(string(d.dir))+".away", agreement.LogPath(string(d.dir)))
 	case doRefound:
 		err = p.refound(d)
 	case doReplace:
@@ -237,14 +237,14 @@
 // view reads all of the record at a dispatcher, and notes the read.
 func (p *play) view(d *Dispatcher) (*agreement.View, error) {
 	call := p.f.Now()
-	r, err := p.f.Ask(d, agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+	r, err := p.f.Ask(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	if err != nil {
 		return nil, err
 	}
-	if r.View == nil || r.View.Book.InForce() == nil {
+	if r.View == nil || r.View.Record.InForce() == nil {
 		return nil, fmt.Errorf("%s", r.Error)
 	}
-	p.note(Operation{Call: call, Return: p.f.Now(), Kind: "show", Number: r.View.Book.Force, Who: d.Name})
+	p.note(Operation{Call: call, Return: p.f.Now(), Kind: "show", Number: r.View.Record.InForceNumber, Who: d.Name})
 	return r.View, nil
 }
 
@@ -283,11 +283,11 @@
 // settle waits until all dispatchers hold the version in force under a lease: nothing was undone and all agree again.
 func (p *play) settle() {
 	var force uint64
-	late := p.await(func(o *agreement.Own) bool {
+	late := p.await(func(o *agreement.Status) bool {
 		if force == 0 {
 			for _, d := range p.f.List {
-				if v, err := p.view(d); err == nil && v.Book.Open() == nil {
-					force = v.Book.Force
+				if v, err := p.view(d); err == nil && v.Record.InProgress() == nil {
+					force = v.Record.InForceNumber
 					break
 				}
 			}
@@ -309,14 +309,14 @@
 }
 
 // await waits until something holds for all dispatchers, generously, and names one for which it does not.
-func (p *play) await(holds func(o *agreement.Own) bool) (late string) {
+func (p *play) await(holds func(o *agreement.Status) bool) (late string) {
 	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		late = ""
 		for _, d := range p.f.List {
 			if r, err := p.f.Ask(d, agreement.Command{Do: "own"}); err != nil {
 				late = fmt.Sprintf("%s: %v", d.Name, err)
-			} else if r.Own == nil || !holds(r.Own) {
-				late = fmt.Sprintf("%s: %+v %s", d.Name, r.Own, r.Error)
+			} else if r.Status == nil || !holds(r.Status) {
+				late = fmt.Sprintf("%s: %+v %s", d.Name, r.Status, r.Error)
 			}
 			if late != "" {
 				break
@@ -358,8 +358,8 @@
 	r := Record{Read: p.read(), Within: length(p.s.Within), Alone: p.s.Alone, Acts: p.t.acts, Asked: p.t.asked, Runs: p.t.runs, Drains: p.drains, Cold: p.cold, Downs: p.f.downs, Wrong: p.wrong}
 	for _, d := range p.f.List {
 		if view, err := p.view(d); err == nil {
-			for _, v := range view.Book.Versions {
-				r.Versions = append(r.Versions, Version{v.Number, v.Print, v.State, v.Keys, p.acked[v.Number]})
+			for _, v := range view.Record.Versions {
+				r.Versions = append(r.Versions, Version{v.Number, v.Fingerprint, v.State, v.Keys, p.acked[v.Number]})
 			}
 			return r
 		}
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -62,10 +62,10 @@
 
 // command words a proposal by what is in force.
 func command(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
-	c = agreement.Command{Do: "propose", Base: view.Book.Force, By: d.Name}
+	c = agreement.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
 	if s.Do == doRollback {
-		if v := view.Book.At(s.Base); v != nil {
-			c.Content, c.Back = v.Content, s.Base
+		if v := view.Record.Version(s.Base); v != nil {
+			c.Content, c.RollbackTo = v.Content, s.Base
 			return c, nil
 		}
 		return c, fmt.Errorf("version %d is not kept", s.Base)
@@ -73,7 +73,7 @@
 	if s.Base != 0 {
 		c.Base = s.Base
 	}
-	c.Content, err = edited(view.Book.InForce().Content, s.Key, s.Value)
+	c.Content, err = edited(view.Record.InForce().Content, s.Key, s.Value)
 	return c, err
 }
 
@@ -92,7 +92,7 @@
 	r, err := p.f.Ask(d, c)
 	crossed := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // by another proposal
 	switch {
-	case err != nil || strings.HasPrefix(r.Error, agreement.ErrUnknown.Error()):
+	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
 		p.note(op)
 	case r.Error == "":
@@ -116,7 +116,7 @@
 		if err != nil {
 			continue
 		}
-		v := view.Book.At(number)
+		v := view.Record.Version(number)
 		if v == nil {
 			p.fault("version %d was entered and is not there", number)
 			return
--- a/internal/proving/register_list.go
+++ b/internal/proving/register_list.go
@@ -162,9 +162,9 @@
 					if !x.Running() || x.stopped.Load() {
 						continue
 					}
-					r, err := p.f.Ask(x, agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfList, Replica: replica}})
-					if err == nil && r.View != nil && r.View.Book.List.Number > 0 {
-						if e, ok := r.View.Book.List.Entries[replica]; !ok || e.State != membership.InService {
+					r, err := p.f.Ask(x, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionList, Replica: replica}})
+					if err == nil && r.View != nil && r.View.Record.List.Number > 0 {
+						if e, ok := r.View.Record.List.Entries[replica]; !ok || e.State != membership.InService {
 							p.mu.Lock()
 							d.Agreed = p.f.Now()
 							p.mu.Unlock()
--- a/internal/proving/subject.go
+++ b/internal/proving/subject.go
@@ -26,7 +26,7 @@
 			return err
 		}
 		if args[1] == "join" {
-			return agreement.Leave(string(dir), lost)
+			return agreement.LeaveCluster(string(dir), lost)
 		}
 		var others []string
 		for i := 4; i+1 < len(args) && args[i] == "--from"; i += 2 {
