--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -21,12 +21,12 @@
 // Agree configures the cluster in which dispatchers agree on settings. It is off if the operator's
 // file lacks it.
 type Agree struct {
-	Cluster string            `json:"cluster"` // name of the cluster
-	Voters  map[string]string `json:"voters"`  // addresses by dispatcher name; three or five
-	Others  []string          `json:"others"`  // names or patterns of names of the other dispatchers
-	Within  string            `json:"within"`  // time after which no dispatcher acts on a superseded version
-	Alone   agree.Alone       `json:"alone"`   // what a dispatcher does after it has lost contact
-	Lists   *Lists            `json:"lists"`   // nil: each dispatcher uses the list of its own registry
+	Cluster string                `json:"cluster"` // name of the cluster
+	Voters  map[string]string     `json:"voters"`  // addresses by dispatcher name; three or five
+	Others  []string              `json:"others"`  // names or patterns of names of the other dispatchers
+	Within  string                `json:"within"`  // time after which no dispatcher acts on a superseded version
+	Alone   agree.LeaseLossPolicy `json:"alone"`   // what a dispatcher does after it has lost contact
+	Lists   *Lists                `json:"lists"`   // nil: each dispatcher uses the list of its own registry
 }
 
 // Lists configures how dispatchers agree on the list of replicas.
@@ -79,7 +79,7 @@
 func (a Agree) Timing() agree.Timing {
 	within, err := time.ParseDuration(a.Within)
 	if err != nil {
-		within = agree.WithinDefault // only if Within is not set, as checkAgree rejects invalid ones
+		within = agree.DefaultWithin // only if Within is not set, as checkAgree rejects invalid ones
 	}
 	return agree.TimingOf(within)
 }
@@ -247,7 +247,7 @@
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if fault := agree.Check(values); fault != nil {
+	if fault := agree.CheckKeys(values); fault != nil {
 		return c, &Fault{"settings." + fault.Key, fault.Reason}
 	}
 	for key, v := range c.rawSettings {
@@ -287,7 +287,7 @@
 	if err != nil {
 		return err
 	}
-	for _, key := range agree.Differs(previous, now) {
+	for _, key := range agree.DifferingKeys(previous, now) {
 		if now[key] != inForce[key] {
 			return &Fault{"settings." + key, fmt.Sprintf("changed to %q, and the agreed value is %q: propose it (standpulley settings propose)",
 				now[key], inForce[key])}
