--- a/cmd/proving/ledger.go
+++ b/cmd/proving/ledger.go
@@ -104,7 +104,7 @@
 			binary.BigEndian.PutUint64(x.Key[:], r.Uint64())
 			binary.BigEndian.PutUint64(x.Key[8:], r.Uint64())
 			x.Customer = fmt.Sprintf("customer-%d", r.IntN(10000))
-			x.Entry.Note(ledger.Attempt{Taker: "v1", Boot: 7, N: uint64(from + i)}, ledger.Ran)
+			x.Entry.Record(ledger.Attempt{Owner: "v1", Boot: 7, N: uint64(from + i)}, ledger.Ran)
 		}
 		if err := log.Commit(records, 0); err != nil {
 			return err
@@ -120,9 +120,9 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	table := ledger.NewTable(ledger.Limits{Entries: l.Marks, Keep: time.Hour, Share: 1e9})
+	table := ledger.NewTable(ledger.Limits{MaxEntries: l.Marks, Retention: time.Hour, Share: 1e9})
 	began := time.Now()
-	log, err = ledgerlog.Open(path, draw, false, func(x ledgerlog.Record) { table.Learn(x.At, x.Key, x.Customer, x.Entry) })
+	log, err = ledgerlog.Open(path, draw, false, func(x ledgerlog.Record) { table.Merge(x.At, x.Key, x.Customer, x.Entry) })
 	if err != nil {
 		return err
 	}
--- a/cmd/standpulley/ledger.go
+++ b/cmd/standpulley/ledger.go
@@ -182,13 +182,13 @@
 	fmt.Fprintln(w, "INSTRUCTION\tCUSTOMER\tFATE\tATTEMPT\tOUTCOME")
 	for _, r := range rows {
 		for i, t := range r.Entry.Attempts {
-			key, customer, fate := r.Key.String(), r.Customer, r.Entry.Fate().String()
+			key, customer, fate := r.Key.String(), r.Customer, r.Entry.Status().String()
 			if i > 0 {
 				key, customer, fate = "", "", ""
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\tby %s, life %x, number %d\t%s\n", key, customer, fate, t.Taker, t.Boot, t.N, t.Outcome)
+			fmt.Fprintf(w, "%s\t%s\t%s\tby %s, life %x, number %d\t%s\n", key, customer, fate, t.Owner, t.Boot, t.N, t.Outcome)
 		}
-		for _, x := range r.Entry.Words {
+		for _, x := range r.Entry.Resolutions {
 			ran := "never ran"
 			if x.Ran {
 				ran = "ran"
--- a/internal/agreement/desk.go
+++ b/internal/agreement/desk.go
@@ -128,10 +128,12 @@
 }
 
 // Remember keeps a small value of the program's beside the log, and Recall gives it; nil if there is none.
-func (n *Node) Remember(name string, value []byte) error { return n.log.Note("program."+name, value) }
+func (n *Node) Remember(name string, value []byte) error {
+	return n.log.SetValue("program."+name, value)
+}
 
 // Recall is told by Remember.
-func (n *Node) Recall(name string) ([]byte, error) { return n.log.Noted("program." + name) }
+func (n *Node) Recall(name string) ([]byte, error) { return n.log.Value("program." + name) }
 
 // Boot is a number of this life of the dispatcher.
 func (n *Node) Boot() uint64 { return n.boot }
@@ -231,9 +233,9 @@
 	View   *View  `json:"view,omitempty"`
 	Own    *Own   `json:"own,omitempty"`
 
-	Figures *bookkeeping.Figures `json:"figures,omitempty"` // of this dispatcher's part of the ledger
-	Ledger  []bookkeeping.Row    `json:"ledger,omitempty"`  // instructions
-	Last    bool                 `json:"last,omitempty"`    // of an export: there are no more
+	Figures *bookkeeping.Stats `json:"figures,omitempty"` // of this dispatcher's part of the ledger
+	Ledger  []bookkeeping.Row  `json:"ledger,omitempty"`  // instructions
+	Last    bool               `json:"last,omitempty"`    // of an export: there are no more
 
 	Beside map[string]Beside `json:"beside,omitempty"` // replicas on which this dispatcher's own register differs
 }
--- a/internal/agreement/life.go
+++ b/internal/agreement/life.go
@@ -29,7 +29,7 @@
 	m.n, m.silent = n, map[string]time.Duration{}
 	m.register.news, m.leaves = make(chan struct{}, 1), make(chan chan struct{})
 	m.lease = &agree.Lease{Alone: n.opt.Alone}
-	text, err := n.log.Noted(lifeNote)
+	text, err := n.log.Value(lifeNote)
 	if err != nil || text == nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 func (m *member) remember() {
 	text, err := jsoniter.Marshal(&m.life)
 	if err == nil {
-		err = m.n.log.Note(lifeNote, text)
+		err = m.n.log.SetValue(lifeNote, text)
 	}
 	if err != nil {
 		slog.Error("agreement: what this dispatcher acts on can't be remembered", "error", err)
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -222,7 +222,7 @@
 	if !n.id.CompareAndSwap(0, id) {
 		return
 	}
-	if err := n.log.Join(id); err != nil {
+	if err := n.log.SetCluster(id); err != nil {
 		slog.Error("agreement: the log can't be written", "error", err)
 	}
 }
@@ -312,7 +312,7 @@
 	if err != nil {
 		return err
 	}
-	return l.Join(book.Cluster)
+	return l.SetCluster(book.Cluster)
 }
 
 // wall is the wall clock, for people alone: nothing is decided by it.
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -56,7 +56,7 @@
 
 func (r *Remains) read(l *raftlog.Log) error {
 	r.Cluster, r.Disk = l.Identity().Cluster, l.Identity().Disk
-	text, err := l.Noted(lifeNote)
+	text, err := l.Value(lifeNote)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		}
 		r.Acts = was.Acts
 	}
-	if r.bears, err = l.Noted(bearsNote); err != nil {
+	if r.bears, err = l.Value(bearsNote); err != nil {
 		return err
 	}
 	store := l.Storage()
@@ -194,7 +194,7 @@
 	}
 	err = fill(l)
 	if err == nil && old.bears != nil {
-		err = l.Note(bearsNote, old.bears)
+		err = l.SetValue(bearsNote, old.bears)
 	}
 	if err = errors.Join(err, l.Close()); err != nil {
 		return err
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -69,7 +69,7 @@
 	member := state(t) // it never voted, and acted on what no log that is left holds
 	writes(t, member.Folder, func(l *raftlog.Log) error {
 		text, err := jsoniter.Marshal(&life{Acts: agree.Version{Number: 5, Print: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
-		return errors.Join(err, l.Note(lifeNote, text), l.Join(was.Cluster))
+		return errors.Join(err, l.SetValue(lifeNote, text), l.SetCluster(was.Cluster))
 	})
 	foreign := founded(t)
 	older, newer := copyOf(t, opt.Folder), copyOf(t, opt.Folder)
@@ -113,7 +113,7 @@
 // Guards: a dispatcher that leaves a lost cluster belongs to none, has another disk, and still knows what replicas bear.
 func TestLeaveALostCluster(t *testing.T) {
 	opt := founded(t, two...)
-	writes(t, opt.Folder, func(l *raftlog.Log) error { return l.Note(bearsNote, []byte(`{"w":3}`)) })
+	writes(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(bearsNote, []byte(`{"w":3}`)) })
 	was, err := Survey(opt.Folder)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -35,8 +35,8 @@
 	Sync bool   // a commit survives a loss of power; else only the end of the process
 }
 
-// Power is the disk below all files of this process; nil but in tests, which set it before they open any.
-var Power *Disk
+// TestDisk is the disk below all files of this process; nil but in tests, which set it before they open any.
+var TestDisk *SimulatedDisk
 
 // File is an open file.
 type File struct {
@@ -49,8 +49,8 @@
 func Open(path string, opt Options) (f *File, err error) {
 	f = &File{opt: opt}
 	at := path
-	if Power != nil {
-		if f.mount, err = Power.mount(path); err != nil {
+	if TestDisk != nil {
+		if f.mount, err = TestDisk.mount(path); err != nil {
 			return nil, err
 		}
 		at = f.mount.volatile
@@ -61,7 +61,7 @@
 	err = Guard(func() error {
 		f.DB, err = bolt.Open(at, fileMode, &bolt.Options{Timeout: openWait, FreelistType: bolt.FreelistMapType,
 			NoFreelistSync: true, // a list of free pages has no checksum, and a damaged one would overwrite what is in use
-			NoSync:         !opt.Sync || Power != nil})
+			NoSync:         !opt.Sync || TestDisk != nil})
 		return err
 	})
 	if errors.Is(err, bolterrors.ErrTimeout) {
--- a/internal/boltfile/power.go
+++ b/internal/boltfile/power.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Disk stands for a disk that loses power when the process is killed, so that tests see what was not synced really lost. bbolt
+// SimulatedDisk stands for a disk that loses power when the process is killed, so that tests see what was not synced really lost. bbolt
 // works on a volatile copy of each file, which is thrown away at the next start. A sync carries the pages that differ to the
 // file proper, in any order, and the two pages of record after all others, as bbolt syncs between them. Killed in between, some
 // are there and others are not. A write of one page may be torn, too.
 //
 // A file of the same name with the ending Stall holds up syncs for as long as it is there, one with the ending Full has them fail.
-type Disk struct {
+type SimulatedDisk struct {
 	Seed uint64
 
 	mu   sync.Mutex
@@ -29,7 +29,7 @@
 const recordPages = 2
 
 type mount struct {
-	disk           *Disk
+	disk           *SimulatedDisk
 	path, volatile string
 	page           int
 }
@@ -37,7 +37,7 @@
 // volatileEnding is that of the copy that bbolt works on.
 const volatileEnding = ".volatile"
 
-func (d *Disk) mount(path string) (*mount, error) {
+func (d *SimulatedDisk) mount(path string) (*mount, error) {
 	m := &mount{disk: d, path: path, volatile: path + volatileEnding, page: os.Getpagesize()}
 	text, err := os.ReadFile(path)
 	switch {
@@ -55,8 +55,8 @@
 
 // The endings of the files by which a test holds a disk up, or has it be full.
 const (
-	Stall = ".stall"
-	Full  = ".full"
+	StallSuffix = ".stall"
+	FullSuffix  = ".full"
 )
 
 func there(path string) bool {
@@ -67,13 +67,13 @@
 var errPower = errors.New("the power is gone")
 
 // CutAfter has the power go once so many pages more were written: nothing is written any more.
-func (d *Disk) CutAfter(pages int) {
+func (d *SimulatedDisk) CutAfter(pages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cut = pages + 1
 }
 
-func (d *Disk) gone() bool {
+func (d *SimulatedDisk) gone() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cut > 1 {
@@ -86,10 +86,10 @@
 // sync carries over what has changed.
 func (m *mount) sync() error {
 	d := m.disk
-	for there(m.path + Stall) {
+	for there(m.path + StallSuffix) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	if there(m.path + Full) {
+	if there(m.path + FullSuffix) {
 		return syscall.ENOSPC
 	}
 	now, err := os.ReadFile(m.volatile)
--- a/internal/bookkeeping/bookkeeping.go
+++ b/internal/bookkeeping/bookkeeping.go
@@ -22,46 +22,48 @@
 	"standpulley/logic"
 )
 
-// Survive says what the ledger outlives.
-type Survive string
+// Durability says what the ledger outlives.
+type Durability string
 
 // The choices. With each an intent is with a majority of the holders before its first byte leaves.
 const (
-	Process Survive = "process" // the end of processes, in any order; not a loss of power at a majority of the holders
-	Site    Survive = "site"    // a loss of power everywhere, and the loss of fewer disks than a majority
-	Disk    Survive = "disk"    // the loss of all disks but one: each holder that can vote has it
+	DurabilityProcess Durability = "process" // the end of processes, in any order; not a loss of power at a majority of the holders
+	DurabilitySite    Durability = "site"    // a loss of power everywhere, and the loss of fewer disks than a majority
+	DurabilityDisk    Durability = "disk"    // the loss of all disks but one: each holder that can vote has it
 )
 
-// Known tells whether it is one of them.
-func (s Survive) Known() bool { return s == Process || s == Site || s == Disk }
+// Valid tells whether it is one of them.
+func (s Durability) Valid() bool {
+	return s == DurabilityProcess || s == DurabilitySite || s == DurabilityDisk
+}
 
-func (s Survive) synced() bool { return s != Process }
+func (s Durability) synced() bool { return s != DurabilityProcess }
 
 // Options are what a dispatcher's part is told.
 type Options struct {
-	Name    string
-	Boot    uint64
-	Folder  string
-	Holders []string // the voters' names
-	Limits  ledger.Limits
-	Find    time.Duration // that a repeat or an intent may take
-	Survive Survive
-	Speak   Speak
-	Draw    func() uint64
-	Record  Record
-	Seams   Seams
+	Name        string
+	Boot        uint64
+	Folder      string
+	Holders     []string // the voters' names
+	Limits      ledger.Limits
+	FindTimeout time.Duration // that a repeat or an intent may take
+	Durability  Durability
+	Call        CallFunc
+	NewID       func() uint64
+	DiskRecord  DiskRecord
+	Hooks       Hooks
 }
 
-// Seams are where tests put faults in. The zero value puts in none.
-type Seams struct {
-	Op       func(*ledger.Op)                                   // before holders are asked
-	Count    func(*ledger.Count)                                // before replies are added up
-	Reply    func(*ledger.Reply)                                // of a holder, before it leaves
-	Outcome  func(logic.Outcome, ledger.Outcome) ledger.Outcome // of an attempt
-	Verdict  func(ledger.Op, ledger.Verdict) ledger.Verdict     // on what was asked
-	Early    bool                                               // an attempt leaves while its intent is being noted
-	Unfilled bool                                               // a new file, or an old copy, counts as one that knows all
-	Forgets  bool                                               // what is on disk is not read at the start
+// Hooks are where tests put faults in. The zero value puts in none.
+type Hooks struct {
+	Op                 func(*ledger.Op)                                   // before holders are asked
+	Tally              func(*ledger.Tally)                                // before replies are added up
+	Reply              func(*ledger.Reply)                                // of a holder, before it leaves
+	Outcome            func(logic.Outcome, ledger.Outcome) ledger.Outcome // of an attempt
+	Verdict            func(ledger.Op, ledger.Verdict) ledger.Verdict     // on what was asked
+	SendBeforeRecorded bool                                               // an attempt leaves while its intent is being noted
+	AssumeComplete     bool                                               // a new file, or an old copy, counts as one that knows all
+	SkipLoad           bool                                               // what is on disk is not read at the start
 }
 
 // asked is who answers ops: this dispatcher's own holder, or a sender to another.
@@ -69,8 +71,8 @@
 	ask(op ledger.Op, then func(ledger.Reply))
 }
 
-// Keeper is the part.
-type Keeper struct {
+// Service is the part.
+type Service struct {
 	opt     Options
 	holder  *holder // nil where this dispatcher holds nothing
 	holders []asked
@@ -116,8 +118,8 @@
 }
 
 // Open opens the ledger and begins.
-func Open(opt Options) (*Keeper, error) {
-	k := &Keeper{opt: opt, start: time.Now(), stop: make(chan struct{}), seen: seen{all: map[string]ledgerlog.Seen{}}}
+func Open(opt Options) (*Service, error) {
+	k := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), seen: seen{all: map[string]ledgerlog.Seen{}}}
 	k.readyAt.Store(-int64(readyFor)) // never yet
 	if slices.Contains(opt.Holders, opt.Name) {
 		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, k.seen.copy)
@@ -135,7 +137,7 @@
 			k.holders = append(k.holders, k.holder)
 			continue
 		}
-		s := &sender{name: name, speak: opt.Speak, limit: opt.Find, inbox: make(chan held, senderInbox), calls: &k.calls, seen: &k.seen}
+		s := &sender{name: name, speak: opt.Call, limit: opt.FindTimeout, inbox: make(chan held, senderInbox), calls: &k.calls, seen: &k.seen}
 		k.holders = append(k.holders, s)
 		k.ended.Go(func() { s.run(k.stop) })
 	}
@@ -143,7 +145,7 @@
 }
 
 // Run begins to find out whether what is on disk is all that it was. The agreed record must be there to be asked.
-func (k *Keeper) Run() {
+func (k *Service) Run() {
 	if k.holder != nil {
 		k.ended.Go(k.check)
 	}
@@ -153,7 +155,7 @@
 const closeWait = 300 * time.Millisecond
 
 // Close ends the part.
-func (k *Keeper) Close() error {
+func (k *Service) Close() error {
 	for end := time.Now().Add(closeWait); k.telling.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -198,7 +200,7 @@
 )
 
 // Serve answers a call of another dispatcher.
-func (k *Keeper) Serve(c Call) (a Answer, err error) {
+func (k *Service) Serve(c Call) (a Answer, err error) {
 	h := k.holder
 	if h == nil {
 		return a, errors.New("this dispatcher holds no ledger")
@@ -225,17 +227,17 @@
 	return a, err
 }
 
-// Figures are what operators see.
-type Figures struct {
+// Stats are what operators see.
+type Stats struct {
 	Entries, Commits, Calls, Untold int64
 	Whole, Failed, Holds            bool
 	Bytes                           int64
 	WaitP50, WaitP99                time.Duration
 }
 
-// Figures gives them.
-func (k *Keeper) Figures() Figures {
-	f := Figures{Calls: k.calls.Load(), Untold: k.untold.Load()}
+// Stats gives them.
+func (k *Service) Stats() Stats {
+	f := Stats{Calls: k.calls.Load(), Untold: k.untold.Load()}
 	f.WaitP50, f.WaitP99 = k.waits.percentiles()
 	if h := k.holder; h != nil {
 		f.Holds, f.Entries, f.Commits, f.Whole, f.Failed, f.Bytes = true, h.entries.Load(), h.commits.Load(), h.whole.Load(), h.failed.Load(), h.log.Size()
--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/bookkeeping/bookkeeping_test.go
@@ -20,7 +20,7 @@
 	t       *testing.T
 	folder  string
 	mu      sync.Mutex
-	keepers map[string]*Keeper
+	keepers map[string]*Service
 	cut     map[string]bool
 	disks   map[string]uint64 // on record
 	boots   uint64
@@ -29,7 +29,7 @@
 var names = []string{"a", "b", "c"}
 
 func newRing(t *testing.T) *ring {
-	r := &ring{t: t, folder: t.TempDir(), keepers: map[string]*Keeper{}, cut: map[string]bool{}, disks: map[string]uint64{}}
+	r := &ring{t: t, folder: t.TempDir(), keepers: map[string]*Service{}, cut: map[string]bool{}, disks: map[string]uint64{}}
 	for _, name := range names {
 		r.start(name)
 	}
@@ -64,9 +64,9 @@
 	}
 	r.boots++
 	boot := r.boots
-	k, err := Open(Options{Name: name, Boot: boot, Folder: filepath.Join(r.folder, name), Holders: names, Survive: Site, Find: 2 * time.Second, Record: r,
-		Limits: ledger.Limits{Entries: 1000, Keep: time.Hour, Share: 2}, Draw: func() uint64 { return 100 + boot },
-		Speak: func(to string, ask, answer any, _ time.Duration) error {
+	k, err := Open(Options{Name: name, Boot: boot, Folder: filepath.Join(r.folder, name), Holders: names, Durability: DurabilitySite, FindTimeout: 2 * time.Second, DiskRecord: r,
+		Limits: ledger.Limits{MaxEntries: 1000, Retention: time.Hour, Share: 2}, NewID: func() uint64 { return 100 + boot },
+		Call: func(to string, ask, answer any, _ time.Duration) error {
 			r.mu.Lock()
 			k, cut := r.keepers[to], r.cut[name] || r.cut[to]
 			r.mu.Unlock()
@@ -122,24 +122,24 @@
 func in(d time.Duration) time.Time { return time.Now().Add(d) }
 
 // begin takes an instruction to its intent, and gives what takes the end.
-func begin(k *Keeper, n int) (func(logic.Outcome), error) {
+func begin(k *Service, n int) (func(logic.Outcome), error) {
 	type result struct {
 		end func(logic.Outcome)
 		err error
 	}
 	got := make(chan result, 1)
-	k.Note(key(n), "c", true).Begin(in(5*time.Second), func(end func(logic.Outcome), err error) { got <- result{end, err} })
+	k.IntentRecorder(key(n), "c", true).Begin(in(5*time.Second), func(end func(logic.Outcome), err error) { got <- result{end, err} })
 	x := <-got
 	return x.end, x.err
 }
 
 // told waits until an instruction's fate is known at a holder.
-func (r *ring) told(name string, n int, want ledger.Fate) {
+func (r *ring) told(name string, n int, want ledger.Status) {
 	r.t.Helper()
-	var is ledger.Fate
+	var is ledger.Status
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		row, err := r.keepers[name].Show(key(n))
-		if is = row.Entry.Fate(); err == nil && is == want {
+		if is = row.Entry.Status(); err == nil && is == want {
 			return
 		}
 	}
@@ -152,14 +152,14 @@
 		r.whole(name)
 	}
 	a, b := r.keepers["a"], r.keepers["b"]
-	if err := b.Find(key(1), in(time.Second)); err != nil {
+	if err := b.CheckRepeat(key(1), in(time.Second)); err != nil {
 		t.Errorf("nothing is known yet: %v", err)
 	}
 	end, err := begin(a, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Find(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) || !MayHaveRun(err) {
+	if err := b.CheckRepeat(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) || !MayHaveRun(err) {
 		t.Errorf("while it runs: %v", err)
 	}
 	if _, err := begin(b, 1); !MayHaveRun(err) {
@@ -167,7 +167,7 @@
 	}
 	end(logic.Full) // proven never to have run
 	r.told("b", 1, ledger.NotRun)
-	if err := b.Find(key(1), in(time.Second)); err != nil {
+	if err := b.CheckRepeat(key(1), in(time.Second)); err != nil {
 		t.Errorf("after proof: %v", err)
 	}
 	if end, err = begin(b, 1); err != nil {
@@ -175,7 +175,7 @@
 	}
 	end(logic.Delivered)
 	r.told("c", 1, ledger.DidRun)
-	if err := a.Find(key(1), in(time.Second)); !MayHaveRun(err) { // it hears as much as forbids it, and no more
+	if err := a.CheckRepeat(key(1), in(time.Second)); !MayHaveRun(err) { // it hears as much as forbids it, and no more
 		t.Errorf("after it ran: %v", err)
 	}
 	// One that breaks off stays unknown until an operator settles it, once.
@@ -187,15 +187,15 @@
 	if err != nil || len(rows) != 1 || rows[0].Key != key(2) {
 		t.Errorf("unknown: %+v %v", rows, err)
 	}
-	for want, w := range map[string]ledger.Word{"reason": {By: "op"}, "": {By: "op", Why: "not in the books", Wall: "now"}} {
+	for want, w := range map[string]ledger.Resolution{"reason": {By: "op"}, "": {By: "op", Why: "not in the books", Wall: "now"}} {
 		if err := b.Settle(key(2), w); err == nil != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("settle %+v: %v", w, err)
 		}
 	}
-	if err := b.Settle(key(2), ledger.Word{By: "op", Why: "again", Ran: true}); err == nil || !strings.Contains(err.Error(), "nothing to settle") {
+	if err := b.Settle(key(2), ledger.Resolution{By: "op", Why: "again", Ran: true}); err == nil || !strings.Contains(err.Error(), "nothing to settle") {
 		t.Errorf("settled twice: %v", err)
 	}
-	if err := r.keepers["c"].Find(key(2), in(time.Second)); err != nil {
+	if err := r.keepers["c"].CheckRepeat(key(2), in(time.Second)); err != nil {
 		t.Errorf("after an operator's word: %v", err)
 	}
 }
@@ -211,17 +211,17 @@
 	if _, err := begin(a, 1); err != nil {
 		t.Errorf("one away: %v", err)
 	}
-	if err := a.Find(key(2), in(time.Second)); err != nil {
+	if err := a.CheckRepeat(key(2), in(time.Second)); err != nil {
 		t.Errorf("one away: %v", err)
 	}
 	r.sever("b", true)
 	if _, err := begin(a, 3); !errors.Is(err, ErrNoNote) || MayHaveRun(err) {
 		t.Errorf("two away: %v", err)
 	}
-	if err := a.Find(key(4), in(time.Second)); !errors.Is(err, ErrNotFound) {
+	if err := a.CheckRepeat(key(4), in(time.Second)); !errors.Is(err, ErrNotFound) {
 		t.Errorf("two away: %v", err)
 	}
-	if err := a.Find(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
+	if err := a.CheckRepeat(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
 		t.Errorf("what the own holder knows is enough to forbid it: %v", err)
 	}
 	if _, err := a.Unknown(); err == nil {
@@ -272,7 +272,7 @@
 	if r.keepers["b"].holder.whole.Load() {
 		t.Error("a new file counts as one that knows")
 	}
-	if err := r.keepers["c"].Find(key(20), in(time.Second)); !errors.Is(err, ErrNotFound) {
+	if err := r.keepers["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrNotFound) {
 		t.Errorf("c and the new b are no majority that knows: %v", err)
 	}
 	if err := r.keepers["b"].Accept("op", ""); err == nil {
@@ -282,7 +282,7 @@
 	r.whole("b")
 	r.end("a")
 	for _, n := range []int{0, 4, 10, 14} {
-		if err := r.keepers["b"].Find(key(n), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
+		if err := r.keepers["b"].CheckRepeat(key(n), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
 			t.Errorf("%d is forgotten: %v", n, err)
 		}
 	}
@@ -301,7 +301,7 @@
 		var k ledger.Key
 		copy(k[:], fmt.Sprint("flood", n))
 		got := make(chan error, 1)
-		a.Note(k, "flood", false).Begin(in(5*time.Second), func(_ func(logic.Outcome), err error) { got <- err })
+		a.IntentRecorder(k, "flood", false).Begin(in(5*time.Second), func(_ func(logic.Outcome), err error) { got <- err })
 		if err := <-got; err == nil {
 			taken++
 		} else if !errors.As(err, &refused) {
--- a/internal/bookkeeping/desk.go
+++ b/internal/bookkeeping/desk.go
@@ -13,7 +13,7 @@
 
 // Unknown gives the instructions of which nobody knows whether they ran, as far as holders know that are there, and at most as many
 // as one answer holds.
-func (k *Keeper) Unknown() ([]Row, error) {
+func (k *Service) Unknown() ([]Row, error) {
 	all := map[ledger.Key]Row{}
 	var order []ledger.Key
 	heard := 0
@@ -23,7 +23,7 @@
 		if name == k.opt.Name {
 			a, err = k.Serve(Call{Unknown: unknownMost})
 		} else {
-			err = k.opt.Speak(name, Call{Unknown: unknownMost}, &a, deskWait)
+			err = k.opt.Call(name, Call{Unknown: unknownMost}, &a, deskWait)
 		}
 		if err != nil {
 			continue
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if row.Entry.Fate() == ledger.Unknown {
+		if row.Entry.Status() == ledger.Unknown {
 			rows = append(rows, row)
 		}
 	}
@@ -53,8 +53,8 @@
 }
 
 // Show gives all that is known of one instruction.
-func (k *Keeper) Show(key ledger.Key) (Row, error) {
-	_, c := k.collect(ledger.Op{Do: ledger.Look, Key: key}, deskWait, func(c *ledger.Count) ledger.Verdict {
+func (k *Service) Show(key ledger.Key) (Row, error) {
+	_, c := k.collect(ledger.Op{Do: ledger.Lookup, Key: key}, deskWait, func(c *ledger.Tally) ledger.Verdict {
 		if c.Known() == ledger.Yes && !c.Heard() {
 			return ledger.Open // all that answer are wanted
 		}
@@ -68,22 +68,22 @@
 
 // Settle notes an operator's word, who looked into the books, for the attempts whose fate nobody knows. It stands once a majority of
 // the holders has it on disk.
-func (k *Keeper) Settle(key ledger.Key, w ledger.Word) error {
+func (k *Service) Settle(key ledger.Key, w ledger.Resolution) error {
 	row, err := k.Show(key)
 	if err != nil {
 		return err
 	}
-	switch f := row.Entry.Fate(); {
+	switch f := row.Entry.Status(); {
 	case w.Why == "":
 		return errors.New("a word needs a reason")
-	case f == ledger.Fresh:
+	case f == ledger.NeverSent:
 		return fmt.Errorf("nothing is known of %s", key)
 	case f != ledger.Unknown:
 		return fmt.Errorf("%s %s: there is nothing to settle", key, f)
 	}
 	e := row.Entry.Clone()
 	e.Settle(w)
-	v, _ := k.collect(ledger.Op{Do: ledger.Learn, Key: key, Customer: row.Customer, Entry: e}, deskWait, (*ledger.Count).Granted)
+	v, _ := k.collect(ledger.Op{Do: ledger.Merge, Key: key, Customer: row.Customer, Entry: e}, deskWait, (*ledger.Tally).Granted)
 	if v != ledger.Yes {
 		return errors.New("too few holders have noted it: whether it stands shows later")
 	}
@@ -91,14 +91,14 @@
 }
 
 // Ready tells whether a majority of the holders is there and whole, as far as was heard of late. It asks where nothing was.
-func (k *Keeper) Ready() bool {
+func (k *Service) Ready() bool {
 	if at := k.readyAt.Load(); time.Since(k.start) < time.Duration(at)+readyFor {
 		return true
 	}
 	if k.asking.CompareAndSwap(false, true) {
 		go func() {
 			defer k.asking.Store(false)
-			if v, _ := k.collect(ledger.Op{Do: ledger.Look}, k.opt.Find, (*ledger.Count).Known); v == ledger.Yes {
+			if v, _ := k.collect(ledger.Op{Do: ledger.Lookup}, k.opt.FindTimeout, (*ledger.Tally).Known); v == ledger.Yes {
 				k.readyAt.Store(int64(time.Since(k.start)))
 			}
 		}()
@@ -111,7 +111,7 @@
 
 // Export gives what this dispatcher's file holds after a record, with the record to go on from and whether that was all. An entry may
 // come in several parts.
-func (k *Keeper) Export(after uint64) (rows []Row, next uint64, last bool, err error) {
+func (k *Service) Export(after uint64) (rows []Row, next uint64, last bool, err error) {
 	if k.holder == nil {
 		return nil, 0, false, errors.New("this dispatcher holds no ledger: ask a voter")
 	}
@@ -119,9 +119,9 @@
 }
 
 // Import has the holders learn entries, as they were exported. It stands once a majority of them has all of it on disk.
-func (k *Keeper) Import(rows []Row) error {
+func (k *Service) Import(rows []Row) error {
 	for _, r := range rows {
-		if v, _ := k.collect(ledger.Op{Do: ledger.Learn, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, deskWait, (*ledger.Count).Granted); v != ledger.Yes {
+		if v, _ := k.collect(ledger.Op{Do: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, deskWait, (*ledger.Tally).Granted); v != ledger.Yes {
 			return fmt.Errorf("too few holders have noted %s: import it again, which does no harm", r.Key)
 		}
 	}
--- a/internal/bookkeeping/holder.go
+++ b/internal/bookkeeping/holder.go
@@ -55,17 +55,17 @@
 )
 
 func openHolder(path string, opt Options, seen func() map[string]ledgerlog.Seen) (*holder, error) {
-	h := &holder{table: ledger.NewTable(opt.Limits), inbox: make(chan held, holderInbox), done: make(chan struct{}), start: time.Now(), seen: seen, reply: opt.Seams.Reply}
+	h := &holder{table: ledger.NewTable(opt.Limits), inbox: make(chan held, holderInbox), done: make(chan struct{}), start: time.Now(), seen: seen, reply: opt.Hooks.Reply}
 	var last time.Duration
 	var err error
 	began := time.Now()
-	h.log, err = ledgerlog.Open(path, opt.Draw, opt.Survive.synced(), func(r ledgerlog.Record) {
+	h.log, err = ledgerlog.Open(path, opt.NewID, opt.Durability.synced(), func(r ledgerlog.Record) {
 		h.records++
-		if opt.Seams.Forgets {
+		if opt.Hooks.SkipLoad {
 			return
 		}
 		last = max(last, r.At)
-		h.table.Learn(r.At, r.Key, r.Customer, r.Entry)
+		h.table.Merge(r.At, r.Key, r.Customer, r.Entry)
 	})
 	if err != nil {
 		return nil, err
@@ -170,12 +170,12 @@
 }
 
 func (h *holder) one(x held, records *[]ledgerlog.Record, answers *[]func()) {
-	if h.failed.Load() && x.op.Do != ledger.Look {
+	if h.failed.Load() && x.op.Do != ledger.Lookup {
 		*answers = append(*answers, func() { x.then(ledger.Reply{Error: errFailed.Error()}) })
 		return
 	}
 	r, learned := h.table.Do(h.now(), x.op)
-	if len(learned.Attempts)+len(learned.Words) > 0 {
+	if len(learned.Attempts)+len(learned.Resolutions) > 0 {
 		*records = append(*records, ledgerlog.Record{Key: x.op.Key, Customer: x.op.Customer, At: h.now(), Entry: learned})
 	}
 	*answers = append(*answers, func() {
@@ -212,7 +212,7 @@
 	seen := map[ledger.Key]bool{}
 	n, err := h.log.Fold(foldMost, h.now(), func(r ledgerlog.Record) (ledgerlog.Record, bool) {
 		e, customer, at := h.table.Keeps(h.now(), r.Key)
-		if len(e.Attempts)+len(e.Words) == 0 || seen[r.Key] {
+		if len(e.Attempts)+len(e.Resolutions) == 0 || seen[r.Key] {
 			return r, false
 		}
 		seen[r.Key] = true
--- a/internal/bookkeeping/noted.go
+++ b/internal/bookkeeping/noted.go
@@ -11,13 +11,13 @@
 
 // note is an instruction as the core sees it.
 type note struct {
-	k *Keeper
+	k *Service
 	i Instruction
 }
 
 // Note makes an instruction that this dispatcher takes known to the core. Named tells that it is known to be the same as others of
 // its key: by a key that the client gave, or as a marked repeat.
-func (k *Keeper) Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder {
+func (k *Service) IntentRecorder(key ledger.Key, customer string, named bool) dispatch.IntentRecorder {
 	return &note{k: k, i: Instruction{Key: key, Customer: customer, Named: named}}
 }
 
@@ -32,8 +32,8 @@
 	})
 }
 
-func (k *Keeper) outcome(o logic.Outcome) ledger.Outcome {
-	if f := k.opt.Seams.Outcome; f != nil {
+func (k *Service) outcome(o logic.Outcome) ledger.Outcome {
+	if f := k.opt.Hooks.Outcome; f != nil {
 		return f(o, outcomeOf(o))
 	}
 	return outcomeOf(o)
@@ -43,7 +43,7 @@
 func outcomeOf(o logic.Outcome) ledger.Outcome {
 	switch o {
 	case logic.Full, logic.ConnectFailed, logic.NotSent:
-		return ledger.Never
+		return ledger.NeverRan
 	case logic.Delivered:
 		return ledger.Ran
 	}
--- a/internal/bookkeeping/refill.go
+++ b/internal/bookkeeping/refill.go
@@ -10,8 +10,8 @@
 	"standpulley/internal/ledgerlog"
 )
 
-// Record is the agreed one, as far as it is about ledgers: which disk each holder had last.
-type Record interface {
+// DiskRecord is the agreed one, as far as it is about ledgers: which disk each holder had last.
+type DiskRecord interface {
 	Disk(name string) (disk uint64, known bool, err error)
 	SetDisk(name string, disk uint64) error
 }
@@ -23,7 +23,7 @@
 
 // check finds out whether this holder knows all that it ever acknowledged, and mends it where it does not. Until it does, what the
 // holder does not know tells nothing. It ends once the holder is whole.
-func (k *Keeper) check() {
+func (k *Service) check() {
 	said := ""
 	for {
 		err := k.checkOnce()
@@ -44,9 +44,9 @@
 	}
 }
 
-func (k *Keeper) checkOnce() error {
+func (k *Service) checkOnce() error {
 	h := k.holder
-	was, known, err := k.opt.Record.Disk(k.opt.Name)
+	was, known, err := k.opt.DiskRecord.Disk(k.opt.Name)
 	if err != nil {
 		return fmt.Errorf("the agreed record can't be read: %w", err)
 	}
@@ -55,10 +55,10 @@
 		return err
 	}
 	switch {
-	case k.opt.Seams.Unfilled:
+	case k.opt.Hooks.AssumeComplete:
 		return k.setWhole()
 	case !known: // no holder of this name ever acknowledged anything
-		if err := k.opt.Record.SetDisk(k.opt.Name, state.Disk); err != nil {
+		if err := k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk); err != nil {
 			return err
 		}
 		return k.setWhole()
@@ -70,9 +70,9 @@
 		if err := k.setWhole(); err != nil {
 			return err
 		}
-		return k.opt.Record.SetDisk(k.opt.Name, state.Disk)
+		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
 	case was != state.Disk: // it was filled, and ended before that was on record
-		return k.opt.Record.SetDisk(k.opt.Name, state.Disk)
+		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
 	case !state.Whole: // it was new, and ended before it knew
 		return k.setWhole()
 	}
@@ -87,14 +87,14 @@
 }
 
 // restored asks enough others what they last heard of this holder's file. One that has fewer commits than that is a copy from before.
-func (k *Keeper) restored(state ledgerlog.State) (bool, error) {
+func (k *Service) restored(state ledgerlog.State) (bool, error) {
 	heard := 0
 	for _, name := range k.opt.Holders {
 		if name == k.opt.Name {
 			continue
 		}
 		var a Answer
-		if k.opt.Speak(name, Call{About: k.opt.Name}, &a, callLimit) != nil {
+		if k.opt.Call(name, Call{About: k.opt.Name}, &a, callLimit) != nil {
 			continue
 		}
 		heard++
@@ -110,7 +110,7 @@
 
 // Accept has this holder count as whole once it is filled from one other, by an operator's word: what was with none but lost files
 // stays lost. Where all holders were needed for each intent, nothing was.
-func (k *Keeper) Accept(by, why string) error {
+func (k *Service) Accept(by, why string) error {
 	switch {
 	case k.holder == nil:
 		return errors.New("this dispatcher holds no ledger")
@@ -125,7 +125,7 @@
 }
 
 // refill takes over what the other holders know. Enough of them must be whole themselves.
-func (k *Keeper) refill() error {
+func (k *Service) refill() error {
 	need, taken := ledger.Refill(len(k.opt.Holders)), 0
 	if k.accepts.Load() {
 		need = 1
@@ -148,11 +148,11 @@
 	return nil
 }
 
-func (k *Keeper) takeAll(name string) (rows int, err error) {
+func (k *Service) takeAll(name string) (rows int, err error) {
 	var after uint64
 	for {
 		var a Answer
-		if err := k.opt.Speak(name, Call{Dump: &after}, &a, callLimit); err != nil {
+		if err := k.opt.Call(name, Call{Dump: &after}, &a, callLimit); err != nil {
 			return rows, err
 		}
 		if !a.Whole {
@@ -161,7 +161,7 @@
 		after = a.Next
 		failed := make(chan error, len(a.Rows))
 		for _, r := range a.Rows {
-			k.holder.ask(ledger.Op{Do: ledger.Learn, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, func(r ledger.Reply) {
+			k.holder.ask(ledger.Op{Do: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, func(r ledger.Reply) {
 				if r.Error != "" {
 					failed <- fmt.Errorf("%s", r.Error)
 					return
@@ -181,7 +181,7 @@
 	}
 }
 
-func (k *Keeper) setWhole() (err error) {
+func (k *Service) setWhole() (err error) {
 	h := k.holder
 	if e := h.within(callLimit, func() { err = h.log.Whole(true, h.now()) }); e != nil {
 		return e
--- a/internal/bookkeeping/taker.go
+++ b/internal/bookkeeping/taker.go
@@ -18,13 +18,13 @@
 	learnPause  = 100 * time.Millisecond  // before it is told again
 )
 
-// Speak makes a call to another dispatcher.
-type Speak func(name string, ask, answer any, limit time.Duration) error
+// CallFunc makes a call to another dispatcher.
+type CallFunc func(name string, ask, answer any, limit time.Duration) error
 
 // sender carries ops to one other holder, as many to a call as have come while the last one was under way.
 type sender struct {
 	name  string
-	speak Speak
+	speak CallFunc
 	limit time.Duration
 	inbox chan held
 	calls *atomic.Int64
@@ -88,27 +88,27 @@
 }
 
 // collect asks all holders and waits until verdict is clear, for limit at most.
-func (k *Keeper) collect(op ledger.Op, limit time.Duration, verdict func(*ledger.Count) ledger.Verdict) (ledger.Verdict, *ledger.Count) {
-	if f := k.opt.Seams.Op; f != nil {
+func (k *Service) collect(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
+	if f := k.opt.Hooks.Op; f != nil {
 		f(&op)
 	}
 	v, c := k.add(op, limit, verdict)
-	if f := k.opt.Seams.Verdict; f != nil {
+	if f := k.opt.Hooks.Verdict; f != nil {
 		v = f(op, v)
 	}
 	return v, c
 }
 
-func (k *Keeper) add(op ledger.Op, limit time.Duration, verdict func(*ledger.Count) ledger.Verdict) (ledger.Verdict, *ledger.Count) {
+func (k *Service) add(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
 	replies := make(chan ledger.Reply, len(k.holders))
 	for _, h := range k.holders {
 		h.ask(op, func(r ledger.Reply) { replies <- r })
 	}
-	c := ledger.NewCount(len(k.holders), op.Check)
-	if k.opt.Survive == Disk && op.Do == ledger.Take {
+	c := ledger.NewTally(len(k.holders), op.Exclusive)
+	if k.opt.Durability == DurabilityDisk && op.Do == ledger.RecordIntent {
 		c.All()
 	}
-	if f := k.opt.Seams.Count; f != nil {
+	if f := k.opt.Hooks.Tally; f != nil {
 		f(c)
 	}
 	timer := time.NewTimer(limit)
@@ -140,7 +140,7 @@
 
 func (r *Refusal) Error() string { return r.Reason }
 
-func forbids(f ledger.Fate) error {
+func forbids(f ledger.Status) error {
 	switch f {
 	case ledger.DidRun:
 		return ErrRan
@@ -152,9 +152,9 @@
 
 // Find says why a repeat of an instruction may not be taken, nil where nothing is known of an earlier one that could have run.
 // It takes no longer than the find time, or until.
-func (k *Keeper) Find(key ledger.Key, until time.Time) error {
-	v, c := k.collect(ledger.Op{Do: ledger.Look, Key: key}, min(k.opt.Find, time.Until(until)), (*ledger.Count).Known)
-	if err := forbids(c.Entry.Fate()); err != nil {
+func (k *Service) CheckRepeat(key ledger.Key, until time.Time) error {
+	v, c := k.collect(ledger.Op{Do: ledger.Lookup, Key: key}, min(k.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Known)
+	if err := forbids(c.Entry.Status()); err != nil {
 		return err
 	}
 	if v != ledger.Yes {
@@ -175,19 +175,19 @@
 
 // Begin notes the intent to send an attempt with enough holders, and calls then once: with the attempt's name, or why it must not
 // be sent. It does not block.
-func (k *Keeper) Begin(i *Instruction, until time.Time, then func(ledger.Attempt, error)) {
-	a := ledger.Attempt{Taker: k.opt.Name, Boot: k.opt.Boot, N: k.numbers.Add(1)}
+func (k *Service) Begin(i *Instruction, until time.Time, then func(ledger.Attempt, error)) {
+	a := ledger.Attempt{Owner: k.opt.Name, Boot: k.opt.Boot, N: k.numbers.Add(1)}
 	i.mu.Lock()
 	own := i.own.Clone()
 	i.mu.Unlock()
-	if k.opt.Seams.Early {
+	if k.opt.Hooks.SendBeforeRecorded {
 		then(a, nil)
 		then = func(ledger.Attempt, error) {}
 	}
 	go func() {
 		began := time.Now()
-		v, c := k.collect(ledger.Op{Do: ledger.Take, Key: i.Key, Customer: i.Customer, Attempt: a, Check: i.Named, Entry: own},
-			min(k.opt.Find, time.Until(until)), (*ledger.Count).Granted)
+		v, c := k.collect(ledger.Op{Do: ledger.RecordIntent, Key: i.Key, Customer: i.Customer, Attempt: a, Exclusive: i.Named, Entry: own},
+			min(k.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Granted)
 		k.waits.note(time.Since(began))
 		switch {
 		case v == ledger.Yes:
@@ -204,23 +204,23 @@
 		default:
 			then(a, ErrNoNote)
 		}
-		k.Ended(i, a, ledger.Never) // some may have noted it
+		k.Ended(i, a, ledger.NeverRan) // some may have noted it
 	}()
 }
 
 // Ended notes what became of an attempt, and tells the holders until enough of them have it.
-func (k *Keeper) Ended(i *Instruction, a ledger.Attempt, o ledger.Outcome) {
+func (k *Service) Ended(i *Instruction, a ledger.Attempt, o ledger.Outcome) {
 	i.mu.Lock()
-	i.own.Note(a, o)
+	i.own.Record(a, o)
 	i.mu.Unlock()
 	if o == ledger.Intent {
 		return // nobody knows: that is what the holders have
 	}
-	k.tell(ledger.Op{Do: ledger.Learn, Key: i.Key, Customer: i.Customer, Entry: ledger.Entry{Attempts: []ledger.Tried{{Attempt: a, Outcome: o}}}})
+	k.tell(ledger.Op{Do: ledger.Merge, Key: i.Key, Customer: i.Customer, Entry: ledger.Entry{Attempts: []ledger.AttemptRecord{{Attempt: a, Outcome: o}}}})
 }
 
 // tell has all holders learn something, each on its own.
-func (k *Keeper) tell(op ledger.Op) {
+func (k *Service) tell(op ledger.Op) {
 	end := time.Now().Add(learnFor)
 	k.telling.Add(int64(len(k.holders)))
 	for _, h := range k.holders {
@@ -228,7 +228,7 @@
 	}
 }
 
-func (k *Keeper) tellOne(h asked, op ledger.Op, end time.Time) {
+func (k *Service) tellOne(h asked, op ledger.Op, end time.Time) {
 	h.ask(op, func(r ledger.Reply) {
 		if r.Error == "" {
 			k.telling.Add(-1)
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -59,8 +59,8 @@
 		return strings.Replace(withAgree(), `"name":"n0"`, `"name":"n0","ledger":`+ledger, 1)
 	}
 	c, err := Parse([]byte(with(`{}`)), none)
-	if err != nil || c.Ledger == nil || c.Ledger.FindTimeout() != 200*time.Millisecond || c.Ledger.Limits() != (ledger.Limits{Entries: 1e6, Keep: 24 * time.Hour, Share: 2}) ||
-		c.Ledger.Survive != bookkeeping.Site {
+	if err != nil || c.Ledger == nil || c.Ledger.FindTimeout() != 200*time.Millisecond || c.Ledger.Limits() != (ledger.Limits{MaxEntries: 1e6, Retention: 24 * time.Hour, Share: 2}) ||
+		c.Ledger.Survive != bookkeeping.DurabilitySite {
 		t.Errorf("%+v %v", c.Ledger, err)
 	}
 	for text, key := range map[string]string{
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -11,11 +11,11 @@
 // Ledger sets up what dispatchers that agree remember together of what must not run twice. It is off where the operator's file has
 // none.
 type Ledger struct {
-	Keep    string              `json:"keep"`    // for so long after its last attempt; 24h if not set
-	Entries int                 `json:"entries"` // at most; a million if not set
-	Share   float64             `json:"share"`   // of the room that is free, a customer may hold so many times as much; 2 if not set
-	Find    string              `json:"find"`    // that an intent or a repeat may take; 200ms if not set
-	Survive bookkeeping.Survive `json:"survive"` // process, site, disk; site if not set
+	Keep    string                 `json:"keep"`    // for so long after its last attempt; 24h if not set
+	Entries int                    `json:"entries"` // at most; a million if not set
+	Share   float64                `json:"share"`   // of the room that is free, a customer may hold so many times as much; 2 if not set
+	Find    string                 `json:"find"`    // that an intent or a repeat may take; 200ms if not set
+	Survive bookkeeping.Durability `json:"survive"` // process, site, disk; site if not set
 }
 
 // The defaults, and bounds.
@@ -44,7 +44,7 @@
 		l.Find = ledgerFind.String()
 	}
 	if l.Survive == "" {
-		l.Survive = bookkeeping.Site
+		l.Survive = bookkeeping.DurabilitySite
 	}
 	keep, err := time.ParseDuration(l.Keep)
 	if err != nil || keep < ledgerKeepLeast {
@@ -58,7 +58,7 @@
 		return &Fault{"ledger.entries", "a negative figure"}
 	case l.Share < 0:
 		return &Fault{"ledger.share", "a negative figure"}
-	case !l.Survive.Known():
+	case !l.Survive.Valid():
 		return &Fault{"ledger.survive", fmt.Sprintf("%q is none of process, site, disk", l.Survive)}
 	}
 	return nil
@@ -66,7 +66,7 @@
 
 // Limits are those of its table.
 func (l *Ledger) Limits() ledger.Limits {
-	return ledger.Limits{Entries: l.Entries, Keep: checked(l.Keep), Share: l.Share}
+	return ledger.Limits{MaxEntries: l.Entries, Retention: checked(l.Keep), Share: l.Share}
 }
 
 // FindTimeout bounds what an intent or a repeat may take.
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -14,10 +14,10 @@
 
 // Ledger is what dispatchers remember together.
 type Ledger interface {
-	// Find says why a repeat of an instruction may not be taken.
-	Find(key ledger.Key, until time.Time) error
+	// CheckRepeat says why a repeat of an instruction may not be taken.
+	CheckRepeat(key ledger.Key, until time.Time) error
 	// Note gives what notes the attempts of an instruction.
-	Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
+	IntentRecorder(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
 }
 
 // KeyHeader is the header by which a client names an instruction (draft-ietf-httpapi-idempotency-key-header).
@@ -29,11 +29,11 @@
 	key, named := Key(h, customer, words)
 	named = named || again
 	if named {
-		if err := l.Find(key, until); err != nil {
+		if err := l.CheckRepeat(key, until); err != nil {
 			return nil, err
 		}
 	}
-	return l.Note(key, customer, named), nil
+	return l.IntentRecorder(key, customer, named), nil
 }
 
 // Key names an instruction: by the client's key if it gave one, else by its words. All dispatchers give it the same.
--- a/internal/ledger/count_test.go
+++ b/internal/ledger/count_test.go
@@ -5,12 +5,12 @@
 // Guards: once two of three holders gave no answer, it was unclear whether an instruction had run, and the third, which knew, was not heard
 // any more. In every order of the replies the one that forbids a repeat counts; without one it is unclear only when all were heard.
 func TestOneHolderThatKnowsIsHeard(t *testing.T) {
-	a := Attempt{Taker: "a", Boot: 1, N: 1}
+	a := Attempt{Owner: "a", Boot: 1, N: 1}
 	knows := &Reply{Whole: true}
-	knows.Entry.Note(a, Intent)
+	knows.Entry.Record(a, Intent)
 	for at := range 3 {
 		for _, forbids := range []bool{true, false} {
-			c := NewCount(3, false)
+			c := NewTally(3, false)
 			for i := range 3 {
 				switch {
 				case i != at:
--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -7,12 +7,12 @@
 
 // Op is what a dispatcher asks of a holder.
 type Op struct {
-	Do       Kind    `json:"do"`
-	Key      Key     `json:"key"`
-	Customer string  `json:"customer,omitempty"`
-	Attempt  Attempt `json:"attempt"`         // for Take
-	Check    bool    `json:"check,omitempty"` // for Take: other attempts forbid it, as this is known to be the same instruction
-	Entry    Entry   `json:"entry"`           // for Take and Learn: what the asker knows
+	Do        Kind    `json:"do"`
+	Key       Key     `json:"key"`
+	Customer  string  `json:"customer,omitempty"`
+	Attempt   Attempt `json:"attempt"`         // for Take
+	Exclusive bool    `json:"check,omitempty"` // for Take: other attempts forbid it, as this is known to be the same instruction
+	Entry     Entry   `json:"entry"`           // for Take and Learn: what the asker knows
 }
 
 // Kind is what an Op wants.
@@ -20,9 +20,9 @@
 
 // The kinds.
 const (
-	Look  Kind = iota // what is known of an instruction
-	Take              // note the intent to send an attempt, if nothing forbids it
-	Learn             // add what became of attempts, or an operator's word
+	Lookup       Kind = iota // what is known of an instruction
+	RecordIntent             // note the intent to send an attempt, if nothing forbids it
+	Merge                    // add what became of attempts, or an operator's word
 )
 
 // Reply answers an Op.
@@ -38,23 +38,23 @@
 // Do carries out an Op on a holder's table. Learned is what must be on disk before the Reply leaves; nothing where it is empty.
 func (t *Table) Do(now time.Duration, op Op) (r Reply, learned Entry) {
 	switch op.Do {
-	case Look:
+	case Lookup:
 		r.Entry = t.Look(now, op.Key)
 		if row := t.all[op.Key]; row != nil {
 			r.Customer = row.customer
 		}
-	case Learn:
-		t.Learn(now, op.Key, op.Customer, op.Entry)
+	case Merge:
+		t.Merge(now, op.Key, op.Customer, op.Entry)
 		r.Granted = true
 		learned = op.Entry
-	case Take:
+	case RecordIntent:
 		known := t.Look(now, op.Key)
 		known.Join(op.Entry)
 		if o, tried := known.Of(op.Attempt); tried && o != Intent {
 			r.Entry = known // it has ended already, as what asks for it was given up
 			return r, Entry{}
 		}
-		if f := known.Others(op.Attempt); op.Check && f != Fresh && f != NotRun {
+		if f := known.Others(op.Attempt); op.Exclusive && f != NeverSent && f != NotRun {
 			r.Entry = known
 			return r, Entry{}
 		}
@@ -62,12 +62,12 @@
 			r.Refusal = err.Error()
 			return r, Entry{}
 		}
-		if len(op.Entry.Attempts)+len(op.Entry.Words) > 0 {
-			t.Learn(now, op.Key, op.Customer, op.Entry)
+		if len(op.Entry.Attempts)+len(op.Entry.Resolutions) > 0 {
+			t.Merge(now, op.Key, op.Customer, op.Entry)
 		}
 		r.Granted = true
 		learned = op.Entry.Clone()
-		learned.Note(op.Attempt, Intent)
+		learned.Record(op.Attempt, Intent)
 	}
 	return r, learned
 }
@@ -91,8 +91,8 @@
 	Unclear                // too few answer: it can't be found out
 )
 
-// Count adds up replies of n holders to one Op.
-type Count struct {
+// Tally adds up replies of n holders to one Op.
+type Tally struct {
 	n, granted, denied, whole, failed int
 	check                             bool
 	need                              int
@@ -102,18 +102,18 @@
 	Refusal  string // the first
 }
 
-// NewCount begins for n holders. Where other attempts forbid what is asked for, only those count as granting it that would know
+// NewTally begins for n holders. Where other attempts forbid what is asked for, only those count as granting it that would know
 // of them: one that has lost its disk would grant it twice.
-func NewCount(n int, check bool) *Count { return &Count{n: n, check: check, need: Majority(n)} }
+func NewTally(n int, check bool) *Tally { return &Tally{n: n, check: check, need: Majority(n)} }
 
 // All has all holders be needed, so that what is noted outlives the loss of all disks but one.
-func (c *Count) All() { c.Need(c.n) }
+func (c *Tally) All() { c.Require(c.n) }
 
-// Need sets how many must grant it.
-func (c *Count) Need(n int) { c.need = n }
+// Require sets how many must grant it.
+func (c *Tally) Require(n int) { c.need = n }
 
 // Add takes a reply, or that a holder gave none.
-func (c *Count) Add(r *Reply) {
+func (c *Tally) Add(r *Reply) {
 	switch {
 	case r == nil || r.Error != "":
 		c.failed++
@@ -138,7 +138,7 @@
 }
 
 // Granted is the verdict on a Take or Learn.
-func (c *Count) Granted() Verdict {
+func (c *Tally) Granted() Verdict {
 	need := c.need
 	switch {
 	case c.granted >= need:
@@ -154,14 +154,14 @@
 }
 
 // Heard tells whether all holders have answered, or failed to.
-func (c *Count) Heard() bool { return c.granted+c.denied+c.failed == c.n }
+func (c *Tally) Heard() bool { return c.granted+c.denied+c.failed == c.n }
 
 // Enough tells whether a majority has answered.
-func (c *Count) Enough() bool { return c.granted+c.denied >= Majority(c.n) }
+func (c *Tally) Enough() bool { return c.granted+c.denied >= Majority(c.n) }
 
 // Known is the verdict on a Look: Yes once a majority that is whole has said what it knows. What forbids a repeat counts
 // whoever says it, so all are heard before it is unclear.
-func (c *Count) Known() Verdict {
+func (c *Tally) Known() Verdict {
 	need := Majority(c.n)
 	switch {
 	case c.whole >= need || !c.Entry.MaySend():
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -18,22 +18,22 @@
 
 // The outcomes.
 const (
-	Intent Outcome = iota // it is about to leave, or has: it may have run, or may yet
-	Never                 // proven by the wire never to have run
-	Ran                   // it ran
+	Intent   Outcome = iota // it is about to leave, or has: it may have run, or may yet
+	NeverRan                // proven by the wire never to have run
+	Ran                     // it ran
 )
 
 func (o Outcome) String() string { return [...]string{"intent", "never ran", "ran"}[o] }
 
 // Attempt names one send: by the dispatcher, its life and a number in it.
 type Attempt struct {
-	Taker string `json:"taker"`
+	Owner string `json:"taker"`
 	Boot  uint64 `json:"boot"`
 	N     uint64 `json:"n"`
 }
 
-// Word is an operator's, who looked into the books. What it settled stands with the attempts; the words are the audit trail.
-type Word struct {
+// Resolution is an operator's, who looked into the books. What it settled stands with the attempts; the words are the audit trail.
+type Resolution struct {
 	Ran  bool   `json:"ran"`
 	By   string `json:"by"`
 	Why  string `json:"why"`
@@ -42,44 +42,44 @@
 
 // Entry is what is known of one instruction. Its zero value knows nothing.
 type Entry struct {
-	Attempts []Tried `json:"attempts"`        // in order
-	Words    []Word  `json:"words,omitempty"` // all that were given, in order: an audit trail
+	Attempts    []AttemptRecord `json:"attempts"`        // in order
+	Resolutions []Resolution    `json:"words,omitempty"` // all that were given, in order: an audit trail
 }
 
-// Tried is an attempt and what is known of it.
-type Tried struct {
+// AttemptRecord is an attempt and what is known of it.
+type AttemptRecord struct {
 	Attempt
 	Outcome Outcome `json:"outcome"`
 }
 
 func (a Attempt) compare(b Attempt) int {
-	return cmp.Or(cmp.Compare(a.Taker, b.Taker), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.N, b.N))
+	return cmp.Or(cmp.Compare(a.Owner, b.Owner), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.N, b.N))
 }
 
-// Fate is what an entry comes to.
-type Fate uint8
+// Status is what an entry comes to.
+type Status uint8
 
 // The fates.
 const (
-	Fresh   Fate = iota // nothing was ever sent
-	NotRun              // all that was sent is proven never to have run, or an operator says so
-	Unknown             // it may have run, or may yet
-	DidRun              // it ran
+	NeverSent Status = iota // nothing was ever sent
+	NotRun                  // all that was sent is proven never to have run, or an operator says so
+	Unknown                 // it may have run, or may yet
+	DidRun                  // it ran
 )
 
-func (f Fate) String() string { return [...]string{"fresh", "never ran", "unknown", "ran"}[f] }
+func (f Status) String() string { return [...]string{"fresh", "never ran", "unknown", "ran"}[f] }
 
-// Fate reads an entry. Only proof for every attempt, or an operator's word for those that have none, makes an instruction one
+// Status reads an entry. Only proof for every attempt, or an operator's word for those that have none, makes an instruction one
 // that never ran; that one ran outweighs everything.
-func (e *Entry) Fate() Fate {
-	worst := Fresh
+func (e *Entry) Status() Status {
+	worst := NeverSent
 	for _, t := range e.Attempts {
 		switch t.Outcome {
 		case Ran:
 			return DidRun
 		case Intent:
 			worst = Unknown
-		case Never:
+		case NeverRan:
 			worst = max(worst, NotRun)
 		}
 	}
@@ -87,12 +87,12 @@
 }
 
 // MaySend tells whether a repeat may be sent on.
-func (e *Entry) MaySend() bool { f := e.Fate(); return f == Fresh || f == NotRun }
+func (e *Entry) MaySend() bool { f := e.Status(); return f == NeverSent || f == NotRun }
 
 // Settle takes an operator's word for the attempts whose fate nobody knows by now. It says nothing of later ones: those need
 // another.
-func (e *Entry) Settle(w Word) {
-	outcome := Never
+func (e *Entry) Settle(w Resolution) {
+	outcome := NeverRan
 	if w.Ran {
 		outcome = Ran
 	}
@@ -101,14 +101,14 @@
 			t.Outcome = outcome
 		}
 	}
-	e.Join(Entry{Words: []Word{w}})
+	e.Join(Entry{Resolutions: []Resolution{w}})
 }
 
-// Note adds what is known of an attempt.
-func (e *Entry) Note(a Attempt, o Outcome) {
-	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t Tried, a Attempt) int { return t.compare(a) })
+// Record adds what is known of an attempt.
+func (e *Entry) Record(a Attempt, o Outcome) {
+	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t AttemptRecord, a Attempt) int { return t.compare(a) })
 	if !there {
-		e.Attempts = slices.Insert(e.Attempts, at, Tried{a, o})
+		e.Attempts = slices.Insert(e.Attempts, at, AttemptRecord{a, o})
 	}
 	e.Attempts[at].Outcome = max(e.Attempts[at].Outcome, o)
 }
@@ -128,7 +128,7 @@
 	}
 	kept := e.Attempts[:0]
 	for i, t := range e.Attempts {
-		if over > 0 && (t.Outcome == Never && (ran >= 0 || i < len(e.Attempts)-1) || t.Outcome == Ran && i != ran) {
+		if over > 0 && (t.Outcome == NeverRan && (ran >= 0 || i < len(e.Attempts)-1) || t.Outcome == Ran && i != ran) {
 			over--
 			continue
 		}
@@ -140,7 +140,7 @@
 
 // Of tells what is known of an attempt.
 func (e *Entry) Of(a Attempt) (o Outcome, known bool) {
-	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t Tried, a Attempt) int { return t.compare(a) })
+	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t AttemptRecord, a Attempt) int { return t.compare(a) })
 	if !there {
 		return Intent, false
 	}
@@ -148,27 +148,27 @@
 }
 
 // Others tells what the other attempts come to: whether this one may be sent beside them.
-func (e *Entry) Others(a Attempt) Fate {
+func (e *Entry) Others(a Attempt) Status {
 	o := Entry{}
 	for _, t := range e.Attempts {
 		if t.Attempt != a {
 			o.Attempts = append(o.Attempts, t)
 		}
 	}
-	return o.Fate()
+	return o.Status()
 }
 
 // Join adds what another dispatcher knows. It is commutative, associative and idempotent.
 func (e *Entry) Join(o Entry) {
 	for _, t := range o.Attempts {
-		e.Note(t.Attempt, t.Outcome)
+		e.Record(t.Attempt, t.Outcome)
 	}
-	for _, w := range o.Words {
-		if !slices.Contains(e.Words, w) {
-			e.Words = append(e.Words, w)
+	for _, w := range o.Resolutions {
+		if !slices.Contains(e.Resolutions, w) {
+			e.Resolutions = append(e.Resolutions, w)
 		}
 	}
-	slices.SortFunc(e.Words, func(a, b Word) int {
+	slices.SortFunc(e.Resolutions, func(a, b Resolution) int {
 		return cmp.Or(cmp.Compare(a.Wall, b.Wall), cmp.Compare(a.By, b.By), cmp.Compare(a.Why, b.Why), cmp.Compare(truth(a.Ran), truth(b.Ran)))
 	})
 }
@@ -181,4 +181,4 @@
 }
 
 // Clone is a copy of its own.
-func (e *Entry) Clone() Entry { return Entry{slices.Clone(e.Attempts), slices.Clone(e.Words)} }
+func (e *Entry) Clone() Entry { return Entry{slices.Clone(e.Attempts), slices.Clone(e.Resolutions)} }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,10 +22,10 @@
 var anEntry = rapid.Custom(func(t *rapid.T) Entry {
 	var e Entry
 	for range rapid.IntRange(0, 4).Draw(t, "attempts") {
-		e.Note(attempt(rapid.IntRange(0, 3).Draw(t, "n")), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
+		e.Record(attempt(rapid.IntRange(0, 3).Draw(t, "n")), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "words") {
-		e.Join(Entry{Words: []Word{{Ran: rapid.Bool().Draw(t, "ran"), By: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "by"))}}})
+		e.Join(Entry{Resolutions: []Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "by"))}}})
 	}
 	return e
 })
@@ -39,8 +39,8 @@
 }
 
 func same(a, b Entry) bool {
-	return len(a.Attempts) == len(b.Attempts) && len(a.Words) == len(b.Words) && (len(a.Attempts) == 0 || reflect.DeepEqual(a.Attempts, b.Attempts)) &&
-		(len(a.Words) == 0 || reflect.DeepEqual(a.Words, b.Words))
+	return len(a.Attempts) == len(b.Attempts) && len(a.Resolutions) == len(b.Resolutions) && (len(a.Attempts) == 0 || reflect.DeepEqual(a.Attempts, b.Attempts)) &&
+		(len(a.Resolutions) == 0 || reflect.DeepEqual(a.Resolutions, b.Resolutions))
 }
 
 // The laws of joining, and what may never happen by it: nothing that was forbidden is allowed by knowing more, but for proof of
@@ -52,8 +52,8 @@
 			t.Fatalf("%+v %+v %+v", a, b, c)
 		}
 		all := joined(a, b)
-		if (a.Fate() == DidRun || b.Fate() == DidRun) && all.Fate() != DidRun {
-			t.Fatalf("%v and %v come to %v", a.Fate(), b.Fate(), all.Fate())
+		if (a.Status() == DidRun || b.Status() == DidRun) && all.Status() != DidRun {
+			t.Fatalf("%v and %v come to %v", a.Status(), b.Status(), all.Status())
 		}
 		for _, x := range a.Attempts {
 			if o, known := all.Of(x.Attempt); !known || o < x.Outcome {
@@ -62,7 +62,7 @@
 		}
 		if all.MaySend() {
 			for _, x := range all.Attempts {
-				if x.Outcome != Never {
+				if x.Outcome != NeverRan {
 					t.Fatalf("it may be sent on though %v is %v", x.Attempt, x.Outcome)
 				}
 			}
@@ -73,42 +73,42 @@
 func TestFates(t *testing.T) {
 	for name, x := range map[string]struct {
 		outcomes []Outcome
-		words    []Word
-		want     Fate
+		words    []Resolution
+		want     Status
 	}{
-		"nothing":              {nil, nil, Fresh},
+		"nothing":              {nil, nil, NeverSent},
 		"on its way":           {[]Outcome{Intent}, nil, Unknown},
-		"proven":               {[]Outcome{Never}, nil, NotRun},
-		"one of two is proven": {[]Outcome{Never, Intent}, nil, Unknown},
-		"ran":                  {[]Outcome{Never, Ran, Intent}, nil, DidRun},
-		"settled: never":       {[]Outcome{Intent}, []Word{{By: "op"}}, NotRun},
-		"settled: ran":         {[]Outcome{Intent}, []Word{{By: "op", Ran: true}}, DidRun},
-		"settled, then again":  {[]Outcome{Intent}, []Word{{By: "op"}, {By: "other", Ran: true}}, NotRun}, // nothing was unknown any more
-		"settled against fact": {[]Outcome{Ran}, []Word{{By: "op"}}, DidRun},
+		"proven":               {[]Outcome{NeverRan}, nil, NotRun},
+		"one of two is proven": {[]Outcome{NeverRan, Intent}, nil, Unknown},
+		"ran":                  {[]Outcome{NeverRan, Ran, Intent}, nil, DidRun},
+		"settled: never":       {[]Outcome{Intent}, []Resolution{{By: "op"}}, NotRun},
+		"settled: ran":         {[]Outcome{Intent}, []Resolution{{By: "op", Ran: true}}, DidRun},
+		"settled, then again":  {[]Outcome{Intent}, []Resolution{{By: "op"}, {By: "other", Ran: true}}, NotRun}, // nothing was unknown any more
+		"settled against fact": {[]Outcome{Ran}, []Resolution{{By: "op"}}, DidRun},
 	} {
 		var e Entry
 		for i, o := range x.outcomes {
-			e.Note(attempt(i), o)
+			e.Record(attempt(i), o)
 		}
 		for _, w := range x.words {
 			e.Settle(w)
 		}
 		if len(x.words) > 0 { // a word says nothing of what is sent after it
 			later := e.Clone()
-			later.Note(attempt(9), Intent)
+			later.Record(attempt(9), Intent)
 			if later.MaySend() {
 				t.Errorf("%s: a repeat after another attempt", name)
 			}
 		}
-		if e.Fate() != x.want || e.MaySend() != (x.want == Fresh || x.want == NotRun) {
-			t.Errorf("%s: %v, wanted %v", name, e.Fate(), x.want)
+		if e.Status() != x.want || e.MaySend() != (x.want == NeverSent || x.want == NotRun) {
+			t.Errorf("%s: %v, wanted %v", name, e.Status(), x.want)
 		}
 	}
 }
 
 // Guards: one customer's flood neither pushes out another's marks nor takes all the room, and nothing is forgotten early.
 func TestBoundsAreFair(t *testing.T) {
-	table := NewTable(Limits{Entries: 1000, Keep: time.Hour, Share: 2})
+	table := NewTable(Limits{MaxEntries: 1000, Retention: time.Hour, Share: 2})
 	var refusal *Refusal
 	flood := 0
 	for i := range 5000 {
@@ -127,23 +127,23 @@
 		}
 	}
 	e := table.Look(time.Hour-1, key(0))
-	if e.Fate() != Unknown || table.Len() != flood+100 {
-		t.Errorf("%v of %d entries", e.Fate(), table.Len())
+	if e.Status() != Unknown || table.Len() != flood+100 {
+		t.Errorf("%v of %d entries", e.Status(), table.Len())
 	}
 	if err := table.Take(time.Hour-1, key(0), "flood", attempt(9)); err != nil {
 		t.Errorf("no room for what is there: %v", err)
 	}
-	if e := table.Look(time.Hour, key(1)); e.Fate() != Fresh {
-		t.Errorf("kept too long: %v", e.Fate())
+	if e := table.Look(time.Hour, key(1)); e.Status() != NeverSent {
+		t.Errorf("kept too long: %v", e.Status())
 	}
-	if e := table.Look(time.Hour, key(0)); e.Fate() != Unknown || table.Len() != 101 {
-		t.Errorf("forgotten early: %v, %d left", e.Fate(), table.Len())
+	if e := table.Look(time.Hour, key(0)); e.Status() != Unknown || table.Len() != 101 {
+		t.Errorf("forgotten early: %v, %d left", e.Status(), table.Len())
 	}
 	// What is learned is never refused, even beyond the bound.
 	for i := range 2000 {
 		var e Entry
-		e.Note(attempt(1), Ran)
-		table.Learn(time.Hour, key(50000+i), "learned", e)
+		e.Record(attempt(1), Ran)
+		table.Merge(time.Hour, key(50000+i), "learned", e)
 	}
 	if table.Len() != 2101 || table.Take(time.Hour, key(99999), "new", attempt(1)) == nil {
 		t.Errorf("%d entries", table.Len())
@@ -158,10 +158,10 @@
 		tables := make([]*Table, n)
 		whole := make([]bool, n)
 		for i := range tables {
-			tables[i], whole[i] = NewTable(Limits{Entries: 100, Keep: time.Hour, Share: 100}), true
+			tables[i], whole[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), true
 		}
-		do := func(op Op, lost string) *Count {
-			c := NewCount(n, op.Check)
+		do := func(op Op, lost string) *Tally {
+			c := NewTally(n, op.Exclusive)
 			for _, i := range rapid.Permutation(order(n)).Draw(t, "order") {
 				if rapid.IntRange(0, 4).Draw(t, lost) == 0 {
 					if rapid.Bool().Draw(t, "heard") { // its answer is lost
@@ -181,12 +181,12 @@
 			if rapid.IntRange(0, 3).Draw(t, "disk") == 0 { // one disk is lost, and filled again from enough others
 				i := rapid.IntRange(0, n-1).Draw(t, "whose")
 				if !slices.Contains(whole, false) {
-					tables[i], whole[i] = NewTable(Limits{Entries: 100, Keep: time.Hour, Share: 100}), false
+					tables[i], whole[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), false
 					left := Refill(n)
 					for _, j := range rapid.Permutation(order(n)).Draw(t, "from") {
 						if j != i && left > 0 && rapid.IntRange(0, 5).Draw(t, "answers") > 0 {
 							for k, r := range tables[j].all {
-								tables[i].Learn(0, k, r.customer, r.Clone())
+								tables[i].Merge(0, k, r.customer, r.Clone())
 							}
 							left--
 						}
@@ -194,11 +194,11 @@
 					whole[i] = left == 0
 				}
 			}
-			seen := do(Op{Do: Look, Key: key(1)}, "look")
+			seen := do(Op{Do: Lookup, Key: key(1)}, "look")
 			if sent > 0 && seen.Known() == Yes && seen.Entry.MaySend() {
 				t.Fatal("what was let send is not known to a majority")
 			}
-			if do(Op{Do: Take, Key: key(1), Check: true, Attempt: attempt(taker)}, "take").Granted() == Yes {
+			if do(Op{Do: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(taker)}, "take").Granted() == Yes {
 				if sent++; sent > 1 {
 					t.Fatal("two takers are let send")
 				}
@@ -216,9 +216,9 @@
 
 // A taker whose attempt is proven never to have run may send another, and one that gave up may not begin late.
 func TestTakeGoesByWhatTheTakerKnows(t *testing.T) {
-	table := NewTable(Limits{Entries: 100, Keep: time.Hour, Share: 100})
-	take := func(n int, own ...Tried) Reply {
-		r, learned := table.Do(0, Op{Do: Take, Key: key(1), Check: true, Attempt: attempt(n), Entry: Entry{Attempts: own}})
+	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
+	take := func(n int, own ...AttemptRecord) Reply {
+		r, learned := table.Do(0, Op{Do: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(n), Entry: Entry{Attempts: own}})
 		if o, known := learned.Of(attempt(n)); r.Granted != (known && o == Intent) {
 			t.Errorf("granted %v, and on disk %+v", r.Granted, learned)
 		}
@@ -229,39 +229,39 @@
 			t.Error("the first attempt is not granted")
 		}
 	}
-	if take(2).Granted || !take(2, Tried{attempt(1), Never}).Granted {
+	if take(2).Granted || !take(2, AttemptRecord{attempt(1), NeverRan}).Granted {
 		t.Error("takes")
 	}
-	if _, learned := table.Do(0, Op{Do: Learn, Key: key(1), Entry: Entry{Attempts: []Tried{{attempt(3), Never}}}}); len(learned.Attempts) != 1 {
+	if _, learned := table.Do(0, Op{Do: Merge, Key: key(1), Entry: Entry{Attempts: []AttemptRecord{{attempt(3), NeverRan}}}}); len(learned.Attempts) != 1 {
 		t.Error("nothing is learned")
 	}
-	if take(3, Tried{attempt(2), Never}).Granted {
+	if take(3, AttemptRecord{attempt(2), NeverRan}).Granted {
 		t.Error("an attempt that was given up begins late")
 	}
 }
 
 // Guards: the same words meant many times hold little, keep their fate, and are refused where too many are unknown.
 func TestManyAttemptsOfOneEntry(t *testing.T) {
-	table := NewTable(Limits{Entries: 100, Keep: time.Hour, Share: 100})
+	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	end := func(n int, o Outcome) {
 		if err := table.Take(0, key(1), "c", attempt(n)); err != nil {
 			t.Fatal(err)
 		}
 		if o != Intent {
-			table.Learn(0, key(1), "c", Entry{Attempts: []Tried{{attempt(n), o}}})
+			table.Merge(0, key(1), "c", Entry{Attempts: []AttemptRecord{{attempt(n), o}}})
 		}
 	}
 	for n := range 500 {
-		end(n, Never)
+		end(n, NeverRan)
 	}
-	if e := table.Look(0, key(1)); len(e.Attempts) > attemptsMost || e.Fate() != NotRun {
-		t.Errorf("%d attempts, %v", len(e.Attempts), e.Fate())
+	if e := table.Look(0, key(1)); len(e.Attempts) > attemptsMost || e.Status() != NotRun {
+		t.Errorf("%d attempts, %v", len(e.Attempts), e.Status())
 	}
 	for n := range 500 {
 		end(1000+n, Ran)
 	}
-	if e := table.Look(0, key(1)); len(e.Attempts) > attemptsMost || e.Fate() != DidRun {
-		t.Errorf("%d attempts, %v", len(e.Attempts), e.Fate())
+	if e := table.Look(0, key(1)); len(e.Attempts) > attemptsMost || e.Status() != DidRun {
+		t.Errorf("%d attempts, %v", len(e.Attempts), e.Status())
 	}
 	for n := range attemptsMost - 1 {
 		end(2000+n, Intent)
@@ -275,7 +275,7 @@
 }
 
 func BenchmarkMillionEntries(b *testing.B) {
-	table := NewTable(Limits{Entries: 1 << 20, Keep: time.Hour, Share: 1e9})
+	table := NewTable(Limits{MaxEntries: 1 << 20, Retention: time.Hour, Share: 1e9})
 	for i := range b.N {
 		if err := table.Take(0, key(i%1_000_000), "c", attempt(i)); err != nil {
 			b.Fatal(err)
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -30,9 +30,9 @@
 
 // Limits are those of a table.
 type Limits struct {
-	Entries int           // at most
-	Keep    time.Duration // an entry is kept for so long after it was last added to
-	Share   float64       // of the room that is free, a customer may hold so many times as much
+	MaxEntries int           // at most
+	Retention  time.Duration // an entry is kept for so long after it was last added to
+	Share      float64       // of the room that is free, a customer may hold so many times as much
 }
 
 // Table holds entries within its limits. Nothing is forgotten early: where there is no room, or a customer holds more than its
@@ -86,7 +86,7 @@
 		}
 	}
 	if r == nil {
-		free := t.limits.Entries - len(t.all)
+		free := t.limits.MaxEntries - len(t.all)
 		if free <= 0 {
 			return &Refusal{fmt.Sprintf("%d instructions are remembered, as many as there is room for", len(t.all))}
 		}
@@ -95,13 +95,13 @@
 		}
 		r = t.add(now, key, customer)
 	}
-	r.Note(a, Intent)
+	r.Record(a, Intent)
 	t.touch(now, r)
 	return nil
 }
 
-// Learn joins what is known elsewhere, or what became of an attempt. It is never refused: forgetting it could let it run twice.
-func (t *Table) Learn(now time.Duration, key Key, customer string, e Entry) {
+// Merge joins what is known elsewhere, or what became of an attempt. It is never refused: forgetting it could let it run twice.
+func (t *Table) Merge(now time.Duration, key Key, customer string, e Entry) {
 	t.expire(now)
 	r := t.all[key]
 	if r == nil {
@@ -112,7 +112,7 @@
 }
 
 func (t *Table) add(now time.Duration, key Key, customer string) *row {
-	r := &row{key: key, customer: customer, until: now + t.limits.Keep}
+	r := &row{key: key, customer: customer, until: now + t.limits.Retention}
 	t.all[key] = r
 	t.held[customer]++
 	heap.Push(&t.old, r)
@@ -125,7 +125,7 @@
 // touch keeps an entry for longer; never for less. Where it holds many attempts, those go that add nothing to its fate.
 func (t *Table) touch(now time.Duration, r *row) {
 	r.trim(attemptsMost / 2)
-	r.until = max(r.until, now+t.limits.Keep)
+	r.until = max(r.until, now+t.limits.Retention)
 	heap.Fix(&t.old, r.at)
 }
 
@@ -147,7 +147,7 @@
 		if len(some) >= most {
 			break
 		}
-		if r.Fate() == Unknown {
+		if r.Status() == Unknown {
 			some[key] = r.Clone()
 		}
 	}
@@ -161,7 +161,7 @@
 	if r == nil {
 		return Entry{}, "", 0
 	}
-	return r.Clone(), r.customer, r.until - t.limits.Keep
+	return r.Clone(), r.customer, r.until - t.limits.Retention
 }
 
 // ages orders rows by when they may be forgotten.
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -30,7 +30,7 @@
 
 func record(n int) Record {
 	r := Record{Key: key(n), Customer: "c", At: time.Duration(n) * time.Second}
-	r.Entry.Note(ledger.Attempt{Taker: "v1", Boot: 9, N: uint64(n)}, ledger.Intent)
+	r.Entry.Record(ledger.Attempt{Owner: "v1", Boot: 9, N: uint64(n)}, ledger.Intent)
 	return r
 }
 
@@ -153,12 +153,12 @@
 // Guards: with a disk that loses power, a record whose commit returned is there after any kill, and one whose commit did not
 // may be or not, whole.
 func TestPowerLossLosesNothingAcknowledged(t *testing.T) {
-	defer func() { boltfile.Power = nil }()
+	defer func() { boltfile.TestDisk = nil }()
 	r := rand.New(rand.NewPCG(1, 2))
 	path := filepath.Join(t.TempDir(), "ledger.db")
 	acked := 0
 	for life := range 20 {
-		boltfile.Power = &boltfile.Disk{Seed: uint64(life)}
+		boltfile.TestDisk = &boltfile.SimulatedDisk{Seed: uint64(life)}
 		l, all, err := opened(path)
 		if err != nil {
 			t.Fatal(err)
@@ -174,7 +174,7 @@
 			acked++
 		}
 		if r.IntN(2) == 0 { // it is killed in the middle of a sync, which has carried over some pages
-			boltfile.Power.CutAfter(r.IntN(6))
+			boltfile.TestDisk.CutAfter(r.IntN(6))
 			if err := l.Commit([]Record{record(acked + 1)}, 0); err == nil {
 				acked++
 			}
@@ -190,11 +190,11 @@
 	r := Record{Customer: rapid.String().Draw(t, "customer"), At: time.Duration(rapid.IntRange(0, 1e9).Draw(t, "at")) * time.Millisecond}
 	copy(r.Key[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "key"))
 	for range rapid.IntRange(0, 4).Draw(t, "attempts") {
-		r.Entry.Note(ledger.Attempt{Taker: rapid.StringN(0, 8, -1).Draw(t, "taker"), Boot: rapid.Uint64().Draw(t, "boot"), N: rapid.Uint64().Draw(t, "n")},
+		r.Entry.Record(ledger.Attempt{Owner: rapid.StringN(0, 8, -1).Draw(t, "taker"), Boot: rapid.Uint64().Draw(t, "boot"), N: rapid.Uint64().Draw(t, "n")},
 			ledger.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "words") {
-		r.Entry.Join(ledger.Entry{Words: []ledger.Word{{Ran: rapid.Bool().Draw(t, "ran"), By: rapid.String().Draw(t, "by"), Why: rapid.String().Draw(t, "why")}}})
+		r.Entry.Join(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: rapid.String().Draw(t, "by"), Why: rapid.String().Draw(t, "why")}}})
 	}
 	return r
 })
@@ -233,7 +233,7 @@
 
 func FuzzParse(f *testing.F) {
 	r := record(3)
-	r.Entry.Join(ledger.Entry{Words: []ledger.Word{{Ran: true, By: "op", Why: "books", Wall: "now"}}})
+	r.Entry.Join(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: true, By: "op", Why: "books", Wall: "now"}}})
 	f.Add(r.Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := Parse(b)
--- a/internal/ledgerlog/record.go
+++ b/internal/ledgerlog/record.go
@@ -46,13 +46,13 @@
 	b = putNumber(b, fieldAt, uint64(r.At.Milliseconds()))
 	for _, t := range r.Entry.Attempts {
 		var m []byte
-		m = putBytes(m, attemptTaker, []byte(t.Taker))
+		m = putBytes(m, attemptTaker, []byte(t.Owner))
 		m = putNumber(m, attemptBoot, t.Boot)
 		m = putNumber(m, attemptN, t.N)
 		m = putNumber(m, attemptOutcome, uint64(t.Outcome))
 		b = putBytes(b, fieldAttempt, m)
 	}
-	for _, w := range r.Entry.Words {
+	for _, w := range r.Entry.Resolutions {
 		var m []byte
 		ran := uint64(0)
 		if w.Ran {
@@ -136,13 +136,13 @@
 			if err != nil {
 				return err
 			}
-			r.Entry.Note(t.Attempt, t.Outcome)
+			r.Entry.Record(t.Attempt, t.Outcome)
 		case fieldWord:
 			w, err := parseWord(text)
 			if err != nil {
 				return err
 			}
-			r.Entry.Join(ledger.Entry{Words: []ledger.Word{w}})
+			r.Entry.Join(ledger.Entry{Resolutions: []ledger.Resolution{w}})
 		}
 		return nil
 	})
@@ -154,14 +154,14 @@
 
 const maxAt = 100 * 365 * 24 * time.Hour
 
-func parseAttempt(b []byte) (t ledger.Tried, err error) {
+func parseAttempt(b []byte) (t ledger.AttemptRecord, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, text []byte, isText bool) error {
 		if n <= attemptOutcome && isText != (n == attemptTaker) {
 			return errField
 		}
 		switch n {
 		case attemptTaker:
-			t.Taker = string(text)
+			t.Owner = string(text)
 		case attemptBoot:
 			t.Boot = v
 		case attemptN:
@@ -177,7 +177,7 @@
 	return t, err
 }
 
-func parseWord(b []byte) (w ledger.Word, err error) {
+func parseWord(b []byte) (w ledger.Resolution, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, text []byte, isText bool) error {
 		if n <= wordWall && isText != (n != wordRan) {
 			return errField
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -31,9 +31,9 @@
 	file    config.Config // as it was read last; all of it holds but the settings
 	content string        // that is in force
 
-	lists  *lists              // nil where each goes by its own register
-	back   *comeback           // nil where nothing keeps the order of a return
-	keeper *bookkeeping.Keeper // nil where nothing is remembered together
+	lists  *lists               // nil where each goes by its own register
+	back   *comeback            // nil where nothing keeps the order of a return
+	keeper *bookkeeping.Service // nil where nothing is remembered together
 }
 
 // takeup asks the program's goroutine to act on a version.
--- a/internal/program/force.go
+++ b/internal/program/force.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (p *program) keeper() *bookkeeping.Keeper {
+func (p *program) keeper() *bookkeeping.Service {
 	if p.agreed == nil {
 		return nil
 	}
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -21,10 +21,10 @@
 }
 
 // openLedger opens this dispatcher's part of the ledger.
-func (a *agreed) openLedger(cfg config.Config, folder string) (*bookkeeping.Keeper, error) {
+func (a *agreed) openLedger(cfg config.Config, folder string) (*bookkeeping.Service, error) {
 	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
-		Find: cfg.Ledger.FindTimeout(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
-		Speak: func(name string, ask, answer any, limit time.Duration) error {
+		FindTimeout: cfg.Ledger.FindTimeout(), Durability: cfg.Ledger.Survive, NewID: agreement.Draw, DiskRecord: (*ledgerRecord)(a.node),
+		Call: func(name string, ask, answer any, limit time.Duration) error {
 			return a.node.Speak(name, ledgerCall, ask, answer, limit)
 		}}
 	if LedgerHooks.Options != nil {
@@ -80,13 +80,13 @@
 			row, err = a.keeper.Show(key)
 			r.Ledger = []bookkeeping.Row{row}
 		case LedgerSettle:
-			err = a.keeper.Settle(key, ledger.Word{Ran: c.Ran, By: c.By, Why: c.Why, Wall: time.Now().UTC().Format(time.RFC3339)})
+			err = a.keeper.Settle(key, ledger.Resolution{Ran: c.Ran, By: c.By, Why: c.Why, Wall: time.Now().UTC().Format(time.RFC3339)})
 		case LedgerExport:
 			r.Ledger, r.Number, r.Last, err = a.keeper.Export(c.Number)
 		case LedgerImport:
 			err = a.keeper.Import(c.Ledger)
 		case LedgerStatus:
-			f := a.keeper.Figures()
+			f := a.keeper.Stats()
 			r.Figures = &f
 		case LedgerAccept:
 			err = a.keeper.Accept(c.By, c.Why)
@@ -101,7 +101,7 @@
 }
 
 func (a *agreed) ledgerFigures(say func(name string, value int, kind string)) {
-	f := a.keeper.Figures()
+	f := a.keeper.Stats()
 	say("ledger.calls", int(f.Calls), "c")
 	say("ledger.untold", int(f.Untold), "c")
 	say("ledger.wait_p50_us", int(f.WaitP50.Microseconds()), "g")
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -47,7 +47,7 @@
 
 // newStack makes a stack that knows the replicas of a list, whose version at its discovery is at, if it came from there. It is not yet open
 // to clients.
-func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Lease, l *lists, k *bookkeeping.Keeper) (*stack, error) {
+func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Lease, l *lists, k *bookkeeping.Service) (*stack, error) {
 	s := &stack{cfg: cfg, releaser: replica.NewReleaser(pool), fronts: map[string]*fasthttp.Server{}, heard: make(chan struct{}, 1),
 		unwatch: func() {}, lists: l, known: at}
 	var err error
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -145,38 +145,38 @@
 	"list-orders-free": {What: "operators' orders are on record and not kept", put: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.IgnoreOrders = true }
 	}},
-	"ledger-early": {What: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Seams.Early = true })},
+	"ledger-early": {What: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Hooks.SendBeforeRecorded = true })},
 	"ledger-unsynced": {What: "intents are acknowledged before they are on disk", put: keeper(func(o *bookkeeping.Options) {
-		o.Survive = bookkeeping.Process
+		o.Durability = bookkeeping.DurabilityProcess
 	})},
 	"ledger-unchecked": {What: "other attempts of the same key do not forbid an intent, and repeats do not ask", put: keeper(func(o *bookkeeping.Options) {
-		o.Seams.Op = func(op *ledger.Op) { op.Check = false }
-		o.Seams.Reply = func(r *ledger.Reply) {
+		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
+		o.Hooks.Reply = func(r *ledger.Reply) {
 			if !r.Granted {
 				r.Entry = ledger.Entry{}
 			}
 		}
 	})},
 	"ledger-prefers-never": {What: "an intent of which nothing more is known counts as one that never ran", put: keeper(func(o *bookkeeping.Options) {
-		o.Seams.Op = func(op *ledger.Op) { op.Check = false }
-		o.Seams.Reply = func(r *ledger.Reply) {
+		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
+		o.Hooks.Reply = func(r *ledger.Reply) {
 			r.Entry = r.Entry.Clone()
 			for i := range r.Entry.Attempts {
 				if t := &r.Entry.Attempts[i]; t.Outcome == ledger.Intent {
-					t.Outcome = ledger.Never
+					t.Outcome = ledger.NeverRan
 				}
 			}
 		}
 	})},
 	"ledger-one-holder": {What: "one holder is enough for an intent", put: keeper(func(o *bookkeeping.Options) {
-		o.Seams.Count = func(c *ledger.Count) { c.Need(1) }
+		o.Hooks.Tally = func(c *ledger.Tally) { c.Require(1) }
 	})},
-	"ledger-unfilled": {What: "a new file, or an old copy, counts as one that knows all", put: keeper(func(o *bookkeeping.Options) { o.Seams.Unfilled = true })},
+	"ledger-unfilled": {What: "a new file, or an old copy, counts as one that knows all", put: keeper(func(o *bookkeeping.Options) { o.Hooks.AssumeComplete = true })},
 	"ledger-soon": {What: "entries are forgotten after a tenth of a second", put: keeper(func(o *bookkeeping.Options) {
-		o.Limits.Keep = 100 * time.Millisecond
+		o.Limits.Retention = 100 * time.Millisecond
 	})},
 	"ledger-unclear-is-yes": {What: "where too few holders answer, an attempt is sent all the same", put: keeper(func(o *bookkeeping.Options) {
-		o.Seams.Verdict = func(_ ledger.Op, v ledger.Verdict) ledger.Verdict {
+		o.Hooks.Verdict = func(_ ledger.Op, v ledger.Verdict) ledger.Verdict {
 			if v == ledger.Unclear {
 				return ledger.Yes
 			}
@@ -184,22 +184,22 @@
 		}
 	})},
 	"ledger-lost-is-never": {What: "a connection that broke counts as proof that nothing ran", put: keeper(func(o *bookkeeping.Options) {
-		o.Seams.Outcome = func(out logic.Outcome, o ledger.Outcome) ledger.Outcome {
+		o.Hooks.Outcome = func(out logic.Outcome, o ledger.Outcome) ledger.Outcome {
 			if out != logic.Delivered {
-				return ledger.Never
+				return ledger.NeverRan
 			}
 			return o
 		}
 	})},
 	"ledger-own-keys": {What: "dispatchers give one instruction different keys", put: keeper(func(o *bookkeeping.Options) {
 		name := o.Name
-		o.Seams.Op = func(op *ledger.Op) {
+		o.Hooks.Op = func(op *ledger.Op) {
 			for i := range name {
 				op.Key[i] ^= name[i]
 			}
 		}
 	})},
-	"ledger-forgets": {What: "what is on disk is not read at the start", put: keeper(func(o *bookkeeping.Options) { o.Seams.Forgets = true })},
+	"ledger-forgets": {What: "what is on disk is not read at the start", put: keeper(func(o *bookkeeping.Options) { o.Hooks.SkipLoad = true })},
 	"base-unchecked": {What: "a proposal counts whatever version it was made from", put: func() {
 		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
 			if e.Propose != nil {
@@ -219,7 +219,7 @@
 // PutIn puts in the fault that the environment names, if any, and the disk that loses power.
 func PutIn() {
 	if seed, err := strconv.ParseUint(os.Getenv(PowerEnv), 10, 64); err == nil {
-		boltfile.Power = &boltfile.Disk{Seed: seed}
+		boltfile.TestDisk = &boltfile.SimulatedDisk{Seed: seed}
 	}
 	if f, ok := Faults[os.Getenv(FaultEnv)]; ok {
 		f.put()
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -38,10 +38,10 @@
 }
 
 // LedgerFigures gives those of one dispatcher.
-func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Figures, error) {
+func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Stats, error) {
 	r, err := b.Ask(d, agreement.Command{Do: program.LedgerStatus})
 	if err != nil || r.Figures == nil {
-		return bookkeeping.Figures{}, fmt.Errorf("no figures: %w %s", err, r.Error)
+		return bookkeeping.Stats{}, fmt.Errorf("no figures: %w %s", err, r.Error)
 	}
 	return *r.Figures, nil
 }
--- a/internal/proving/orders.go
+++ b/internal/proving/orders.go
@@ -31,7 +31,7 @@
 	Served int // whole answers
 	Told   int // 424: it may have run
 	Ran    int // as the writers counted
-	Fate   ledger.Fate
+	Fate   ledger.Status
 	Listed bool // among the unknown ones in the end
 	Shown  bool // its fate could be asked for in the end
 }
@@ -178,7 +178,7 @@
 			key, _ := once.Key(&h, "", nil)
 			r, err := o.f.Ask(o.f.List[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
 			if err == nil && r.Error == "" && len(r.Ledger) == 1 {
-				order.Fate, order.Shown = r.Ledger[0].Entry.Fate(), true
+				order.Fate, order.Shown = r.Ledger[0].Entry.Status(), true
 			}
 			order.Listed = listed[key.String()]
 		}
@@ -212,7 +212,7 @@
 				find("unknown", "instruction %s is unknown and not listed", o.Name)
 			}
 		}
-		if o.Ran > 0 && (o.Fate == ledger.Fresh || o.Fate == ledger.NotRun) {
+		if o.Ran > 0 && (o.Fate == ledger.NeverSent || o.Fate == ledger.NotRun) {
 			find("forgotten", "instruction %s ran, and the ledger says: %v", o.Name, o.Fate)
 		}
 	}
@@ -244,9 +244,9 @@
 	}
 	switch s.Value {
 	case "stall":
-		return os.WriteFile(path+boltfile.Stall, nil, 0o600)
+		return os.WriteFile(path+boltfile.StallSuffix, nil, 0o600)
 	case "full":
-		return os.WriteFile(path+boltfile.Full, nil, 0o600)
+		return os.WriteFile(path+boltfile.FullSuffix, nil, 0o600)
 	}
-	return errors.Join(gone(path+boltfile.Stall), gone(path+boltfile.Full))
+	return errors.Join(gone(path+boltfile.StallSuffix), gone(path+boltfile.FullSuffix))
 }
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -160,8 +160,8 @@
 	return l.identity
 }
 
-// Join notes the cluster that the file belongs to from now on.
-func (l *Log) Join(cluster uint64) error {
+// SetCluster notes the cluster that the file belongs to from now on.
+func (l *Log) SetCluster(cluster uint64) error {
 	l.mu.Lock()
 	l.identity.Cluster = cluster
 	now := l.identity
@@ -253,15 +253,15 @@
 	return l.mem.Compact(index)
 }
 
-// Note keeps a small value under a name.
-func (l *Log) Note(name string, value []byte) error {
+// SetValue keeps a small value under a name.
+func (l *Log) SetValue(name string, value []byte) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
 		return tx.Bucket(noteBucket).Put([]byte(name), boltfile.Seal([]byte(name), value))
 	})
 }
 
-// Noted gives a value that was kept; nil if there is none.
-func (l *Log) Noted(name string) (value []byte, err error) {
+// Value gives a value that was kept; nil if there is none.
+func (l *Log) Value(name string) (value []byte, err error) {
 	err = l.db.View(func(tx *bolt.Tx) error {
 		v := tx.Bucket(noteBucket).Get([]byte(name))
 		if v == nil {
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -39,10 +39,10 @@
 		t.Fatal(err)
 	}
 	for _, err := range []error{
-		l.Join(7),
+		l.SetCluster(7),
 		l.Save(hard(1, 42, 0), []*raftpb.Entry{entry(1, 1, "one"), entry(2, 1, "two"), entry(3, 1, "never committed")}, nil),
 		l.Save(hard(2, 42, 3), []*raftpb.Entry{entry(3, 2, "three"), entry(4, 2, "four"), entry(5, 2, strings.Repeat("five", 3000))}, nil),
-		l.Note("life", []byte("long")),
+		l.SetValue("life", []byte("long")),
 		l.Close(),
 	} {
 		if err != nil {
@@ -63,10 +63,10 @@
 	if err != nil || state.GetTerm() != 2 || state.GetVote() != 42 || state.GetCommit() != 3 || len(all) != 5 || string(all[2].GetData()) != "three" {
 		t.Fatalf("%v %v %v", state, all, err)
 	}
-	if note, err := l.Noted("life"); string(note) != "long" || err != nil {
+	if note, err := l.Value("life"); string(note) != "long" || err != nil {
 		t.Errorf("note %q %v", note, err)
 	}
-	if note, err := l.Noted("other"); note != nil || err != nil {
+	if note, err := l.Value("other"); note != nil || err != nil {
 		t.Errorf("note %q %v", note, err)
 	}
 	if _, err := Open(path, draw); err == nil || !strings.Contains(err.Error(), "another program") {
