--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -11,11 +11,11 @@
 // Ledger configures the ledger in which the dispatchers of a cluster record requests that must not
 // run twice. It is off if the operator's file lacks it.
 type Ledger struct {
-	Keep    string              `json:"keep"`    // how long an entry is kept after its last attempt; 24h if not set
-	Entries int                 `json:"entries"` // most entries; a million if not set
-	Share   float64             `json:"share"`   // a customer may hold up to this multiple of the free room; 2 if not set
-	Find    string              `json:"find"`    // how long recording an intent or looking up a repeat may take; 200ms if not set
-	Survive bookkeeping.Survive `json:"survive"` // which loss entries survive: process, site or disk; site if not set
+	Keep    string                 `json:"keep"`    // how long an entry is kept after its last attempt; 24h if not set
+	Entries int                    `json:"entries"` // most entries; a million if not set
+	Share   float64                `json:"share"`   // a customer may hold up to this multiple of the free room; 2 if not set
+	Find    string                 `json:"find"`    // how long recording an intent or looking up a repeat may take; 200ms if not set
+	Survive bookkeeping.Durability `json:"survive"` // which loss entries survive: process, site or disk; site if not set
 }
 
 // Defaults and bounds.
@@ -44,7 +44,7 @@
 		l.Find = defaultLedgerFind.String()
 	}
 	if l.Survive == "" {
-		l.Survive = bookkeeping.Site
+		l.Survive = bookkeeping.DurabilitySite
 	}
 	keep, err := time.ParseDuration(l.Keep)
 	if err != nil || keep < minLedgerKeep {
@@ -58,7 +58,7 @@
 		return &Fault{"ledger.entries", "must not be negative"}
 	case l.Share < 0:
 		return &Fault{"ledger.share", "must not be negative"}
-	case !l.Survive.Known():
+	case !l.Survive.Valid():
 		return &Fault{"ledger.survive", fmt.Sprintf("%q is not one of process, site and disk", l.Survive)}
 	}
 	return nil
@@ -66,7 +66,7 @@
 
 // Limits returns the limits of the ledger's table.
 func (l *Ledger) Limits() ledger.Limits {
-	return ledger.Limits{Entries: l.Entries, Keep: durationOf(l.Keep), Share: l.Share}
+	return ledger.Limits{MaxEntries: l.Entries, Retention: durationOf(l.Keep), Share: l.Share}
 }
 
 // FindTimeout returns how long recording an intent or looking up a repeat may take.
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -15,10 +15,10 @@
 
 // Ledger is the record of instructions that the dispatchers share.
 type Ledger interface {
-	// Find returns an error if a repeat of an instruction must not be accepted.
-	Find(key ledger.Key, deadline time.Time) error
+	// CheckRepeat returns an error if a repeat of an instruction must not be accepted.
+	CheckRepeat(key ledger.Key, deadline time.Time) error
 	// Note returns the recorder for the attempts of an instruction.
-	Note(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
+	IntentRecorder(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
 }
 
 // KeyHeader is the header in which a client sends the key of an instruction
@@ -33,11 +33,11 @@
 	key, named := Key(h, customer, content)
 	named = named || repeat
 	if named {
-		if err := l.Find(key, deadline); err != nil {
+		if err := l.CheckRepeat(key, deadline); err != nil {
 			return nil, err
 		}
 	}
-	return l.Note(key, customer, named), nil
+	return l.IntentRecorder(key, customer, named), nil
 }
 
 // Key returns the ledger key of an instruction: derived from the client's key if it sent one, else
