--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -21,7 +21,7 @@
 	proposeCall = "/agree/propose"
 	showCall    = "/agree/show"
 	seatCall    = "/agree/seat"
-	readingCall = peers.ReadingCall
+	readingCall = peers.ReadingPath
 	confirmCall = "/agree/confirm"
 )
 
@@ -171,7 +171,7 @@
 // handle answers the calls of others.
 func (n *Node) handle(from peers.Caller, path string, body []byte) ([]byte, error) {
 	v := n.voter
-	if path == peers.RaftCall {
+	if path == peers.RaftPath {
 		return nil, v.frames(from, body)
 	}
 	var answer any
@@ -180,7 +180,7 @@
 	case renewCall:
 		var r agree.Renewal
 		if err = n.decode(from, body, &r); err == nil && r.Name != from.Name {
-			n.counts.Drop(peers.NoMember, from.Name, "it speaks for "+r.Name)
+			n.counts.RecordDrop(peers.NotMember, from.Name, "it speaks for "+r.Name)
 			err = errors.New("a renewal for another")
 		}
 		if err == nil {
@@ -226,7 +226,7 @@
 			}
 			return nil, err
 		}
-		n.counts.Drop(peers.Malformed, from.Name, "no such call: "+path)
+		n.counts.RecordDrop(peers.Malformed, from.Name, "no such call: "+path)
 		return nil, fmt.Errorf("no such call: %s", path)
 	}
 	if err != nil {
@@ -237,7 +237,7 @@
 
 func (n *Node) decode(from peers.Caller, body []byte, into any) error {
 	if err := jsoniter.Unmarshal(body, into); err != nil {
-		n.counts.Drop(peers.Malformed, from.Name, err.Error())
+		n.counts.RecordDrop(peers.Malformed, from.Name, err.Error())
 		return err
 	}
 	return nil
--- a/internal/agreement/frames.go
+++ b/internal/agreement/frames.go
@@ -22,12 +22,12 @@
 	for len(body) > 0 {
 		size, n := binary.Uvarint(body)
 		if n <= 0 || size > uint64(len(body)-n) || size > math.MaxInt32 {
-			v.n.counts.Drop(peers.WrongSize, from.Name, "a frame of "+strconv.FormatUint(size, 10)+" bytes")
+			v.n.counts.RecordDrop(peers.TooLarge, from.Name, "a frame of "+strconv.FormatUint(size, 10)+" bytes")
 			return errors.New("a frame of a wrong size")
 		}
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(body[n:n+int(size)], m); err != nil {
-			v.n.counts.Drop(peers.Malformed, from.Name, err.Error())
+			v.n.counts.RecordDrop(peers.Malformed, from.Name, err.Error())
 			return err
 		}
 		body = body[n+int(size):]
@@ -53,7 +53,7 @@
 		wrong = fmt.Sprintf("of disk %x, which has no seat", m.GetFrom())
 	}
 	if wrong != "" {
-		v.n.counts.Drop(peers.NoMember, from, "a frame "+wrong)
+		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+wrong)
 		return
 	}
 	v.names[m.GetFrom()] = from
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -175,7 +175,7 @@
 		if n.voter, err = newVoter(n); err != nil {
 			return err
 		}
-		n.server = &peers.Server{Cluster: n.opt.Cluster, ID: n.id.Load, Counts: &n.counts, Handle: n.handle, Knows: n.opt.Knows}
+		n.server = &peers.Server{Cluster: n.opt.Cluster, ClusterID: n.id.Load, Counts: &n.counts, Handle: n.handle, IsMember: n.opt.Knows}
 		if err := n.server.Start(n.opt.Listen, n.opt.Conns); err != nil {
 			return err
 		}
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue)+len(text) > queueBytes {
-		s.n.counts.Drop(peers.QueueFull, s.name, "frames wait for a voter that takes none")
+		s.n.counts.RecordDrop(peers.QueueFull, s.name, "frames wait for a voter that takes none")
 		return false
 	}
 	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(text))), text...)
@@ -67,7 +67,7 @@
 		frames, snaps := s.queue, s.snaps
 		s.queue, s.snaps = nil, nil
 		s.mu.Unlock()
-		_, err := s.link.Call(peers.RaftCall, frames, s.n.opt.Timing.Take)
+		_, err := s.link.Call(peers.RaftPath, frames, s.n.opt.Timing.Take)
 		status := raft.SnapshotFinish
 		if err != nil {
 			status = raft.SnapshotFailure
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -156,7 +156,7 @@
 	case v.inbox <- f:
 		return nil
 	default:
-		v.n.counts.Drop(peers.QueueFull, v.n.opt.Name, "the voter's inbox is full")
+		v.n.counts.RecordDrop(peers.QueueFull, v.n.opt.Name, "the voter's inbox is full")
 		return errBusy
 	}
 }
--- a/internal/fleetmodel/power.go
+++ b/internal/fleetmodel/power.go
@@ -40,7 +40,7 @@
 		sum += other.weight
 	}
 	rate := r.m.day.Rate * r.weight / sum // that it has served for long
-	r.known = recovery.Borne(knownFrom, seconds(knownFrom/rate), r.m.kindWeights(), r.m.set.Kinds)
+	r.known = recovery.MeasureWarmRates(knownFrom, seconds(knownFrom/rate), r.m.kindWeights(), r.m.set.Kinds)
 }
 
 const knownFrom = 100 // requests tell what replicas bear
@@ -54,8 +54,8 @@
 	if !r.m.day.Ordered {
 		return
 	}
-	b := &comeback{r: r, gate: recovery.NewGate(len(r.m.set.Classes)), from: r.m.now}
-	b.ramp = recovery.Ramp{From: r.m.set.ColdFrom, Warming: r.m.set.RampTime, Capacity: r.known.Capacity(r.m.kindWeights(), r.m.set.Kinds)}
+	b := &comeback{r: r, gate: recovery.NewAdmissionLimiter(len(r.m.set.Classes)), from: r.m.now}
+	b.ramp = recovery.Ramp{ColdShare: r.m.set.ColdFrom, WarmUpTime: r.m.set.RampTime, Capacity: r.known.Capacity(r.m.kindWeights(), r.m.set.Kinds)}
 	r.now.back = b
 	set := r.m.set
 	set.Zone, set.WarmRates = zoneName(r.zone), r.known
@@ -76,7 +76,7 @@
 // comeback is a process's way back to serving as usual.
 type comeback struct {
 	r       *router
-	gate    *recovery.Gate
+	gate    *recovery.AdmissionLimiter
 	ramp    recovery.Ramp
 	from    time.Duration
 	stepped time.Duration
@@ -93,16 +93,16 @@
 	}
 	if now := m.now; now-b.stepped >= comebackStep {
 		b.stepped = now
-		b.gate.Allow(now, b.ramp.Rate(now-b.from, lately(b.r.answers, now)))
+		b.gate.SetRate(now, b.ramp.Rate(now-b.from, lately(b.r.answers, now)))
 	}
-	if warm && !(b.ramp.Capacity > 0 && b.gate.Held(m.now)) {
+	if warm && !(b.ramp.Capacity > 0 && b.gate.Throttling(m.now)) {
 		b.r.now.back = nil
 		return 0, true
 	}
 	if b.gate.Admit(m.now, q.talk.class, q.tries > 0, "") {
 		return 0, true
 	}
-	return min(recovery.Return(b.gate.Refused(m.now), b.gate.Rate(), m.rnd.Float64()), m.set.MaxRetryAfter), false
+	return min(recovery.RetryAfter(b.gate.RefusedRate(m.now), b.gate.Rate(), m.rnd.Float64()), m.set.MaxRetryAfter), false
 }
 
 // lately is how many a second there were of late.
--- a/internal/fleetmodel/router.go
+++ b/internal/fleetmodel/router.go
@@ -23,8 +23,8 @@
 	away    bool
 	now     *process
 	boots   uint64
-	answers []time.Duration // when it served
-	known   recovery.Known  // what replicas bear
+	answers []time.Duration    // when it served
+	known   recovery.WarmRates // what replicas bear
 }
 
 // process carries out what a Router of package logic says. What it took it finishes, also when another has begun.
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -153,7 +153,7 @@
 		}
 		done = func(mayHaveRun bool) { f.ledger.close(key, mayHaveRun) }
 	}
-	t := f.core.Submit(dispatch.Request{ID: id, Spec: ask, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: noted, Payload: &replica.Parcel{
+	t := f.core.Submit(dispatch.Request{ID: id, Spec: ask, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: noted, Payload: &replica.Request{
 		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: path, Host: string(h.Host()), Body: text,
 		Headers: headers(ask, h)}})
 	a, stop := front.AwaitAnswer(ctx, t)
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -202,7 +202,7 @@
 		gone <- true
 	}, func(x *standin.Exchange) { x.Answer("twice!") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
-	rig.Pool.Stall = 30 * time.Second // what ends the attempt is the client
+	rig.Pool.StallTimeout = 30 * time.Second // what ends the attempt is the client
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -163,7 +163,7 @@
 	ask.Remaining = min(ask.Remaining, longest(class, ask.PromptTokens))
 	try := string(in.Header.Peek("X-Second-Try"))
 	ask.Retried, ask.Resumed = try == "1", try == "again"
-	parcel := &replica.Parcel{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
+	parcel := &replica.Request{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
 		URI: string(in.RequestURI()), Host: string(in.Header.Host()), Body: body}
 	parcel.Headers = front.ForwardedHeaders(&in.Header, "X-Trace-Id", "X-Expires-In")
 	q.Payload, q.Size, q.Resumable = parcel, len(body), set.movable
--- a/internal/fronttest/rig.go
+++ b/internal/fronttest/rig.go
@@ -66,7 +66,7 @@
 	}
 	set := Settings()
 	r.Pool = replica.NewPool(64, set.ConnIdle, set.ConnectTimeout)
-	r.Pool.Stall = 300 * time.Millisecond
+	r.Pool.StallTimeout = 300 * time.Millisecond
 	core, err := dispatch.New(set, 1, list, replica.NewReleaser(r.Pool), dispatch.Bounds{Requests: 64, Bytes: 16 << 20})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,10 +29,10 @@
 	callTime  = 5 * time.Second // for a call to be whole, and for its answer to be taken
 	idleTime  = 30 * time.Second
 	smallCall = 1 << 20 // bytes
-	// RaftCall is the path of the voters' frames, which may hold a snapshot.
-	RaftCall = "/agree/raft"
-	// ReadingCall is the path of what a reader of the register heard: a whole list.
-	ReadingCall = "/agree/reading"
+	// RaftPath is the path of the voters' frames, which may hold a snapshot.
+	RaftPath = "/agree/raft"
+	// ReadingPath is the path of what a reader of the register heard: a whole list.
+	ReadingPath = "/agree/reading"
 	largeCall   = 8 << 20
 	answerMost  = 16 << 20
 
@@ -43,9 +43,9 @@
 // Causes for which something is dropped.
 const (
 	OtherCluster = "cluster"
-	NoMember     = "sender"
-	WrongSize    = "size"
-	TooOften     = "rate"
+	NotMember    = "sender"
+	TooLarge     = "size"
+	RateLimited  = "rate"
 	QueueFull    = "queue"
 	Malformed    = "form"
 )
@@ -59,8 +59,8 @@
 	said    map[string]time.Time
 }
 
-// Drop books something that was dropped and logs it, one line for each cause in a while.
-func (c *Counts) Drop(cause, who, what string) {
+// RecordDrop books something that was dropped and logs it, one line for each cause in a while.
+func (c *Counts) RecordDrop(cause, who, what string) {
 	c.mu.Lock()
 	if c.dropped == nil {
 		c.dropped, c.said = map[string]int64{}, map[string]time.Time{}
@@ -85,8 +85,8 @@
 
 // Caller is who calls.
 type Caller struct {
-	Name    string
-	Cluster uint64 // 0 where it does not know yet
+	Name      string
+	ClusterID uint64 // 0 where it does not know yet
 }
 
 // Handler answers a call. A nil answer with an error is told as such.
@@ -94,11 +94,11 @@
 
 // Server answers calls.
 type Server struct {
-	Cluster string
-	ID      func() uint64          // the cluster's number, 0 while it is not known
-	Knows   func(name string) bool // members
-	Handle  Handler
-	Counts  *Counts
+	Cluster   string
+	ClusterID func() uint64          // the cluster's number, 0 while it is not known
+	IsMember  func(name string) bool // members
+	Handle    Handler
+	Counts    *Counts
 
 	mu    sync.Mutex
 	rates map[string]*rate.Limiter
@@ -118,7 +118,7 @@
 		Handler: s.serve, Concurrency: conns, ReadTimeout: callTime, WriteTimeout: callTime, IdleTimeout: idleTime, ReadBufferSize: 4 << 10,
 		MaxRequestBodySize: largeCall, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, Logger: front.DiscardLogger{},
 		HeaderReceived: func(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
-			if path := string(h.RequestURI()); path == RaftCall || path == ReadingCall {
+			if path := string(h.RequestURI()); path == RaftPath || path == ReadingPath {
 				return fasthttp.RequestConfig{}
 			}
 			return fasthttp.RequestConfig{MaxRequestBodySize: smallCall}
@@ -126,9 +126,9 @@
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
 			cause := Malformed
 			if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-				cause = WrongSize
+				cause = TooLarge
 			}
-			s.Counts.Drop(cause, string(ctx.Request.Header.Peek(headerMember)), err.Error())
+			s.Counts.RecordDrop(cause, string(ctx.Request.Header.Peek(headerMember)), err.Error())
 			ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		},
 	}
@@ -152,8 +152,8 @@
 	s.Counts.In.Add(1)
 	s.Counts.BytesIn.Add(int64(len(body)))
 	id, err := strconv.ParseUint(string(h.Peek(headerID)), 16, 64)
-	from.Cluster = id
-	own := s.ID()
+	from.ClusterID = id
+	own := s.ClusterID()
 	switch name := string(h.Peek(headerCluster)); {
 	case err != nil || !ctx.IsPost():
 		s.turnAway(ctx, Malformed, from.Name, "not a call of this program", fasthttp.StatusBadRequest)
@@ -161,10 +161,10 @@
 		s.turnAway(ctx, OtherCluster, from.Name, fmt.Sprintf("of cluster %q, this is %q", name, s.Cluster), fasthttp.StatusForbidden)
 	case id != 0 && own != 0 && id != own:
 		s.turnAway(ctx, OtherCluster, from.Name, fmt.Sprintf("of cluster number %x, this is %x: a cluster of the same name that was founded apart", id, own), fasthttp.StatusForbidden)
-	case !s.Knows(from.Name):
-		s.turnAway(ctx, NoMember, from.Name, "neither a voter nor among agree.others", fasthttp.StatusForbidden)
+	case !s.IsMember(from.Name):
+		s.turnAway(ctx, NotMember, from.Name, "neither a voter nor among agree.others", fasthttp.StatusForbidden)
 	case !s.limiter(from.Name).Allow():
-		s.turnAway(ctx, TooOften, from.Name, "more than its share of calls", fasthttp.StatusTooManyRequests)
+		s.turnAway(ctx, RateLimited, from.Name, "more than its share of calls", fasthttp.StatusTooManyRequests)
 	default:
 		answer, err := s.Handle(from, string(ctx.Path()), body)
 		if err != nil {
@@ -177,7 +177,7 @@
 }
 
 func (s *Server) turnAway(ctx *fasthttp.RequestCtx, cause, who, text string, status int) {
-	s.Counts.Drop(cause, who, text)
+	s.Counts.RecordDrop(cause, who, text)
 	ctx.Error(text, status)
 }
 
@@ -192,8 +192,8 @@
 	return l
 }
 
-// ErrAnswer is an error that the other side has told.
-var ErrAnswer = errors.New("")
+// ErrRemote is an error that the other side has told.
+var ErrRemote = errors.New("")
 
 // Link leads to one dispatcher.
 type Link struct {
@@ -241,7 +241,7 @@
 	l.heard.Store(true)
 	l.counts.BytesIn.Add(int64(len(resp.Body())))
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, fmt.Errorf("%w%s", ErrAnswer, resp.Body())
+		return nil, fmt.Errorf("%w%s", ErrRemote, resp.Body())
 	}
 	return slices.Clone(resp.Body()), nil
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -20,7 +20,7 @@
 	_ = ln.Close()
 	handled := 0
 	id := func(n uint64) func() uint64 { return func() uint64 { return n } }
-	s := &Server{Cluster: "one", ID: id(7), Knows: func(name string) bool { return name == "a" }, Counts: &Counts{},
+	s := &Server{Cluster: "one", ClusterID: id(7), IsMember: func(name string) bool { return name == "a" }, Counts: &Counts{},
 		Handle: func(from Caller, path string, body []byte) ([]byte, error) {
 			handled++
 			if path == "/fail" {
@@ -52,8 +52,8 @@
 			}
 			return err
 		},
-		NoMember:  func() error { _, err := link("one", "b", 7).Call("/x", nil, time.Second); return err },
-		WrongSize: func() error { _, err := good.Call("/x", make([]byte, smallCall+1), time.Second); return err },
+		NotMember: func() error { _, err := link("one", "b", 7).Call("/x", nil, time.Second); return err },
+		TooLarge:  func() error { _, err := good.Call("/x", make([]byte, smallCall+1), time.Second); return err },
 		Malformed: func() error {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -82,7 +82,7 @@
 			break
 		}
 	}
-	if last == nil || s.Counts.Dropped()[TooOften] == 0 {
+	if last == nil || s.Counts.Dropped()[RateLimited] == 0 {
 		t.Errorf("a flood was taken: %v", last)
 	}
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/program/comeback.go
+++ b/internal/program/comeback.go
@@ -20,9 +20,9 @@
 
 // RecoveryHooks are where a test's own build puts faults in; none elsewhere.
 var RecoveryHooks struct {
-	OverrideKnown    func(recovery.Known) recovery.Known                // what is gone by, in place of what is known
-	OverrideReported func(name string, k recovery.Known) recovery.Known // and what others are told
-	OverrideManner   func(recovery.Manner) recovery.Manner
+	OverrideKnown    func(recovery.WarmRates) recovery.WarmRates                // what is gone by, in place of what is known
+	OverrideReported func(name string, k recovery.WarmRates) recovery.WarmRates // and what others are told
+	OverrideManner   func(recovery.Permissions) recovery.Permissions
 	OverrideRate     func(float64) float64 // that is let in
 	TrustInitialList bool                  // a list from before the start, as to which replicas are warm
 }
@@ -47,17 +47,17 @@
 
 	mu      sync.Mutex
 	machine *recovery.Machine
-	manner  recovery.Manner
+	manner  recovery.Permissions
 	stage   recovery.Stage
 	since   time.Time
 	serving time.Time // since when all is as usual; zero before
-	gate    *recovery.Gate
+	gate    *recovery.AdmissionLimiter
 	classes []logic.Class
-	admits  time.Time      // since when requests are let in
-	refused float64        // a second, of late
-	known   recovery.Known // what the fleet bears, by what this dispatcher served ...
-	noted   recovery.Known // ... as it is on disk ...
-	told    recovery.Known // ... and by what others say
+	admits  time.Time          // since when requests are let in
+	refused float64            // a second, of late
+	known   recovery.WarmRates // what the fleet bears, by what this dispatcher served ...
+	noted   recovery.WarmRates // ... as it is on disk ...
+	told    recovery.WarmRates // ... and by what others say
 	kinds   []logic.Kind
 	bears   float64       // requests a second of this dispatcher that what is listed bears once it is warm; 0: not known
 	longest time.Duration // pause that clients honour; 0: any
@@ -65,10 +65,10 @@
 }
 
 func newComeback(a *agreed, cfg config.Config) *comeback {
-	b := &comeback{a: a, name: cfg.Name, ramp: cfg.Settings.RampTime, from: cfg.Settings.ColdFrom, began: time.Now(), since: time.Now(), gate: recovery.NewGate(0),
+	b := &comeback{a: a, name: cfg.Name, ramp: cfg.Settings.RampTime, from: cfg.Settings.ColdFrom, began: time.Now(), since: time.Now(), gate: recovery.NewAdmissionLimiter(0),
 		drawn: rand.New(rand.NewPCG(cfg.Seed, 23))}
-	b.machine = recovery.NewMachine(0, recovery.Bounds{Find: cfg.Recovery.FindTimeout(), Learn: cfg.Recovery.LearnTimeout(), Admit: cfg.Settings.RampTime + backSlack, Leave: leaveTime})
-	b.manner = recovery.Manner{Why: "it is starting"}
+	b.machine = recovery.NewMachine(0, recovery.Timeouts{Find: cfg.Recovery.FindTimeout(), Learn: cfg.Recovery.LearnTimeout(), Admit: cfg.Settings.RampTime + backSlack, Surge: leaveTime})
+	b.manner = recovery.Permissions{Reason: "it is starting"}
 	text, err := a.node.Recall(bearsNote)
 	if err == nil && text != nil {
 		err = jsoniter.Unmarshal(text, &b.known)
@@ -87,13 +87,13 @@
 	defer b.mu.Unlock()
 	b.kinds, cfg.Settings.WarmRates = cfg.Settings.Kinds, b.trusts()
 	if n := len(cfg.Settings.Classes); n != len(b.classes) {
-		b.gate = recovery.NewGate(n) // which lets in again from the next step on
+		b.gate = recovery.NewAdmissionLimiter(n) // which lets in again from the next step on
 	}
 	b.classes, b.longest = cfg.Settings.Classes, cfg.Settings.MaxRetryAfter
 }
 
 // trusts is what it goes by: what it knows itself, else what others say. It needs mu.
-func (b *comeback) trusts() recovery.Known {
+func (b *comeback) trusts() recovery.WarmRates {
 	k := b.known
 	if len(k) == 0 {
 		k = b.told
@@ -105,7 +105,7 @@
 }
 
 // own is what it knows itself, never nil.
-func (b *comeback) own() recovery.Known {
+func (b *comeback) own() recovery.WarmRates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.known
@@ -113,15 +113,15 @@
 		k = RecoveryHooks.OverrideReported(b.name, k)
 	}
 	if k == nil {
-		return recovery.Known{}
+		return recovery.WarmRates{}
 	}
 	return k
 }
 
 // hear takes what others say that replicas bear. The core hears of what moves.
-func (b *comeback) hear(told recovery.Known) {
+func (b *comeback) hear(told recovery.WarmRates) {
 	b.mu.Lock()
-	news := len(b.known) == 0 && told.Valid() && told.Moved(b.told)
+	news := len(b.known) == 0 && told.Valid() && told.Changed(b.told)
 	if news {
 		b.told = told
 	}
@@ -165,11 +165,11 @@
 		weights, warm := b.a.lists.inService()
 		facts, proven := b.facts(back, warm), served.rate(n)
 		b.step(facts, weights, proven, refused.rate(away))
-		if facts.Fresh || b.machine.Lone() {
+		if facts.ListFresh || b.machine.JoinedWarmFleet() {
 			b.a.lists.trust()
 		}
 		switch over := time.Since(since); {
-		case !facts.Warmed || b.servesFor() == 0 || since.IsZero():
+		case !facts.ReplicasWarm || b.servesFor() == 0 || since.IsZero():
 			since, before = time.Now(), n
 		case n-before >= learnFrom || over >= learnOver:
 			b.note(n-before, over, weights)
@@ -181,9 +181,9 @@
 // note joins what was just served with what was known. What moves goes to disk, and the core hears of it.
 func (b *comeback) note(served int, over time.Duration, weights map[string]float64) {
 	b.mu.Lock()
-	next := b.known.Note(recovery.Borne(served, over, weights, b.kinds), over)
+	next := b.known.Merge(recovery.MeasureWarmRates(served, over, weights, b.kinds), over)
 	b.known = next
-	moved := next.Moved(b.noted)
+	moved := next.Changed(b.noted)
 	if moved {
 		b.noted = next
 	}
@@ -203,10 +203,10 @@
 
 // facts are what is known now.
 func (b *comeback) facts(back agreement.Back, warm bool) recovery.Facts {
-	f := recovery.Facts{DiskRead: true, Voters: back.Voters, VotersHeard: back.Heard, Lease: back.Lease, Listed: back.List > 0, Fresh: back.Fresh,
-		Warm: back.ServesMS >= b.ramp.Milliseconds() && back.ServesMS > 0, Warmed: warm, Whole: true}
+	f := recovery.Facts{DiskChecked: true, Voters: back.Voters, VotersAnswered: back.Heard, HasLease: back.Lease, ListApplied: back.List > 0, ListFresh: back.Fresh,
+		WarmMember: back.ServesMS >= b.ramp.Milliseconds() && back.ServesMS > 0, ReplicasWarm: warm, IntentsKnown: true}
 	if k := b.a.keeper; k != nil {
-		f.Whole = k.Ready()
+		f.IntentsKnown = k.Ready()
 	}
 	return f
 }
@@ -220,31 +220,31 @@
 		defer func() { b.manner = RecoveryHooks.OverrideManner(b.manner) }()
 	}
 	b.bears = b.trusts().Capacity(weights, b.kinds)
-	f.Held = b.bears > 0 && b.gate.Held(now.Sub(b.began)) // where nothing is known of replicas, warm ones tell themselves
+	f.Throttled = b.bears > 0 && b.gate.Throttling(now.Sub(b.began)) // where nothing is known of replicas, warm ones tell themselves
 	w := b.machine.Step(now.Sub(b.began), f)
-	stage, _ := b.machine.Now()
-	if w.Takes && b.admits.IsZero() {
+	stage, _ := b.machine.Current()
+	if w.AcceptRequests && b.admits.IsZero() {
 		b.admits = now
 	}
-	if stage == recovery.Serving && w.Takes && b.serving.IsZero() {
+	if stage == recovery.Serving && w.AcceptRequests && b.serving.IsZero() {
 		b.serving = now
 	}
 	if stage != b.stage {
-		slog.Info("recovery: another stage", "stage", stage.String(), "after", now.Sub(b.since).Round(time.Millisecond), "lone", b.machine.Lone())
+		slog.Info("recovery: another stage", "stage", stage.String(), "after", now.Sub(b.since).Round(time.Millisecond), "lone", b.machine.JoinedWarmFleet())
 		b.stage, b.since = stage, now
 	}
-	if w.Ramps {
+	if w.LimitRate {
 		rate := b.rampOf().Rate(now.Sub(b.admits), proven)
 		if RecoveryHooks.OverrideRate != nil {
 			rate = RecoveryHooks.OverrideRate(rate)
 		}
-		b.gate.Allow(now.Sub(b.began), rate)
+		b.gate.SetRate(now.Sub(b.began), rate)
 	}
 	b.manner, b.refused = w, refused
 }
 
 func (b *comeback) rampOf() recovery.Ramp {
-	return recovery.Ramp{From: b.from, Warming: b.ramp, Capacity: b.bears}
+	return recovery.Ramp{ColdShare: b.from, WarmUpTime: b.ramp, Capacity: b.bears}
 }
 
 // waiting is why a request is not taken yet, and when its client should come back.
@@ -263,17 +263,17 @@
 	w := b.manner
 	now := time.Now()
 	switch {
-	case !w.Takes:
-	case q.AtMostOnce && !w.Instructions:
-	case w.Ramps && !b.gate.Admit(now.Sub(b.began), b.classOf(q.Class), q.Retry, q.Tenant):
+	case !w.AcceptRequests:
+	case q.AtMostOnce && !w.AcceptAtMostOnce:
+	case w.LimitRate && !b.gate.Admit(now.Sub(b.began), b.classOf(q.Class), q.Retry, q.Tenant):
 	default:
 		return nil
 	}
-	after := recovery.Return(max(b.refused, b.gate.Refused(now.Sub(b.began))), b.gate.Rate(), b.drawn.Float64())
+	after := recovery.RetryAfter(max(b.refused, b.gate.RefusedRate(now.Sub(b.began))), b.gate.Rate(), b.drawn.Float64())
 	if b.longest > 0 {
 		after = min(after, b.longest)
 	}
-	return &waiting{fmt.Sprintf("coming back, stage %v: %s", b.stage, w.Why), after}
+	return &waiting{fmt.Sprintf("coming back, stage %v: %s", b.stage, w.Reason), after}
 }
 
 // classOf is a class's place in the operator's order, the last one for a name that is not known. It needs mu.
@@ -289,7 +289,7 @@
 func (b *comeback) ready() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.manner.Takes
+	return b.manner.AcceptRequests
 }
 
 // servesFor is how long all has been as usual.
@@ -306,10 +306,10 @@
 func (b *comeback) say() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stage == recovery.Serving && b.manner.Why == "" {
+	if b.stage == recovery.Serving && b.manner.Reason == "" {
 		return ""
 	}
-	return fmt.Sprintf("%v for %v: %s", b.stage, time.Since(b.since).Round(100*time.Millisecond), b.manner.Why)
+	return fmt.Sprintf("%v for %v: %s", b.stage, time.Since(b.since).Round(100*time.Millisecond), b.manner.Reason)
 }
 
 // figures are those of the return at the operators' door.
--- a/internal/program/force.go
+++ b/internal/program/force.go
@@ -155,7 +155,7 @@
 func (p *program) limit(cfg config.Config) {
 	clients, replicas := share(cfg.Limits.Sockets)
 	p.gate.SetLimits(clients, int(comingShare*float64(cfg.Limits.MemoryMB<<20)))
-	p.pool.Limit(replicas, cfg.Settings.ConnIdle, cfg.Settings.ConnectTimeout)
+	p.pool.SetLimits(replicas, cfg.Settings.ConnIdle, cfg.Settings.ConnectTimeout)
 	runtime.GOMAXPROCS(max(int(cfg.Limits.Cores+0.5), 1))
 	debug.SetMemoryLimit(int64(memoryShare * float64(cfg.Limits.MemoryMB) * (1 << 20)))
 }
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -76,11 +76,11 @@
 		program.AgreementHooks.Wall = func() time.Time { return time.Now().Add(-time.Hour) }
 	}, Harmless: true},
 	"recovery-known-tenfold": {What: "what replicas bore is taken for ten times as much", put: func() {
-		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 10) }
+		program.RecoveryHooks.OverrideKnown = func(k recovery.WarmRates) recovery.WarmRates { return times(k, 10) }
 		program.RecoveryHooks.OverrideRate = func(x float64) float64 { return 10 * x }
 	}},
 	"recovery-known-of-all": {What: "each dispatcher takes what replicas bear of all for its own part, and lets all in", put: func() {
-		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 5) }
+		program.RecoveryHooks.OverrideKnown = func(k recovery.WarmRates) recovery.WarmRates { return times(k, 5) }
 		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}},
 	"recovery-old-list": {What: "a list from before the loss of power says which replicas are warm", put: func() { program.RecoveryHooks.TrustInitialList = true }},
@@ -88,15 +88,15 @@
 		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}, Harmless: true},
 	"recovery-liar": {What: "o1 says that replicas bear a thousand times as much: the median must keep the rule", put: func() {
-		program.RecoveryHooks.OverrideReported = func(name string, k recovery.Known) recovery.Known {
+		program.RecoveryHooks.OverrideReported = func(name string, k recovery.WarmRates) recovery.WarmRates {
 			if name == "o1" {
-				return recovery.Known{"reader": 1e4, "writer": 1e4}
+				return recovery.WarmRates{"reader": 1e4, "writer": 1e4}
 			}
 			return k
 		}
 	}, Harmless: true},
 	"recovery-early-instructions": {What: "instructions are let in before it is known what may have run: the ledger must refuse them", put: func() {
-		program.RecoveryHooks.OverrideManner = func(m recovery.Manner) recovery.Manner { m.Instructions = m.Takes; return m }
+		program.RecoveryHooks.OverrideManner = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
 	}, Harmless: true},
 	"recovery-refound-forgets-acts": {What: "a new cluster leaves out what dispatchers acted on and its log lacks", put: func() {
 		program.AgreementHooks.Refound = func(before, next *agree.Book) {
@@ -232,8 +232,8 @@
 	leaves string
 }
 
-func times(k recovery.Known, x float64) recovery.Known {
-	more := recovery.Known{}
+func times(k recovery.WarmRates, x float64) recovery.WarmRates {
+	more := recovery.WarmRates{}
 	for name, y := range k {
 		more[name] = x * y
 	}
--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -16,10 +16,10 @@
 	askedRoom    = 1.1                    // shares are a little more than what is asked, which is known by chance
 )
 
-// Gate lets in what a ramp allows: what comes first before what comes again, as that is late already; classes in the operator's order;
+// AdmissionLimiter lets in what a ramp allows: what comes first before what comes again, as that is late already; classes in the operator's order;
 // and within a class each customer up to its fair share, so that one that comes a hundred times as often as others takes nothing from
 // them. It is not safe for use by several goroutines.
-type Gate struct {
+type AdmissionLimiter struct {
 	classes []map[string]*asker // first those of first tries, then those of others
 	rate    float64
 	tokens  float64 // of all together
@@ -37,17 +37,17 @@
 	at     time.Duration
 }
 
-// NewGate makes a gate for so many classes, which lets nothing in before Allow.
-func NewGate(classes int) *Gate {
-	g := &Gate{classes: make([]map[string]*asker, 2*max(classes, 1))}
+// NewAdmissionLimiter makes a gate for so many classes, which lets nothing in before Allow.
+func NewAdmissionLimiter(classes int) *AdmissionLimiter {
+	g := &AdmissionLimiter{classes: make([]map[string]*asker, 2*max(classes, 1))}
 	for i := range g.classes {
 		g.classes[i] = map[string]*asker{}
 	}
 	return g
 }
 
-// Allow sets how many requests a second are let in from now on, and counts the shares anew.
-func (g *Gate) Allow(now time.Duration, rate float64) {
+// SetRate sets how many requests a second are let in from now on, and counts the shares anew.
+func (g *AdmissionLimiter) SetRate(now time.Duration, rate float64) {
 	g.fill(now)
 	g.rate = rate
 	asked := make([]map[string]float64, len(g.classes))
@@ -71,23 +71,23 @@
 }
 
 // Rate is what Allow has set.
-func (g *Gate) Rate() float64 { return g.rate }
+func (g *AdmissionLimiter) Rate() float64 { return g.rate }
 
-// Held tells whether more come than are let in: more than one of ten was not, of late.
-func (g *Gate) Held(now time.Duration) bool {
+// Throttling tells whether more come than are let in: more than one of ten was not, of late.
+func (g *AdmissionLimiter) Throttling(now time.Duration) bool {
 	g.fill(now)
 	return g.refused > heldPart*g.asked
 }
 
-// Refused is how many were not let in a second, of late.
-func (g *Gate) Refused(now time.Duration) float64 {
+// RefusedRate is how many were not let in a second, of late.
+func (g *AdmissionLimiter) RefusedRate(now time.Duration) float64 {
 	g.fill(now)
 	return g.refused
 }
 
 // Admit lets a request of a customer in a class in, or not; again is that its client has tried before. A class out of range counts as the
 // last one.
-func (g *Gate) Admit(now time.Duration, class int, again bool, customer string) bool {
+func (g *AdmissionLimiter) Admit(now time.Duration, class int, again bool, customer string) bool {
 	g.fill(now)
 	place, all := min(max(class, 0), len(g.classes)/2-1), len(g.classes)/2
 	if again {
@@ -116,7 +116,7 @@
 	return true
 }
 
-func (g *Gate) fill(now time.Duration) {
+func (g *AdmissionLimiter) fill(now time.Duration) {
 	fade := math.Exp(-float64(now-g.at) / float64(askedOver))
 	g.asked, g.refused = g.asked*fade, g.refused*fade
 	g.tokens = min(g.tokens+(now-g.at).Seconds()*g.rate, max(g.rate*gateBurst.Seconds(), askerBurst))
--- a/internal/recovery/gate_test.go
+++ b/internal/recovery/gate_test.go
@@ -10,11 +10,11 @@
 
 // play has customers ask at their rates for a while at a gate that lets in rate a second, and counts who came in.
 func play(rate float64, asks map[string]float64, class func(string) int, long time.Duration) map[string]int {
-	g, in, next := NewGate(2), map[string]int{}, map[string]time.Duration{}
+	g, in, next := NewAdmissionLimiter(2), map[string]int{}, map[string]time.Duration{}
 	const tick = 5 * time.Millisecond
 	for now := time.Duration(0); now < long; now += tick {
 		if now%(50*time.Millisecond) == 0 {
-			g.Allow(now, rate)
+			g.SetRate(now, rate)
 		}
 		for i := range len(asks) {
 			name := fmt.Sprint("c", i)
@@ -77,15 +77,15 @@
 
 // However many customers come, few are told apart.
 func TestGateIsBounded(t *testing.T) {
-	g := NewGate(1)
-	g.Allow(0, 1e6)
+	g := NewAdmissionLimiter(1)
+	g.SetRate(0, 1e6)
 	for i := range 10 * customersMax {
 		g.Admit(time.Second, 0, i%2 == 0, fmt.Sprint(i))
 	}
 	if n := len(g.classes[0]) + len(g.classes[1]); n > customersMax+2 {
 		t.Errorf("%d customers", n)
 	}
-	g.Allow(time.Minute, 1e6)
+	g.SetRate(time.Minute, 1e6)
 	if n := len(g.classes[0]) + len(g.classes[1]); n > 0 || g.some != 0 {
 		t.Errorf("%d customers, %d counted, of whom none has come for long", n, g.some)
 	}
@@ -93,9 +93,9 @@
 
 // What comes first is let in before what comes again.
 func TestFirstTriesBeforeOthers(t *testing.T) {
-	g, in := NewGate(1), map[bool]int{}
+	g, in := NewAdmissionLimiter(1), map[bool]int{}
 	for now := time.Duration(0); now < 10*time.Second; now += 25 * time.Millisecond { // 40 a second of each
-		g.Allow(now, 40)
+		g.SetRate(now, 40)
 		for _, again := range []bool{true, false} {
 			if g.Admit(now, 0, again, "") {
 				in[again]++
--- a/internal/recovery/known_test.go
+++ b/internal/recovery/known_test.go
@@ -19,7 +19,7 @@
 		w := map[string]float64{"reader": weight.Draw(t, "readers"), "small": weight.Draw(t, "small"), "large": weight.Draw(t, "large")}
 		n, over := rapid.IntRange(5, 10000).Draw(t, "served"), 10*time.Second
 		rate := (float64(n) - 2*math.Sqrt(float64(n))) / 10
-		k := Borne(n, over, w, kinds)
+		k := MeasureWarmRates(n, over, w, kinds)
 		if c := k.Capacity(w, kinds); math.Abs(c-rate) > 1e-6*rate {
 			t.Fatalf("%v of %v", c, rate)
 		}
@@ -32,7 +32,7 @@
 			t.Fatalf("%v without a reader", c)
 		}
 		// What was known fades, and never rises by being noted.
-		later := k.Note(Borne(n/2, over, w, kinds), time.Duration(rapid.IntRange(0, 1000).Draw(t, "hours"))*time.Hour)
+		later := k.Merge(MeasureWarmRates(n/2, over, w, kinds), time.Duration(rapid.IntRange(0, 1000).Draw(t, "hours"))*time.Hour)
 		for kind, x := range later {
 			if x > max(k[kind], rate/2/min(w["reader"], w["small"]+w["large"]))+1e-9 {
 				t.Fatalf("%s: %v", kind, x)
@@ -42,16 +42,16 @@
 }
 
 func TestKnownIsChecked(t *testing.T) {
-	if k := Borne(4, time.Minute, map[string]float64{"reader": 1, "small": 1}, kinds); len(k) > 0 {
+	if k := MeasureWarmRates(4, time.Minute, map[string]float64{"reader": 1, "small": 1}, kinds); len(k) > 0 {
 		t.Errorf("a quiet hour tells %v", k)
 	}
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1)} {
-		if (Known{"reader": bad}).Valid() {
+		if (WarmRates{"reader": bad}).Valid() {
 			t.Errorf("%v is taken", bad)
 		}
 	}
-	day := Known{"reader": 8}.Note(nil, 24*time.Hour)
-	if day["reader"] != 4 || !day.Moved(Known{"reader": 8}) || day.Moved(Known{"reader": 4.1}) || !day.Moved(nil) {
+	day := WarmRates{"reader": 8}.Merge(nil, 24*time.Hour)
+	if day["reader"] != 4 || !day.Changed(WarmRates{"reader": 8}) || day.Changed(WarmRates{"reader": 4.1}) || !day.Changed(nil) {
 		t.Errorf("%v", day)
 	}
 }
--- a/internal/recovery/ramp.go
+++ b/internal/recovery/ramp.go
@@ -7,9 +7,9 @@
 
 // Ramp bounds what is let in while replicas warm up. All times are since the dispatcher began to admit.
 type Ramp struct {
-	From     float64       // of what warm replicas bear, that cold ones surely do
-	Warming  time.Duration // that they take
-	Capacity float64       // requests a second of this dispatcher that the warm fleet bears, by what was known before; 0: not known
+	ColdShare  float64       // of what warm replicas bear, that cold ones surely do
+	WarmUpTime time.Duration // that they take
+	Capacity   float64       // requests a second of this dispatcher that the warm fleet bears, by what was known before; 0: not known
 }
 
 // rampRoom is how much more is let in than what cold replicas surely bear: what is known is less than what was borne, by chance, and most are
@@ -23,19 +23,19 @@
 	if r.Capacity == 0 {
 		return max(2*proven, 1)
 	}
-	x := min(float64(since)/float64(max(r.Warming, 1)), 1)
-	sure := rampRoom * r.Capacity * (r.From + (1-r.From)*x*x)
-	if since >= r.Warming {
-		return sure * math.Exp2(min((since-r.Warming).Seconds(), 30))
+	x := min(float64(since)/float64(max(r.WarmUpTime, 1)), 1)
+	sure := rampRoom * r.Capacity * (r.ColdShare + (1-r.ColdShare)*x*x)
+	if since >= r.WarmUpTime {
+		return sure * math.Exp2(min((since-r.WarmUpTime).Seconds(), 30))
 	}
 	return min(sure, max(2*proven, sure/2, tellsFrom))
 }
 
 const tellsFrom = 3 // requests a second: fewer that were served prove nothing
 
-// Return gives when a client that is refused should come back: drawn (from 0 to 1) over about the time in which those who wait can be let
+// RetryAfter gives when a client that is refused should come back: drawn (from 0 to 1) over about the time in which those who wait can be let
 // in, so that they do not come back as one crowd. Waiting is how many were refused a second, rate how many may come.
-func Return(waiting, rate, drawn float64) time.Duration {
+func RetryAfter(waiting, rate, drawn float64) time.Duration {
 	spread := returnSpread * waiting / max(rate, 0.01)
 	return returnLeast + time.Duration(drawn*min(max(spread, 1), 60)*float64(time.Second))
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -31,37 +31,37 @@
 
 // Facts are what is known at a moment.
 type Facts struct {
-	DiskRead    bool // the own files are checked, or there are none
-	Voters      int  // in all ...
-	VotersHeard int  // ... and how many of them, this one among them, have answered since the start
-	Warm        bool // one that answered serves, and has for longer than a replica takes to warm up
-	Lease       bool
-	Listed      bool // a list of replicas is agreed on and acted on here
-	Fresh       bool // that list holds what the register said since the return began
-	Whole       bool // what must not run twice is known, by a majority of its holders
-	Held        bool // more come than the ramp lets in
-	Warmed      bool // all replicas that are listed have warmed up, or prove by what they serve that they have
+	DiskChecked    bool // the own files are checked, or there are none
+	Voters         int  // in all ...
+	VotersAnswered int  // ... and how many of them, this one among them, have answered since the start
+	WarmMember     bool // one that answered serves, and has for longer than a replica takes to warm up
+	HasLease       bool
+	ListApplied    bool // a list of replicas is agreed on and acted on here
+	ListFresh      bool // that list holds what the register said since the return began
+	IntentsKnown   bool // what must not run twice is known, by a majority of its holders
+	Throttled      bool // more come than the ramp lets in
+	ReplicasWarm   bool // all replicas that are listed have warmed up, or prove by what they serve that they have
 }
 
-// Bounds are how long a stage may take before the dispatcher goes on in a safer way.
-type Bounds struct {
+// Timeouts are how long a stage may take before the dispatcher goes on in a safer way.
+type Timeouts struct {
 	Find  time.Duration // for others to answer
 	Learn time.Duration // for the register to be read
 	Admit time.Duration // for replicas to prove that they are warm: their own ramp and what their clocks may differ
-	Leave time.Duration // beyond that, for what comes to be no more than the ramp lets in
+	Surge time.Duration // beyond that, for what comes to be no more than the ramp lets in
 }
 
-// Manner is what a dispatcher may do.
-type Manner struct {
-	Takes        bool // requests, by the ramp if Ramps
-	Ramps        bool // cold replicas: as much as the ramp lets in
-	Instructions bool // such as must not run twice
-	Why          string
+// Permissions is what a dispatcher may do.
+type Permissions struct {
+	AcceptRequests   bool // requests, by the ramp if Ramps
+	LimitRate        bool // cold replicas: as much as the ramp lets in
+	AcceptAtMostOnce bool // such as must not run twice
+	Reason           string
 }
 
 // Machine follows the stages of one start.
 type Machine struct {
-	bounds Bounds
+	bounds Timeouts
 	stage  Stage
 	since  time.Duration
 	lone   bool // a start beside others that serve: the short way
@@ -69,16 +69,16 @@
 }
 
 // NewMachine begins at a time of the dispatcher's monotonic clock.
-func NewMachine(now time.Duration, b Bounds) *Machine { return &Machine{bounds: b, since: now} }
+func NewMachine(now time.Duration, b Timeouts) *Machine { return &Machine{bounds: b, since: now} }
 
-// Now gives the stage and since when it lasts.
-func (m *Machine) Now() (Stage, time.Duration) { return m.stage, m.since }
+// Current gives the stage and since when it lasts.
+func (m *Machine) Current() (Stage, time.Duration) { return m.stage, m.since }
 
-// Lone tells whether this start is one beside others that serve.
-func (m *Machine) Lone() bool { return m.lone }
+// JoinedWarmFleet tells whether this start is one beside others that serve.
+func (m *Machine) JoinedWarmFleet() bool { return m.lone }
 
 // Step goes as far as the facts let it, and says what the dispatcher may do, and what it waits for.
-func (m *Machine) Step(now time.Duration, f Facts) Manner {
+func (m *Machine) Step(now time.Duration, f Facts) Permissions {
 	for m.stage < Serving {
 		wait, over := m.waits(now, f)
 		if wait != "" && !over {
@@ -99,45 +99,45 @@
 	spent := now - m.since
 	switch m.stage {
 	case CheckDisk:
-		if !f.DiskRead {
+		if !f.DiskChecked {
 			return "its own files are being checked", false
 		}
 	case FindOthers:
-		m.lone = f.Warm
-		if !f.Warm && f.VotersHeard < f.Voters {
-			return fmt.Sprintf("%d of %d voters have answered", f.VotersHeard, f.Voters), f.VotersHeard > f.Voters/2 && spent >= m.bounds.Find
+		m.lone = f.WarmMember
+		if !f.WarmMember && f.VotersAnswered < f.Voters {
+			return fmt.Sprintf("%d of %d voters have answered", f.VotersAnswered, f.Voters), f.VotersAnswered > f.Voters/2 && spent >= m.bounds.Find
 		}
 	case Agree:
-		if !f.Lease {
+		if !f.HasLease {
 			return "it has no lease: a majority of the voters must agree again", false
 		}
 	case Learn:
 		switch {
-		case !f.Listed:
+		case !f.ListApplied:
 			return "no list of replicas is agreed on yet", false
-		case !f.Fresh && !m.lone: // without it all replicas count as started with this dispatcher
+		case !f.ListFresh && !m.lone: // without it all replicas count as started with this dispatcher
 			return "the register has not been read since the start", spent >= m.bounds.Learn
 		}
 	case Admit:
 		switch {
-		case !f.Warmed:
+		case !f.ReplicasWarm:
 			return "replicas are warming up", spent >= m.bounds.Admit
-		case f.Held:
-			return "more come than replicas have proven to bear", spent >= m.bounds.Admit+m.bounds.Leave
+		case f.Throttled:
+			return "more come than replicas have proven to bear", spent >= m.bounds.Admit+m.bounds.Surge
 		}
 	}
 	return "", false
 }
 
-func (m *Machine) manner(f Facts, wait string) Manner {
-	w := Manner{Takes: m.stage >= Admit && f.Lease, Ramps: m.stage == Admit, Why: wait}
+func (m *Machine) manner(f Facts, wait string) Permissions {
+	w := Permissions{AcceptRequests: m.stage >= Admit && f.HasLease, LimitRate: m.stage == Admit, Reason: wait}
 	// What must not run twice comes only where it is known what may have run.
-	w.Instructions = w.Takes && f.Whole
-	if m.stage == Serving && m.late && !f.Warmed {
-		w.Ramps = true // replicas took longer than they say: their share stays that of cold ones
+	w.AcceptAtMostOnce = w.AcceptRequests && f.IntentsKnown
+	if m.stage == Serving && m.late && !f.ReplicasWarm {
+		w.LimitRate = true // replicas took longer than they say: their share stays that of cold ones
 	}
-	if w.Takes && !w.Instructions && w.Why == "" {
-		w.Why = "instructions wait: what may have run is not known to a majority of the voters yet"
+	if w.AcceptRequests && !w.AcceptAtMostOnce && w.Reason == "" {
+		w.Reason = "instructions wait: what may have run is not known to a majority of the voters yet"
 	}
 	return w
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-var bounds = Bounds{Find: time.Second, Learn: 500 * time.Millisecond, Admit: 10 * time.Second, Leave: 5 * time.Second}
+var bounds = Timeouts{Find: time.Second, Learn: 500 * time.Millisecond, Admit: 10 * time.Second, Surge: 5 * time.Second}
 
-var all = Facts{DiskRead: true, Voters: 3, VotersHeard: 3, Lease: true, Listed: true, Fresh: true, Whole: true, Warmed: true}
+var all = Facts{DiskChecked: true, Voters: 3, VotersAnswered: 3, HasLease: true, ListApplied: true, ListFresh: true, IntentsKnown: true, ReplicasWarm: true}
 
 func TestStages(t *testing.T) {
 	for name, x := range map[string]struct {
@@ -21,40 +21,40 @@
 		once   bool
 	}{
 		"all there":                         {func(*Facts) {}, 0, Serving, true, true},
-		"files unread":                      {func(f *Facts) { f.DiskRead = false }, time.Hour, CheckDisk, false, false},
-		"one voter away":                    {func(f *Facts) { f.VotersHeard = 2 }, 0, FindOthers, false, false},
-		"one voter never returns":           {func(f *Facts) { f.VotersHeard = 2 }, bounds.Find, Serving, true, true},
-		"two voters never return":           {func(f *Facts) { f.VotersHeard = 1 }, time.Hour, FindOthers, false, false},
-		"alone in a warm fleet":             {func(f *Facts) { f.VotersHeard, f.Warm, f.Warmed = 1, true, false }, 0, Serving, true, true},
-		"no lease":                          {func(f *Facts) { f.Lease = false }, time.Hour, Agree, false, false},
-		"no list":                           {func(f *Facts) { f.Listed = false }, time.Hour, Learn, false, false},
-		"the register says nothing":         {func(f *Facts) { f.Fresh = false }, 0, Learn, false, false},
-		"... for ever":                      {func(f *Facts) { f.Fresh = false }, bounds.Learn, Serving, true, true},
-		"... to one alone in a warm fleet":  {func(f *Facts) { f.Warm, f.Fresh = true, false }, 0, Serving, true, true},
-		"a crowd":                           {func(f *Facts) { f.Held = true }, bounds.Admit, Admit, true, true},
-		"a crowd that never ends":           {func(f *Facts) { f.Held = true }, bounds.Admit + bounds.Leave, Serving, true, true},
-		"cold replicas":                     {func(f *Facts) { f.Warmed = false }, time.Second, Admit, true, true},
-		"what may have run is not known":    {func(f *Facts) { f.Whole = false }, time.Hour, Serving, true, false},
-		"replicas that never say so":        {func(f *Facts) { f.Warmed = false }, bounds.Admit, Serving, true, true},
-		"the lease is lost after the start": {func(f *Facts) { f.Lease, f.Warmed = true, true }, 0, Serving, true, true},
+		"files unread":                      {func(f *Facts) { f.DiskChecked = false }, time.Hour, CheckDisk, false, false},
+		"one voter away":                    {func(f *Facts) { f.VotersAnswered = 2 }, 0, FindOthers, false, false},
+		"one voter never returns":           {func(f *Facts) { f.VotersAnswered = 2 }, bounds.Find, Serving, true, true},
+		"two voters never return":           {func(f *Facts) { f.VotersAnswered = 1 }, time.Hour, FindOthers, false, false},
+		"alone in a warm fleet":             {func(f *Facts) { f.VotersAnswered, f.WarmMember, f.ReplicasWarm = 1, true, false }, 0, Serving, true, true},
+		"no lease":                          {func(f *Facts) { f.HasLease = false }, time.Hour, Agree, false, false},
+		"no list":                           {func(f *Facts) { f.ListApplied = false }, time.Hour, Learn, false, false},
+		"the register says nothing":         {func(f *Facts) { f.ListFresh = false }, 0, Learn, false, false},
+		"... for ever":                      {func(f *Facts) { f.ListFresh = false }, bounds.Learn, Serving, true, true},
+		"... to one alone in a warm fleet":  {func(f *Facts) { f.WarmMember, f.ListFresh = true, false }, 0, Serving, true, true},
+		"a crowd":                           {func(f *Facts) { f.Throttled = true }, bounds.Admit, Admit, true, true},
+		"a crowd that never ends":           {func(f *Facts) { f.Throttled = true }, bounds.Admit + bounds.Surge, Serving, true, true},
+		"cold replicas":                     {func(f *Facts) { f.ReplicasWarm = false }, time.Second, Admit, true, true},
+		"what may have run is not known":    {func(f *Facts) { f.IntentsKnown = false }, time.Hour, Serving, true, false},
+		"replicas that never say so":        {func(f *Facts) { f.ReplicasWarm = false }, bounds.Admit, Serving, true, true},
+		"the lease is lost after the start": {func(f *Facts) { f.HasLease, f.ReplicasWarm = true, true }, 0, Serving, true, true},
 	} {
 		f := all
 		x.change(&f)
 		m := NewMachine(0, bounds)
 		m.Step(0, f)
 		w := m.Step(x.at, f)
-		if s, _ := m.Now(); s != x.stage || w.Takes != x.takes || w.Instructions != x.once {
+		if s, _ := m.Current(); s != x.stage || w.AcceptRequests != x.takes || w.AcceptAtMostOnce != x.once {
 			t.Errorf("%s: %v %+v", name, s, w)
 		}
-		if done := x.takes && x.once; !done && w.Why == "" {
+		if done := x.takes && x.once; !done && w.Reason == "" {
 			t.Errorf("%s: nobody is told what it waits for", name)
 		}
 	}
 	m := NewMachine(0, bounds)
 	m.Step(0, all)
 	lost := all
-	lost.Lease = false
-	if m.Step(1, lost).Takes {
+	lost.HasLease = false
+	if m.Step(1, lost).AcceptRequests {
 		t.Error("it takes without a lease")
 	}
 }
@@ -68,18 +68,18 @@
 		var seen Facts
 		for range 30 {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
-			f := Facts{Voters: 3, VotersHeard: rapid.IntRange(1, 3).Draw(t, "heard")}
-			for _, b := range []*bool{&f.DiskRead, &f.Warm, &f.Lease, &f.Listed, &f.Fresh, &f.Held, &f.Whole, &f.Warmed} {
+			f := Facts{Voters: 3, VotersAnswered: rapid.IntRange(1, 3).Draw(t, "heard")}
+			for _, b := range []*bool{&f.DiskChecked, &f.WarmMember, &f.HasLease, &f.ListApplied, &f.ListFresh, &f.Throttled, &f.IntentsKnown, &f.ReplicasWarm} {
 				*b = rapid.Bool().Draw(t, "fact")
 			}
-			seen.DiskRead, seen.Lease, seen.Listed = seen.DiskRead || f.DiskRead, seen.Lease || f.Lease, seen.Listed || f.Listed
+			seen.DiskChecked, seen.HasLease, seen.ListApplied = seen.DiskChecked || f.DiskChecked, seen.HasLease || f.HasLease, seen.ListApplied || f.ListApplied
 			w := m.Step(now, f)
-			s, _ := m.Now()
+			s, _ := m.Current()
 			if s < last {
 				t.Fatalf("from %v to %v", last, s)
 			}
 			last = s
-			if w.Takes && !(seen.DiskRead && f.Lease && seen.Listed) || w.Instructions && !(w.Takes && f.Whole) {
+			if w.AcceptRequests && !(seen.DiskChecked && f.HasLease && seen.ListApplied) || w.AcceptAtMostOnce && !(w.AcceptRequests && f.IntentsKnown) {
 				t.Fatalf("%v %+v: %+v", s, f, w)
 			}
 		}
@@ -88,14 +88,14 @@
 
 func TestRampNeverPushesOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Ramp{From: rapid.Float64Range(0.05, 1).Draw(t, "from"), Warming: 10 * time.Second, Capacity: rapid.Float64Range(0, 1000).Draw(t, "capacity")}
+		r := Ramp{ColdShare: rapid.Float64Range(0.05, 1).Draw(t, "from"), WarmUpTime: 10 * time.Second, Capacity: rapid.Float64Range(0, 1000).Draw(t, "capacity")}
 		before := 0.0
 		proven := rapid.Float64Range(0, 1000).Draw(t, "proven")
 		for at := time.Duration(0); at <= 12*time.Second; at += 500 * time.Millisecond {
 			rate := r.Rate(at, proven)
-			x := min(float64(at)/float64(r.Warming), 1)
-			bears := r.Capacity * (r.From + (1-r.From)*x) // it warms up no slower than straight
-			if r.Capacity > 0 && rate > rampRoom*bears+1e-9 && at < r.Warming {
+			x := min(float64(at)/float64(r.WarmUpTime), 1)
+			bears := r.Capacity * (r.ColdShare + (1-r.ColdShare)*x) // it warms up no slower than straight
+			if r.Capacity > 0 && rate > rampRoom*bears+1e-9 && at < r.WarmUpTime {
 				t.Fatalf("%v at %v, and replicas bear %v", rate, at, bears)
 			}
 			if rate < before {
@@ -103,8 +103,8 @@
 			}
 			before = rate
 		}
-		a := Return(500, 50, 0)
-		if b := Return(500, 50, 0.999); a < time.Second/2 || b > time.Minute+time.Second || b-a < 8*time.Second {
+		a := RetryAfter(500, 50, 0)
+		if b := RetryAfter(500, 50, 0.999); a < time.Second/2 || b > time.Minute+time.Second || b-a < 8*time.Second {
 			t.Fatalf("they come back between %v and %v", a, b)
 		}
 	})
--- a/internal/replica/attempt.go
+++ b/internal/replica/attempt.go
@@ -31,8 +31,8 @@
 	piece       = 16 << 10 // of a stream, at most so much at once
 )
 
-// Parcel is a request on its way to replicas: method, path, query, body and id pass on unchanged.
-type Parcel struct {
+// Request is a request on its way to replicas: method, path, query, body and id pass on unchanged.
+type Request struct {
 	Pool    *Pool
 	ID      string
 	Method  string
@@ -43,7 +43,7 @@
 }
 
 // Send starts an attempt.
-func (p *Parcel) Send(to dispatch.Target, tell dispatch.AttemptObserver) dispatch.Attempt {
+func (p *Request) Send(to dispatch.Target, tell dispatch.AttemptObserver) dispatch.Attempt {
 	ctx, cancel := context.WithDeadline(context.Background(), to.Until)
 	a := &attempt{p: p, to: to, tell: tell, ctx: ctx, cancel: cancel, began: time.Now()}
 	go a.run()
@@ -52,7 +52,7 @@
 
 // attempt is one send. It goes through connecting, writing, waiting and, where an answer begins, streaming.
 type attempt struct {
-	p      *Parcel
+	p      *Request
 	to     dispatch.Target
 	tell   dispatch.AttemptObserver
 	ctx    context.Context // ends at the attempt's time, or when it is given up
@@ -296,7 +296,7 @@
 	}
 	if s.err == nil {
 		var n int
-		_ = s.a.c.SetReadDeadline(time.Now().Add(s.a.p.Pool.Stall)) // a failure shows in the read
+		_ = s.a.c.SetReadDeadline(time.Now().Add(s.a.p.Pool.StallTimeout)) // a failure shows in the read
 		n, s.err = s.body.Read(s.buf)
 		if n > 0 {
 			return s.buf[:n], nil
--- a/internal/replica/late_test.go
+++ b/internal/replica/late_test.go
@@ -46,7 +46,7 @@
 	if got := rep.result(t); got.Outcome != logic.ConnectFailed {
 		t.Errorf("%+v", got)
 	}
-	pool.Limit(4, 0, time.Hour)
+	pool.SetLimits(4, 0, time.Hour)
 	rep, a := send(pool, addr, time.Hour, "b")
 	a.Cancel()
 	if got := rep.result(t); got.Outcome != logic.NotSent {
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -15,9 +15,9 @@
 
 // Pool keeps connections to replicas. A connection carries one request at a time.
 type Pool struct {
-	// Stall ends a stream that brings no event for so long. A client may be left waiting for at most 5 s after the
+	// StallTimeout ends a stream that brings no event for so long. A client may be left waiting for at most 5 s after the
 	// last event of a stream that is not whole.
-	Stall time.Duration
+	StallTimeout time.Duration
 
 	mu          sync.Mutex
 	most        int           // connections open at once
@@ -78,13 +78,13 @@
 
 // NewPool makes a pool of at most `most` open connections. Replicas close what has stood idle for idle.
 func NewPool(most int, idle, dialTimeout time.Duration) *Pool {
-	p := &Pool{Stall: 4 * time.Second, idle: map[string][]*conn{}}
-	p.Limit(most, idle, dialTimeout)
+	p := &Pool{StallTimeout: 4 * time.Second, idle: map[string][]*conn{}}
+	p.SetLimits(most, idle, dialTimeout)
 	return p
 }
 
-// Limit sets the bounds of NewPool anew. Connections that are open stay so.
-func (p *Pool) Limit(most int, idle, dialTimeout time.Duration) {
+// SetLimits sets the bounds of NewPool anew. Connections that are open stay so.
+func (p *Pool) SetLimits(most int, idle, dialTimeout time.Duration) {
 	if idle <= 0 {
 		idle = 30 * time.Second
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -51,7 +51,7 @@
 
 func send(pool *Pool, addr string, wait time.Duration, body string) (*report, dispatch.Attempt) {
 	rep := newReport()
-	p := &Parcel{Pool: pool, ID: "id1", Method: "POST", URI: "/v1/x?y=%2F", Body: []byte(body)}
+	p := &Request{Pool: pool, ID: "id1", Method: "POST", URI: "/v1/x?y=%2F", Body: []byte(body)}
 	return rep, p.Send(dispatch.Target{Server: "s", Addr: addr, Until: time.Now().Add(wait)}, rep)
 }
 
@@ -149,7 +149,7 @@
 		"no last chunk, a close": func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); _ = x.Conn.Close() },
 	} {
 		pool := NewPool(4, 0, 0)
-		pool.Stall = time.Second
+		pool.StallTimeout = time.Second
 		rep, _ := send(pool, replicaOf(t, act).Addr, 5*time.Second, "b")
 		var text []byte
 		var s dispatch.Stream
@@ -340,7 +340,7 @@
 	pool := NewPool(32, 0, 0)
 	for i := range 20 {
 		rep := newReport()
-		p := &Parcel{Pool: pool, ID: "id", Method: "POST", URI: "/"}
+		p := &Request{Pool: pool, ID: "id", Method: "POST", URI: "/"}
 		p.Send(dispatch.Target{Addr: r.Addr, Until: time.Now().Add(time.Second), NoReuse: true}, rep)
 		select {
 		case s := <-rep.began:
@@ -374,7 +374,7 @@
 	pool := NewPool(4, 0, 0)
 	for range 20 {
 		rep := newReport()
-		p := &Parcel{Pool: pool, ID: "id", Method: "POST", URI: "/"}
+		p := &Request{Pool: pool, ID: "id", Method: "POST", URI: "/"}
 		p.Send(dispatch.Target{Addr: ln.Addr().String(), Until: time.Now().Add(time.Second), NoReuse: true}, rep)
 		// On a machine that is busy the reset may come later than that moment: then it may have run.
 		if got := rep.result(t); got.Outcome == logic.ConnectFailed {
@@ -432,7 +432,7 @@
 	pool, asked := NewPool(4, 0, 0), 0
 	for _, err := range []error{nil, errors.Join(dispatch.ErrNoLease, errors.New("over")), dispatch.ErrWithdrawn, dispatch.ErrRepeatWindowClosed} {
 		rep := newReport()
-		p := &Parcel{Pool: pool, ID: "id1", Method: "POST", URI: "/", Body: []byte(strings.Repeat("x", 100<<10))}
+		p := &Request{Pool: pool, ID: "id1", Method: "POST", URI: "/", Body: []byte(strings.Repeat("x", 100<<10))}
 		p.Send(dispatch.Target{Server: "s", Addr: r.Addr, Until: time.Now().Add(5 * time.Second), SettingsVersion: "3-ab",
 			BeforeSend: func() error { asked++; return err }}, rep)
 		got := rep.result(t)
