--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -155,7 +155,7 @@
 		}
 		done = func(mayHaveRun bool) { f.ledger.finish(key, mayHaveRun) }
 	}
-	t := f.core.Submit(dispatch.Request{ID: id, Spec: spec, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: recorder, Payload: &replica.Parcel{
+	t := f.core.Submit(dispatch.Request{ID: id, Spec: spec, Received: received, ClientGone: front.ClientGone(ctx), Size: len(text), Intents: recorder, Payload: &replica.Request{
 		Pool: f.pool, ID: id, Method: fasthttp.MethodPost, URI: completionsPath, Host: string(h.Host()), Body: text,
 		Headers: upstreamHeaders(spec, h)}})
 	a, stop := front.AwaitAnswer(ctx, t)
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -208,7 +208,7 @@
 		gone <- true
 	}, func(x *standin.Exchange) { x.Answer("twice!") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
-	rig.Pool.Stall = 30 * time.Second // so that the client's close, not a stall, ends the attempt
+	rig.Pool.StallTimeout = 30 * time.Second // so that the client's close, not a stall, ends the attempt
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -166,7 +166,7 @@
 	spec.Remaining = min(spec.Remaining, maxRemaining(class, spec.PromptTokens))
 	secondTry := string(in.Header.Peek("X-Second-Try"))
 	spec.Retried, spec.Resumed = secondTry == "1", secondTry == "again"
-	parcel := &replica.Parcel{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
+	parcel := &replica.Request{Pool: f.pool, ID: q.ID, Method: string(in.Header.Method()),
 		URI: string(in.RequestURI()), Host: string(in.Header.Host()), Body: body}
 	parcel.Headers = front.ForwardedHeaders(&in.Header, "X-Trace-Id", "X-Expires-In")
 	q.Payload, q.Size, q.Resumable = parcel, len(body), set.resumable
--- a/internal/fronttest/rig.go
+++ b/internal/fronttest/rig.go
@@ -69,7 +69,7 @@
 	}
 	set := Settings()
 	r.Pool = replica.NewPool(64, set.ConnIdle, set.ConnectTimeout)
-	r.Pool.Stall = 300 * time.Millisecond
+	r.Pool.StallTimeout = 300 * time.Millisecond
 	core, err := dispatch.New(set, 1, list, replica.NewReleaser(r.Pool), dispatch.Bounds{Requests: 64, Bytes: 16 << 20})
 	if err != nil {
 		t.Fatal(err)
