--- a/cmd/proving/back.go
+++ b/cmd/proving/back.go
@@ -20,27 +20,27 @@
 	fmt.Println("Share of the worth served, by second since power is back; replicas are cold and warm up within 6 s.")
 	for _, size := range m.Sizes {
 		for _, order := range []bool{false, true} {
-			s := proving.Script{Name: "back", Voters: 3, Within: "1s", Alone: "safe", Rate: m.Rate, Last: "0s", Lists: true, Ledger: "site", Order: order}
+			s := proving.Script{Name: "back", Voters: 3, Within: "1s", Alone: "safe", Rate: m.Rate, Last: "0s", Lists: true, Ledger: "site", OrderedRecovery: order}
 			if size >= 9 {
 				s.Voters = 5
 			}
 			s.Others = size - s.Voters
 			err := bench(c, s, func(b *proving.Bench) error {
 				time.Sleep(12 * time.Second) // steady, and its rate is noted
-				b.KillAll(b.List)
+				b.KillAll(b.Dispatchers)
 				time.Sleep(300 * time.Millisecond)
 				from := b.Now()
-				if err := b.Register("", "restart", atOnce); err != nil {
+				if err := b.ChangeRegistry("", "restart", atOnce); err != nil {
 					return err
 				}
-				if err := b.StartAll(b.List); err != nil {
+				if err := b.StartAll(b.Dispatchers); err != nil {
 					return err
 				}
 				time.Sleep(backSpan)
 				var curve []string
 				first := time.Duration(-1)
 				for at := time.Duration(0); at < backSpan; at += time.Second {
-					share, _ := b.Worth(b.List, from+at, from+at+time.Second)
+					share, _ := b.EarnedShare(b.Dispatchers, from+at, from+at+time.Second)
 					if share > 0 && first < 0 {
 						first = at
 					}
@@ -50,7 +50,7 @@
 				if order {
 					name = "in stages"
 				}
-				fmt.Printf("| %d | %s | %s | %v |\n", size, name, strings.Join(curve, " "), b.Coldest())
+				fmt.Printf("| %d | %s | %s | %v |\n", size, name, strings.Join(curve, " "), b.PeakColdLoad())
 				return nil
 			})
 			if err != nil {
--- a/cmd/proving/ledger.go
+++ b/cmd/proving/ledger.go
@@ -41,13 +41,13 @@
 		if mode != "" {
 			time.Sleep(time.Second) // until all holders are whole
 		}
-		b.Instructions(rate, time.Second) // connections are there by then
+		b.SendInstructions(rate, time.Second) // connections are there by then
 		type figures struct {
 			commits, bytes, entries int64
 			p50, p99                time.Duration // the worst
 		}
 		look := func() (sum figures, err error) {
-			for _, d := range b.List {
+			for _, d := range b.Dispatchers {
 				f, err := b.LedgerFigures(d)
 				if err != nil {
 					return sum, err
@@ -64,7 +64,7 @@
 				return err
 			}
 		}
-		took, failed := b.Instructions(rate, l.Span)
+		took, failed := b.SendInstructions(rate, l.Span)
 		if mode != "" {
 			if after, err = look(); err != nil {
 				return err
--- a/cmd/proving/lists.go
+++ b/cmd/proving/lists.go
@@ -49,7 +49,7 @@
 }
 
 func (l listsCmd) fleet(c *cli, size, rate int, apart bool, f func(b *proving.Bench) error) error {
-	s := proving.Script{Name: "lists", Voters: 3, Within: listsWithin.String(), Alone: l.Alone, Rate: rate, Last: "0s", Lists: true, Apart: apart}
+	s := proving.Script{Name: "lists", Voters: 3, Within: listsWithin.String(), Alone: l.Alone, Rate: rate, Last: "0s", Lists: true, Standalone: apart}
 	if size >= 10 {
 		s.Voters = 5
 	}
@@ -74,7 +74,7 @@
 						n = 5
 					}
 					for i := range n {
-						d, err := b.Move(2+float64(i%2), func(int) time.Duration { return rand01(r, late) })
+						d, err := b.ChangeWeight(2+float64(i%2), func(int) time.Duration { return rand01(r, late) })
 						if err != nil {
 							return err
 						}
@@ -111,14 +111,14 @@
 				time.Sleep(2 * time.Second)
 				var calls, bytes [2]float64
 				for kind := range 2 {
-					a0, w0, b0 := b.Load()
+					a0, w0, b0 := b.RegistryLoad()
 					for i := range int(span / time.Second) {
 						if kind == 1 {
-							b.Weight("writer-2", float64(2+i%2))
+							b.SetWeight("writer-2", float64(2+i%2))
 						}
 						time.Sleep(time.Second)
 					}
-					a1, w1, b1 := b.Load()
+					a1, w1, b1 := b.RegistryLoad()
 					calls[kind] = float64(a1+w1-a0-w0) / span.Seconds()
 					bytes[kind] = float64(b1-b0) / span.Seconds()
 				}
@@ -140,19 +140,19 @@
 	for _, mode := range modes {
 		size := l.Sizes[len(l.Sizes)-1]
 		err := l.fleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
-			b.KillAll(b.List)
-			b.LimitRegister(took)
-			a0, w0, _ := b.Load()
+			b.KillAll(b.Dispatchers)
+			b.LimitRegistry(took)
+			a0, w0, _ := b.RegistryLoad()
 			began := time.Now()
-			if err := b.StartAll(b.List); err != nil {
+			if err := b.StartAll(b.Dispatchers); err != nil {
 				return err
 			}
-			if err := b.Served(); err != nil {
+			if err := b.WaitServing(); err != nil {
 				return err
 			}
 			all := time.Since(began)
 			time.Sleep(max(span-time.Since(began), 0))
-			a1, w1, _ := b.Load()
+			a1, w1, _ := b.RegistryLoad()
 			fmt.Printf("| %s | %d | %d | %d | %v |\n", mode.name, size, a1-a0, w1-w0, all.Round(10*time.Millisecond))
 			return nil
 		})
@@ -168,36 +168,36 @@
 	return l.fleet(c, 3, 0, false, func(b *proving.Bench) error {
 		log.SetOutput(io.Discard) // each member logs as a dispatcher does
 		defer log.SetOutput(os.Stderr)
-		crowd, err := b.Crowd(l.Crowd)
+		crowd, err := b.AddMembers(l.Crowd)
 		if err != nil {
 			crowd.Close() // those that have begun
 			return err
 		}
 		defer crowd.Close()
-		if _, err := crowd.All(1); err != nil {
+		if _, err := crowd.WaitVersion(1); err != nil {
 			return err
 		}
 		time.Sleep(2 * listsWithin) // until all are counted
 		fmt.Println("| from the register's change to the last dispatcher | processes | changes | p50 | p99 | longest |\n| --- | --- | --- | --- | --- | --- |")
 		var took []time.Duration
-		a0, w0, _ := b.Load()
+		a0, w0, _ := b.RegistryLoad()
 		begin := time.Now()
 		for i := range l.Changes {
 			began := time.Now()
-			if _, err := b.Move(2+float64(i%2), atOnce); err != nil {
+			if _, err := b.ChangeWeight(2+float64(i%2), atOnce); err != nil {
 				return err
 			}
 			number, err := b.ListVersion()
 			if err != nil {
 				return err
 			}
-			if err := crowd.Listed(number); err != nil {
+			if err := crowd.WaitList(number); err != nil {
 				return err
 			}
 			took = append(took, time.Since(began))
 			time.Sleep(100 * time.Millisecond)
 		}
-		a1, w1, _ := b.Load()
+		a1, w1, _ := b.RegistryLoad()
 		row(fmt.Sprintf("agreed lists | %d", l.Crowd+3), took)
 		fmt.Printf("\nasked of the register meanwhile: %.1f calls a second, of %d changes in %v\n", float64(a1+w1-a0-w0)/time.Since(begin).Seconds(), l.Changes,
 			time.Since(begin).Round(time.Second))
@@ -237,7 +237,7 @@
 						return err
 					}
 					time.Sleep(from + span - b.Now())
-					got[kind], _ = b.Worth(b.List, from, b.Now())
+					got[kind], _ = b.EarnedShare(b.Dispatchers, from, b.Now())
 					return nil
 				})
 				if err != nil {
@@ -263,16 +263,16 @@
 	trouble := func() (undo func()) {
 		switch condition {
 		case "readers killed":
-			some := b.Named(readers...)
+			some := b.DispatchersNamed(readers...)
 			b.KillAll(some)
 			return func() { note(b.StartAll(some)) }
 		case "half killed":
-			some := b.List[len(b.List)/2:]
+			some := b.Dispatchers[len(b.Dispatchers)/2:]
 			b.KillAll(some)
 			return func() { note(b.StartAll(some)) }
 		case "split":
-			b.Halves(true)
-			return func() { b.Halves(false) }
+			b.SetPartition(true)
+			return func() { b.SetPartition(false) }
 		}
 		return func() {}
 	}
@@ -280,14 +280,14 @@
 	for i, replica := range gone {
 		at := time.Duration(1+3*i) * time.Second
 		until(at)
-		note(b.Register("", "new", late))
-		note(b.Register(replica, "terminating", late))
+		note(b.ChangeRegistry("", "new", late))
+		note(b.ChangeRegistry(replica, "terminating", late))
 		if i == 1 {
 			undo = trouble()
 		}
 		until(at + 2*time.Second)
-		b.Hang(replica)
-		note(b.Register(replica, "gone", late))
+		b.HangReplica(replica)
+		note(b.ChangeRegistry(replica, "gone", late))
 		if i == 2 {
 			undo()
 		}
--- a/cmd/proving/main.go
+++ b/cmd/proving/main.go
@@ -43,7 +43,7 @@
 func main() {
 	log.SetFlags(log.Ltime | log.Lmicroseconds)
 	if os.Getenv(asDispatcher) != "" {
-		if err := proving.AsDispatcher(os.Args[1:]); err != nil {
+		if err := proving.RunDispatcher(os.Args[1:]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -97,7 +97,7 @@
 		return proving.Judgement{}, fmt.Errorf("%s: %w (its files: %s)", s.Name, err, folder)
 	}
 	j := proving.Judge(record)
-	if !proving.Linear(history) {
+	if !proving.IsLinearizable(history) {
 		j.Findings = append(j.Findings, proving.Finding{Rule: "register", Text: "no order of the proposals explains what was read"})
 	}
 	if len(j.Findings) > 0 && c.Keep != "" {
@@ -115,10 +115,10 @@
 }
 
 func print(s proving.Script, j proving.Judgement) {
-	fmt.Printf("%-28s acts %6d  served %5d  refused %5d  failed %4d  unheard %4d  longest contradiction %v of %s  cold %.2f\n", s.Name, j.Acts, j.Served, j.Refused,
-		j.Failed, j.Unheard, j.Longest.Round(time.Millisecond), s.Within, j.Coldest)
-	if j.Orders.Sent > 0 {
-		fmt.Printf("  %v\n", j.Orders)
+	fmt.Printf("%-28s acts %6d  served %5d  refused %5d  failed %4d  unheard %4d  longest contradiction %v of %s  cold %.2f\n", s.Name, j.Actions, j.Served, j.Refused,
+		j.Failed, j.Unanswered, j.LongestContradiction.Round(time.Millisecond), s.Within, j.PeakColdLoad)
+	if j.Instructions.Sent > 0 {
+		fmt.Printf("  %v\n", j.Instructions)
 	}
 	for _, f := range j.Findings {
 		fmt.Printf("  %s\n", f)
@@ -163,7 +163,7 @@
 }
 
 func (s shape) draw(seed uint64) proving.Script {
-	script := proving.Draw(seed, proving.Shape{Voters: s.Voters, Others: s.Others, Within: s.Within, Lists: s.Lists, Ledger: s.Ledger, Order: s.Order})
+	script := proving.Generate(seed, proving.GeneratorOptions{Voters: s.Voters, Others: s.Others, Within: s.Within, Lists: s.Lists, Ledger: s.Ledger, OrderedRecovery: s.Order})
 	script.Fault = s.Fault
 	return script
 }
@@ -211,26 +211,26 @@
 				found++
 				print(script, j)
 			}
-			all.Acts += j.Acts
+			all.Actions += j.Actions
 			all.Served += j.Served
 			all.Refused += j.Refused
 			all.Failed += j.Failed
-			all.Unheard += j.Unheard
-			all.Longest = max(all.Longest, j.Longest)
-			all.Orders.Add(j.Orders)
-			all.Coldest = max(all.Coldest, j.Coldest)
-			bins[min(int(10*j.Longest/s.Within), 10)]++
+			all.Unanswered += j.Unanswered
+			all.LongestContradiction = max(all.LongestContradiction, j.LongestContradiction)
+			all.Instructions.Add(j.Instructions)
+			all.PeakColdLoad = max(all.PeakColdLoad, j.PeakColdLoad)
+			bins[min(int(10*j.LongestContradiction/s.Within), 10)]++
 		})
 	}
 	work.Wait()
 	fmt.Printf("\nseeds %d to %d: %d voters, %d others, within %v\nacts %d, served %d, refused %d, failed %d, of dispatchers that went down %d\n", s.From, s.To, s.Voters, s.Others,
-		s.Within, all.Acts, all.Served, all.Refused, all.Failed, all.Unheard)
-	fmt.Printf("longest contradiction %v; seeds by its tenths of %v: %v\nseeds with a finding %d, not played %d\n", all.Longest.Round(time.Millisecond), s.Within, bins, found, broken)
-	if all.Orders.Sent > 0 {
-		fmt.Println(all.Orders)
+		s.Within, all.Actions, all.Served, all.Refused, all.Failed, all.Unanswered)
+	fmt.Printf("longest contradiction %v; seeds by its tenths of %v: %v\nseeds with a finding %d, not played %d\n", all.LongestContradiction.Round(time.Millisecond), s.Within, bins, found, broken)
+	if all.Instructions.Sent > 0 {
+		fmt.Println(all.Instructions)
 	}
 	if s.Lists || s.Order {
-		fmt.Printf("the most that a cold replica was sent in a span, of what the rule allows: %.2f\n", all.Coldest)
+		fmt.Printf("the most that a cold replica was sent in a span, of what the rule allows: %.2f\n", all.PeakColdLoad)
 	}
 	if found+broken > 0 {
 		return errFound
@@ -262,12 +262,12 @@
 		for seed := range f.Most {
 			scripts = append(scripts, f.draw(uint64(seed+1)))
 		}
-		named, err := proving.Named()
+		named, err := proving.NamedScripts()
 		if err != nil {
 			return err
 		}
 		for _, s := range named {
-			if !s.For(name) {
+			if !s.CanDetect(name) {
 				continue
 			}
 			s.Fault = name
@@ -278,9 +278,9 @@
 		switch {
 		case by == "" && !harmless:
 			missed++
-			fmt.Printf("%-22s NOT FOUND in %d scripts: %s\n", name, tried, proving.Faults[name].What)
+			fmt.Printf("%-22s NOT FOUND in %d scripts: %s\n", name, tried, proving.Faults[name].Description)
 		case by == "":
-			fmt.Printf("%-22s rightly nothing found in %d scripts: %s\n", name, tried, proving.Faults[name].What)
+			fmt.Printf("%-22s rightly nothing found in %d scripts: %s\n", name, tried, proving.Faults[name].Description)
 		default:
 			fmt.Printf("%-22s found by %s after %d scripts: %.150s\n", name, by, tried, rule)
 			if harmless {
--- a/cmd/proving/measure.go
+++ b/cmd/proving/measure.go
@@ -82,7 +82,7 @@
 		err := m.fleet(c, size, 0, "safe", func(b *proving.Bench) error {
 			var took []time.Duration
 			for range m.Changes {
-				d, err := b.Change()
+				d, err := b.ProposeChange()
 				if err != nil {
 					return err
 				}
@@ -106,17 +106,17 @@
 		for _, who := range []int{14, 4} {
 			var took []time.Duration
 			for range max(m.Changes/4, 3) {
-				b.Kill(b.List[who])
-				d, err := b.Change()
+				b.Kill(b.Dispatchers[who])
+				d, err := b.ProposeChange()
 				if err != nil {
 					return err
 				}
 				took = append(took, d)
-				if err := b.Restart(b.List[who]); err != nil {
+				if err := b.Restart(b.Dispatchers[who]); err != nil {
 					return err
 				}
 			}
-			row(b.List[who].Name, took)
+			row(b.Dispatchers[who].Name, took)
 		}
 		return nil
 	})
@@ -140,8 +140,8 @@
 
 func (m measureCmd) load(b *proving.Bench, size int, who []int) error {
 	for _, i := range slices.Compact(who) {
-		d := b.List[i]
-		before, err := b.Own(d)
+		d := b.Dispatchers[i]
+		before, err := b.Status(d)
 		if err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 			return err
 		}
 		time.Sleep(restTime)
-		after, err := b.Own(d)
+		after, err := b.Status(d)
 		if err != nil {
 			return err
 		}
@@ -193,7 +193,7 @@
 				s := span{from: b.Now()}
 				for end := s.from + stretch; b.Now() < end; {
 					if kind == 1 {
-						if _, err := b.Change(); err != nil {
+						if _, err := b.ProposeChange(); err != nil {
 							return err
 						}
 						s.changes++
@@ -208,7 +208,7 @@
 			share, changes := 0.0, 0
 			var took []time.Duration
 			for _, s := range spans[kind] {
-				worth, t := b.Worth(b.List, s.from, s.to)
+				worth, t := b.EarnedShare(b.Dispatchers, s.from, s.to)
 				share += worth / turns
 				took = append(took, t...)
 				changes += s.changes
@@ -227,19 +227,19 @@
 	fmt.Println("| alone | worth served before | while two of three voters are dead | acts beyond the lease |\n| --- | --- | --- | --- |")
 	for _, mode := range []string{"stop", "safe", "hold"} {
 		err := m.fleet(c, 4, 20, mode, func(b *proving.Bench) error {
-			left := b.List[2:]
+			left := b.Dispatchers[2:]
 			from := b.Now()
 			time.Sleep(3 * time.Second)
 			dead := b.Now()
-			b.Kill(b.List[0])
-			b.Kill(b.List[1])
+			b.Kill(b.Dispatchers[0])
+			b.Kill(b.Dispatchers[1])
 			time.Sleep(gone)
 			to := b.Now()
-			before, _ := b.Worth(left, from, dead)
-			after, _ := b.Worth(left, dead+m.Within, to)
+			before, _ := b.EarnedShare(left, from, dead)
+			after, _ := b.EarnedShare(left, dead+m.Within, to)
 			late := int64(0)
 			for _, d := range left {
-				o, err := b.Own(d)
+				o, err := b.Status(d)
 				if err != nil {
 					return err
 				}
@@ -261,13 +261,13 @@
 	return m.fleet(c, 3, 0, "safe", func(b *proving.Bench) error {
 		log.SetOutput(io.Discard) // each member logs as a dispatcher does
 		defer log.SetOutput(os.Stderr)
-		crowd, err := b.Crowd(m.Crowd)
+		crowd, err := b.AddMembers(m.Crowd)
 		if err != nil {
 			crowd.Close() // those that have begun
 			return err
 		}
 		defer crowd.Close()
-		if _, err := crowd.All(1); err != nil {
+		if _, err := crowd.WaitVersion(1); err != nil {
 			return err
 		}
 		if err := m.load(b, 3, []int{0, 1, 2}); err != nil {
@@ -276,10 +276,10 @@
 		var took []time.Duration
 		for i := range 10 {
 			began := time.Now()
-			if _, err := b.Change(); err != nil {
+			if _, err := b.ProposeChange(); err != nil {
 				return err
 			}
-			if _, err := crowd.All(uint64(i + 2)); err != nil {
+			if _, err := crowd.WaitVersion(uint64(i + 2)); err != nil {
 				return err
 			}
 			took = append(took, time.Since(began))
--- a/internal/proving/cold.go
+++ b/internal/proving/cold.go
@@ -24,13 +24,13 @@
 )
 
 // Coldest is the most that a cold replica was sent in a span, of what the rule allows, and when.
-type Coldest struct {
+type ColdLoad struct {
 	Part    float64
 	Replica string
 	Age     time.Duration // since its start
 }
 
-func (c Coldest) String() string {
+func (c ColdLoad) String() string {
 	if c.Replica == "" {
 		return "none"
 	}
@@ -44,7 +44,7 @@
 // their own; what others of their kind bore counts as it: the mean of warm ones in the same span, or of all in the best span before
 // the start, whichever is more. The rule itself has a little slack for chance: here two deviations of as many sends. It gives the
 // most that was sent.
-func (r *Record) judgeCold(find func(rule, form string, args ...any)) (most Coldest) {
+func (r *Record) judgeCold(find func(rule, form string, args ...any)) (most ColdLoad) {
 	at := r.sends()
 	born := map[string]Cold{}
 	for _, c := range r.Cold {
@@ -65,7 +65,7 @@
 			allowed += 2 * math.Sqrt(allowed)
 			sent := span(at[where], t)
 			if part := float64(sent) / allowed; part > most.Part {
-				most = Coldest{part, where, t - c.At}
+				most = ColdLoad{part, where, t - c.At}
 			}
 			if float64(sent) > allowed {
 				find("cold", "%s was sent %d from %v after its start on, allowed within %v is %.0f", where, sent, t-c.At, fallTime, allowed)
--- a/internal/proving/draw.go
+++ b/internal/proving/draw.go
@@ -8,16 +8,16 @@
 )
 
 // Shape is what scripts are drawn for.
-type Shape struct {
-	Voters, Others int
-	Within         time.Duration
-	Lists          bool   // the register has troubles of its own
-	Ledger         string // clients repeat instructions, and power goes
-	Order          bool   // all lose power together, and come back in stages and in any order
+type GeneratorOptions struct {
+	Voters, Others  int
+	Within          time.Duration
+	Lists           bool   // the register has troubles of its own
+	Ledger          string // clients repeat instructions, and power goes
+	OrderedRecovery bool   // all lose power together, and come back in stages and in any order
 }
 
 // Draw makes a script from a seed: some troubles, each with its end, and proposals among them.
-func Draw(seed uint64, shape Shape) Script {
+func Generate(seed uint64, shape GeneratorOptions) Script {
 	voters, others, within := shape.Voters, shape.Others, shape.Within
 	r := rand.New(rand.NewPCG(seed, 20))
 	s := Script{Name: fmt.Sprintf("seed-%d", seed), Seed: seed, Voters: voters, Others: others, Within: within.String(), Rate: 8,
@@ -99,10 +99,10 @@
 		s.Lists = true
 		s.drawRegister(r, someone, span, add)
 	}
-	if shape.Order {
-		s.Lists, s.Order = true, true
+	if shape.OrderedRecovery {
+		s.Lists, s.OrderedRecovery = true, true
 	}
-	if shape.Ledger != "" && shape.Order {
+	if shape.Ledger != "" && shape.OrderedRecovery {
 		s.Ledger, s.Power, s.Rate = shape.Ledger, true, 12
 		last = s.drawReturn(r, add)
 	} else if shape.Ledger != "" {
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -27,18 +27,18 @@
 
 // Faults are those that can be put in, each with what it does.
 var Faults = map[string]struct {
-	What     string
-	put      func()
-	Harmless bool // it must do no harm
+	Description string
+	put         func()
+	Harmless    bool // it must do no harm
 }{
-	"lease-from-reply": {What: "a lease counts from when the renewal was answered, however late", put: func() {
+	"lease-from-reply": {Description: "a lease counts from when the renewal was answered, however late", put: func() {
 		program.AgreementHooks.Patience = 3 * time.Second
 		program.AgreementHooks.Renewed = func(_, now time.Duration) time.Duration { return now }
 	}},
-	"lease-without-end": {What: "a lease never ends", put: func() {
+	"lease-without-end": {Description: "a lease never ends", put: func() {
 		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Renewed(1000*time.Hour, agree.TimingOf(time.Second)) }
 	}},
-	"no-wait": {What: "a version is put in force without waiting for who may be acting", put: func() {
+	"no-wait": {Description: "a version is put in force without waiting for who may be acting", put: func() {
 		program.AgreementHooks.Tally = func(t *agree.Tally) {
 			t.Known = 0
 			for _, m := range t.Members {
@@ -46,48 +46,48 @@
 			}
 		}
 	}},
-	"turned-down-in-force": {What: "a version that was turned down is put in force", put: func() {
+	"turned-down-in-force": {Description: "a version that was turned down is put in force", put: func() {
 		program.AgreementHooks.Entry = func(_ *agree.Book, e *agree.Entry) {
 			if e.TurnDown != nil {
 				*e = agree.Entry{Activate: &agree.Activate{Number: e.TurnDown.Number}}
 			}
 		}
 	}},
-	"number-again": {What: "a number is given to another content", put: func() {
+	"number-again": {Description: "a number is given to another content", put: func() {
 		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
 			if e.Propose != nil && b.Last > 1 && b.Last%2 == 0 {
 				b.Last--
 			}
 		}
 	}},
-	"no-check-at-send": {What: "leave is not asked again before the first byte", put: func() { wrap(dispatchSend) }},
-	"no-check-at-take": {What: "leave is not asked where a request is taken", put: func() { wrap(dispatchTake) }},
-	"unsure-leader":    {What: "a leader grants leases without asking whether it still leads", put: func() { program.AgreementHooks.Unsure = true }},
-	"old-version-renewed": {What: "a lease on the version before is renewed by what is granted for the one in force", put: func() {
+	"no-check-at-send": {Description: "leave is not asked again before the first byte", put: func() { wrap(dispatchSend) }},
+	"no-check-at-take": {Description: "leave is not asked where a request is taken", put: func() { wrap(dispatchTake) }},
+	"unsure-leader":    {Description: "a leader grants leases without asking whether it still leads", put: func() { program.AgreementHooks.Unsure = true }},
+	"old-version-renewed": {Description: "a lease on the version before is renewed by what is granted for the one in force", put: func() {
 		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
-	"entries-unwritten": {What: "entries are acknowledged and not written", put: func() {
+	"entries-unwritten": {Description: "entries are acknowledged and not written", put: func() {
 		program.AgreementHooks.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l, entries: true} }
 	}},
-	"vote-unwritten": {What: "votes and terms are given and not written", put: func() {
+	"vote-unwritten": {Description: "votes and terms are given and not written", put: func() {
 		program.AgreementHooks.Disk = func(l *raftlog.Log) agreement.Disk { return &forgetful{Log: l} }
 	}},
-	"wall-clock-back": {What: "the wall clock is an hour behind", put: func() {
+	"wall-clock-back": {Description: "the wall clock is an hour behind", put: func() {
 		program.AgreementHooks.Wall = func() time.Time { return time.Now().Add(-time.Hour) }
 	}, Harmless: true},
-	"recovery-known-tenfold": {What: "what replicas bore is taken for ten times as much", put: func() {
+	"recovery-known-tenfold": {Description: "what replicas bore is taken for ten times as much", put: func() {
 		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 10) }
 		program.RecoveryHooks.OverrideRate = func(x float64) float64 { return 10 * x }
 	}},
-	"recovery-known-of-all": {What: "each dispatcher takes what replicas bear of all for its own part, and lets all in", put: func() {
+	"recovery-known-of-all": {Description: "each dispatcher takes what replicas bear of all for its own part, and lets all in", put: func() {
 		program.RecoveryHooks.OverrideKnown = func(k recovery.Known) recovery.Known { return times(k, 5) }
 		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}},
-	"recovery-old-list": {What: "a list from before the loss of power says which replicas are warm", put: func() { program.RecoveryHooks.TrustInitialList = true }},
-	"recovery-no-ramp": {What: "all are let in at once: the cold budget alone must keep the rule", put: func() {
+	"recovery-old-list": {Description: "a list from before the loss of power says which replicas are warm", put: func() { program.RecoveryHooks.TrustInitialList = true }},
+	"recovery-no-ramp": {Description: "all are let in at once: the cold budget alone must keep the rule", put: func() {
 		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}, Harmless: true},
-	"recovery-liar": {What: "o1 says that replicas bear a thousand times as much: the median must keep the rule", put: func() {
+	"recovery-liar": {Description: "o1 says that replicas bear a thousand times as much: the median must keep the rule", put: func() {
 		program.RecoveryHooks.OverrideReported = func(name string, k recovery.Known) recovery.Known {
 			if name == "o1" {
 				return recovery.Known{"reader": 1e4, "writer": 1e4}
@@ -95,15 +95,15 @@
 			return k
 		}
 	}, Harmless: true},
-	"recovery-early-instructions": {What: "instructions are let in before it is known what may have run: the ledger must refuse them", put: func() {
+	"recovery-early-instructions": {Description: "instructions are let in before it is known what may have run: the ledger must refuse them", put: func() {
 		program.RecoveryHooks.OverrideManner = func(m recovery.Manner) recovery.Manner { m.Instructions = m.Takes; return m }
 	}, Harmless: true},
-	"recovery-refound-forgets-acts": {What: "a new cluster leaves out what dispatchers acted on and its log lacks", put: func() {
+	"recovery-refound-forgets-acts": {Description: "a new cluster leaves out what dispatchers acted on and its log lacks", put: func() {
 		program.AgreementHooks.Refound = func(before, next *agree.Book) {
 			*next, _ = before.Refound(next.Cluster, next.Wanted, next.Seats[0], nil, "fault")
 		}
 	}},
-	"recovery-refound-forgets-orders": {What: "a new cluster leaves out the orders in force", put: func() {
+	"recovery-refound-forgets-orders": {Description: "a new cluster leaves out the orders in force", put: func() {
 		program.AgreementHooks.Refound = func(_, next *agree.Book) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
@@ -112,44 +112,44 @@
 			}
 		}
 	}},
-	"recovery-refound-numbers-again": {What: "a new cluster begins its numbers anew", put: func() {
+	"recovery-refound-numbers-again": {Description: "a new cluster begins its numbers anew", put: func() {
 		program.AgreementHooks.Refound = func(_, next *agree.Book) { next.Last = 1 }
 	}},
-	"recovery-refound-old-version": {What: "a new cluster goes back to version 1", put: func() {
+	"recovery-refound-old-version": {Description: "a new cluster goes back to version 1", put: func() {
 		program.AgreementHooks.Refound = func(_, next *agree.Book) {
 			next.InForce().State = agree.Superseded
 			next.Force, next.Versions[0].State = 1, agree.InForce
 		}
 	}},
-	"list-own-drain-ignored": {What: "a drain that its own register tells does not count for a dispatcher", put: func() {
+	"list-own-drain-ignored": {Description: "a drain that its own register tells does not count for a dispatcher", put: func() {
 		program.ListHooks.OverrideMerge = func(agreed membership.List, _ membership.OwnList, _ bool) map[string]membership.Entry {
 			return membership.Effective(agreed, membership.OwnList{}, true)
 		}
 	}},
-	"list-looser-at-once": {What: "what its own register names counts before it is agreed on", put: func() {
+	"list-looser-at-once": {Description: "what its own register names counts before it is agreed on", put: func() {
 		program.ListHooks.OverrideMerge = func(agreed membership.List, own membership.OwnList, named bool) map[string]membership.Entry {
 			all := membership.Effective(agreed, own, named)
 			maps.Copy(all, own.Entries)
 			return all
 		}
 	}},
-	"list-ignored":        {What: "agreed lists after the first are not acted on", put: func() { program.ListHooks.IgnoreAgreed = true }},
-	"list-reader-forgets": {What: "who stops reading forgets drains that nobody else has heard of", put: func() { program.ListHooks.ForgetOnStop = true }},
-	"list-back-counts": {What: "a register that went back counts like any other", put: func() {
+	"list-ignored":        {Description: "agreed lists after the first are not acted on", put: func() { program.ListHooks.IgnoreAgreed = true }},
+	"list-reader-forgets": {Description: "who stops reading forgets drains that nobody else has heard of", put: func() { program.ListHooks.ForgetOnStop = true }},
+	"list-back-counts": {Description: "a register that went back counts like any other", put: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.AllowRollback = true }
 	}},
-	"list-cold-unknown": {What: "when a replica started is lost on the way into the core", put: func() {
+	"list-cold-unknown": {Description: "when a replica started is lost on the way into the core", put: func() {
 		program.ListHooks.MutateEntry = func(e *membership.Entry) { e.StartedMS = 0 }
 	}},
-	"list-late": {What: "agreed lists are acted on seconds later, and the lease goes on", put: func() { program.ListHooks.ApplyDelay = 4 * time.Second }},
-	"list-orders-free": {What: "operators' orders are on record and not kept", put: func() {
+	"list-late": {Description: "agreed lists are acted on seconds later, and the lease goes on", put: func() { program.ListHooks.ApplyDelay = 4 * time.Second }},
+	"list-orders-free": {Description: "operators' orders are on record and not kept", put: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.IgnoreOrders = true }
 	}},
-	"ledger-early": {What: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Seams.Early = true })},
-	"ledger-unsynced": {What: "intents are acknowledged before they are on disk", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-early": {Description: "an attempt leaves while its intent is being noted", put: keeper(func(o *bookkeeping.Options) { o.Seams.Early = true })},
+	"ledger-unsynced": {Description: "intents are acknowledged before they are on disk", put: keeper(func(o *bookkeeping.Options) {
 		o.Survive = bookkeeping.Process
 	})},
-	"ledger-unchecked": {What: "other attempts of the same key do not forbid an intent, and repeats do not ask", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-unchecked": {Description: "other attempts of the same key do not forbid an intent, and repeats do not ask", put: keeper(func(o *bookkeeping.Options) {
 		o.Seams.Op = func(op *ledger.Op) { op.Check = false }
 		o.Seams.Reply = func(r *ledger.Reply) {
 			if !r.Granted {
@@ -157,7 +157,7 @@
 			}
 		}
 	})},
-	"ledger-prefers-never": {What: "an intent of which nothing more is known counts as one that never ran", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-prefers-never": {Description: "an intent of which nothing more is known counts as one that never ran", put: keeper(func(o *bookkeeping.Options) {
 		o.Seams.Op = func(op *ledger.Op) { op.Check = false }
 		o.Seams.Reply = func(r *ledger.Reply) {
 			r.Entry = r.Entry.Clone()
@@ -168,14 +168,14 @@
 			}
 		}
 	})},
-	"ledger-one-holder": {What: "one holder is enough for an intent", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-one-holder": {Description: "one holder is enough for an intent", put: keeper(func(o *bookkeeping.Options) {
 		o.Seams.Count = func(c *ledger.Count) { c.Need(1) }
 	})},
-	"ledger-unfilled": {What: "a new file, or an old copy, counts as one that knows all", put: keeper(func(o *bookkeeping.Options) { o.Seams.Unfilled = true })},
-	"ledger-soon": {What: "entries are forgotten after a tenth of a second", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-unfilled": {Description: "a new file, or an old copy, counts as one that knows all", put: keeper(func(o *bookkeeping.Options) { o.Seams.Unfilled = true })},
+	"ledger-soon": {Description: "entries are forgotten after a tenth of a second", put: keeper(func(o *bookkeeping.Options) {
 		o.Limits.Keep = 100 * time.Millisecond
 	})},
-	"ledger-unclear-is-yes": {What: "where too few holders answer, an attempt is sent all the same", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-unclear-is-yes": {Description: "where too few holders answer, an attempt is sent all the same", put: keeper(func(o *bookkeeping.Options) {
 		o.Seams.Verdict = func(_ ledger.Op, v ledger.Verdict) ledger.Verdict {
 			if v == ledger.Unclear {
 				return ledger.Yes
@@ -183,7 +183,7 @@
 			return v
 		}
 	})},
-	"ledger-lost-is-never": {What: "a connection that broke counts as proof that nothing ran", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-lost-is-never": {Description: "a connection that broke counts as proof that nothing ran", put: keeper(func(o *bookkeeping.Options) {
 		o.Seams.Outcome = func(out logic.Outcome, o ledger.Outcome) ledger.Outcome {
 			if out != logic.Delivered {
 				return ledger.Never
@@ -191,7 +191,7 @@
 			return o
 		}
 	})},
-	"ledger-own-keys": {What: "dispatchers give one instruction different keys", put: keeper(func(o *bookkeeping.Options) {
+	"ledger-own-keys": {Description: "dispatchers give one instruction different keys", put: keeper(func(o *bookkeeping.Options) {
 		name := o.Name
 		o.Seams.Op = func(op *ledger.Op) {
 			for i := range name {
@@ -199,8 +199,8 @@
 			}
 		}
 	})},
-	"ledger-forgets": {What: "what is on disk is not read at the start", put: keeper(func(o *bookkeeping.Options) { o.Seams.Forgets = true })},
-	"base-unchecked": {What: "a proposal counts whatever version it was made from", put: func() {
+	"ledger-forgets": {Description: "what is on disk is not read at the start", put: keeper(func(o *bookkeeping.Options) { o.Seams.Forgets = true })},
+	"base-unchecked": {Description: "a proposal counts whatever version it was made from", put: func() {
 		program.AgreementHooks.Entry = func(b *agree.Book, e *agree.Entry) {
 			if e.Propose != nil {
 				e.Propose.Base = b.Force
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -41,14 +41,14 @@
 
 // Fleet is all dispatchers with the links between them.
 type Fleet struct {
-	program  Program
-	folder   string
-	List     []*Dispatcher
-	voters   []string
-	links    map[[2]string]*Relay // from a dispatcher to a voter
-	replicas []standin.Entry
-	reg      *registry // nil where lists are not agreed on
-	start    time.Time
+	program     Program
+	folder      string
+	Dispatchers []*Dispatcher
+	voters      []string
+	links       map[[2]string]*Relay // from a dispatcher to a voter
+	replicas    []standin.Entry
+	reg         *registry // nil where lists are not agreed on
+	start       time.Time
 
 	mu    sync.Mutex
 	downs map[string][][2]time.Duration
@@ -118,20 +118,20 @@
 			d.Name = fmt.Sprintf("o%d", i+1-s.Voters)
 		}
 		d.dir = appliance.Dir(filepath.Join(folder, d.Name))
-		f.List = append(f.List, d)
+		f.Dispatchers = append(f.Dispatchers, d)
 	}
 	if s.Lists {
 		var names []string
-		for _, d := range f.List {
+		for _, d := range f.Dispatchers {
 			names = append(names, d.Name)
 		}
 		if f.reg, err = newRegistry(replicas, spare, names); err != nil {
 			return nil, err
 		}
 	}
-	for i, d := range f.List {
+	for i, d := range f.Dispatchers {
 		voters := map[string]string{}
-		for _, v := range f.List[:s.Voters] {
+		for _, v := range f.Dispatchers[:s.Voters] {
 			voters[v.Name] = v.Peers
 			if v == d {
 				continue
@@ -157,10 +157,10 @@
 		if s.Ledger != "" && s.Ledger != ledgerOff {
 			d.file["ledger"] = map[string]any{"keep": "1h", "survive": s.Ledger}
 		}
-		if s.Order {
+		if s.OrderedRecovery {
 			d.file["recovery"] = map[string]any{}
 		}
-		if s.Apart {
+		if s.Standalone {
 			delete(d.file, "agree")
 			delete(d.file, "peers")
 		}
@@ -288,7 +288,7 @@
 
 // Close ends everything that the fleet started.
 func (f *Fleet) Close() {
-	for _, d := range f.List {
+	for _, d := range f.Dispatchers {
 		if d.Running() {
 			_ = d.cmd.Process.Kill()
 			<-d.ended
@@ -312,7 +312,7 @@
 // named gives the dispatchers of a word: a name, "leader" or "*".
 func (f *Fleet) named(word string) []*Dispatcher {
 	var some []*Dispatcher
-	for _, d := range f.List {
+	for _, d := range f.Dispatchers {
 		if word == "*" || d.Name == word {
 			some = append(some, d)
 		}
@@ -324,7 +324,7 @@
 		return some
 	}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		for _, d := range f.List {
+		for _, d := range f.Dispatchers {
 			if !d.Running() || d.stopped.Load() {
 				continue
 			}
@@ -339,7 +339,7 @@
 // reader gives one of those who read the register for all, waiting for there to be one.
 func (f *Fleet) reader() []*Dispatcher {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		for _, d := range f.List {
+		for _, d := range f.Dispatchers {
 			if !d.Running() || d.stopped.Load() || time.Now().After(end) {
 				continue
 			}
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -70,15 +70,15 @@
 
 // Judgement is what the judge finds, and how near it came to the bound.
 type Judgement struct {
-	Findings []Finding
-	Longest  time.Duration // that two contradicting versions were acted on, as far as it shows
-	Acts     int
-	Served   int
-	Refused  int
-	Failed   int
-	Unheard  int     // requests whose dispatcher went down
-	Orders   Orders  // instructions that clients repeat
-	Coldest  float64 // the most that a cold replica was sent in a span, of what the rule allows
+	Findings             []Finding
+	LongestContradiction time.Duration // that two contradicting versions were acted on, as far as it shows
+	Actions              int
+	Served               int
+	Refused              int
+	Failed               int
+	Unanswered           int               // requests whose dispatcher went down
+	Instructions         InstructionCounts // instructions that clients repeat
+	PeakColdLoad         float64           // the most that a cold replica was sent in a span, of what the rule allows
 }
 
 // answerWithin bounds how long a client waits for an answer of a dispatcher that is up, beyond any deadline. It is no
@@ -176,7 +176,7 @@
 			if later <= n || !contradicts(n, later) || a.From <= t || harmless[a.ID] || restored(n, later, a.To) {
 				continue
 			}
-			j.Longest = max(j.Longest, a.From-t)
+			j.LongestContradiction = max(j.LongestContradiction, a.From-t)
 			if a.From > t+r.Within {
 				find("within", "%s: %s of %s by version %d at %v, and version %d was in force at %v: %v later, allowed is %v", a.Who, a.What, a.ID, n,
 					a.From, later, t, a.From-t, r.Within)
@@ -185,8 +185,8 @@
 	}
 	r.judgeDrains(harmless, find)
 	r.judgeOrders(find, &j)
-	j.Coldest = r.judgeCold(find).Part
-	j.Acts = len(acts)
+	j.PeakColdLoad = r.judgeCold(find).Part
+	j.Actions = len(acts)
 	for _, a := range r.Asked {
 		if a.Unread != "" && r.Read[a.Unread] && !r.down(a) {
 			find("lost", "%s at %s was taken, and its connection ended without an answer", a.Unread, a.Who)
@@ -199,7 +199,7 @@
 		case a.Status != 0:
 			j.Failed++
 		case r.down(a):
-			j.Unheard++
+			j.Unanswered++
 		default:
 			find("lost", "%s at %s, sent at %v, ended at %v without an answer: %v", a.ID, a.Who, a.Sent, a.Done, a.Why)
 		}
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -38,18 +38,18 @@
 	}
 	t.now = f.Now
 	b := &Bench{Fleet: f, t: t, Script: s}
-	if s.Apart {
+	if s.Standalone {
 		return b, b.startApart()
 	}
-	if text, err := f.Run(f.List[0], "settings", "init"); err != nil {
+	if text, err := f.Run(f.Dispatchers[0], "settings", "init"); err != nil {
 		return b, fmt.Errorf("settings init: %w: %s", err, text)
 	}
-	for _, d := range f.List {
+	for _, d := range f.Dispatchers {
 		if err := f.Start(d); err != nil {
 			return b, err
 		}
 	}
-	if err := b.All(1); err != nil {
+	if err := b.WaitVersion(1); err != nil {
 		return b, err
 	}
 	time.Sleep(length(s.Within)) // a new leader waits for leases that it knows nothing of
@@ -58,7 +58,7 @@
 }
 
 func (b *Bench) askAll() {
-	for _, d := range b.List {
+	for _, d := range b.Dispatchers {
 		if b.Script.Rate > 0 {
 			b.t.open.Add(1)
 			go b.t.ask(d, b.Script.Rate)
@@ -75,7 +75,7 @@
 }
 
 // Own asks a dispatcher how it stands.
-func (b *Bench) Own(d *Dispatcher) (agreement.Own, error) {
+func (b *Bench) Status(d *Dispatcher) (agreement.Own, error) {
 	r, err := b.Ask(d, agreement.Command{Do: "own"})
 	if err != nil || r.Own == nil {
 		return agreement.Own{}, fmt.Errorf("%s: %w %s", d.Name, err, r.Error)
@@ -84,17 +84,17 @@
 }
 
 // All waits until every dispatcher that runs acts on a version.
-func (b *Bench) All(number uint64) error {
+func (b *Bench) WaitVersion(number uint64) error {
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	var late error
-	for _, d := range b.List {
+	for _, d := range b.Dispatchers {
 		if !d.Running() {
 			continue
 		}
 		work.Go(func() {
 			for end := time.Now().Add(generous); ; time.Sleep(2 * time.Millisecond) {
-				if o, err := b.Own(d); err == nil && o.Version == number && o.LeaseMS > 0 {
+				if o, err := b.Status(d); err == nil && o.Version == number && o.LeaseMS > 0 {
 					return
 				}
 				if time.Now().After(end) {
@@ -111,8 +111,8 @@
 }
 
 // Change proposes another version at the first dispatcher and gives the time until all act on it.
-func (b *Bench) Change() (time.Duration, error) {
-	r, err := b.Ask(b.List[0], agreement.Command{Do: "view"})
+func (b *Bench) ProposeChange() (time.Duration, error) {
+	r, err := b.Ask(b.Dispatchers[0], agreement.Command{Do: "view"})
 	if err != nil || r.View == nil {
 		return 0, fmt.Errorf("no view: %w %s", err, r.Error)
 	}
@@ -122,11 +122,11 @@
 		return 0, err
 	}
 	began := time.Now()
-	r, err = b.Ask(b.List[0], agreement.Command{Do: "propose", Base: r.View.Book.Force, Content: content, By: "measure"})
+	r, err = b.Ask(b.Dispatchers[0], agreement.Command{Do: "propose", Base: r.View.Book.Force, Content: content, By: "measure"})
 	if err != nil || r.Error != "" {
 		return 0, fmt.Errorf("propose: %w %s", err, r.Error)
 	}
-	err = b.All(r.Number)
+	err = b.WaitVersion(r.Number)
 	return time.Since(began), err
 }
 
@@ -138,16 +138,16 @@
 	if err := b.Start(d); err != nil {
 		return err
 	}
-	r, err := b.Ask(b.List[0], agreement.Command{Do: "view"})
+	r, err := b.Ask(b.Dispatchers[0], agreement.Command{Do: "view"})
 	if err != nil || r.View == nil {
 		return fmt.Errorf("no view: %w %s", err, r.Error)
 	}
-	return b.All(r.View.Book.Force)
+	return b.WaitVersion(r.View.Book.Force)
 }
 
 // Worth gives what the requests earned that were sent to a dispatcher in a stretch of time, of what they could have, and
 // the times that the served ones took. An enquiry is worth 3, an instruction 2. It waits until they are answered.
-func (b *Bench) Worth(who []*Dispatcher, from, to time.Duration) (share float64, took []time.Duration) {
+func (b *Bench) EarnedShare(who []*Dispatcher, from, to time.Duration) (share float64, took []time.Duration) {
 	time.Sleep(to + askLimit + 500*time.Millisecond - b.Now())
 	b.t.mu.Lock()
 	defer b.t.mu.Unlock()
@@ -213,7 +213,7 @@
 }
 
 // crowd is members without a program behind them, for the load that many put on the one that leads.
-type crowd struct{ nodes []*agreement.Node }
+type memberGroup struct{ nodes []*agreement.Node }
 
 type idle struct{}
 
@@ -228,10 +228,10 @@
 func (idle) Bears() map[string]float64                 { return nil }
 
 // Crowd adds so many members to the fleet, all in this process; each has a log and links of its own.
-func (b *Bench) Crowd(size int) (*crowd, error) {
-	c := &crowd{}
+func (b *Bench) AddMembers(size int) (*memberGroup, error) {
+	c := &memberGroup{}
 	voters := map[string]string{}
-	for _, d := range b.List {
+	for _, d := range b.Dispatchers {
 		if d.Peers != "" {
 			voters[d.Name] = d.Peers
 		}
@@ -259,7 +259,7 @@
 }
 
 // All waits until each member holds a version under a lease, and gives the time.
-func (c *crowd) All(number uint64) (time.Duration, error) {
+func (c *memberGroup) WaitVersion(number uint64) (time.Duration, error) {
 	began := time.Now()
 	for _, n := range c.nodes {
 		for o := n.Own(); o.Version != number || o.LeaseMS == 0; o = n.Own() {
@@ -273,7 +273,7 @@
 }
 
 // Listed waits until each member goes by a version of the list or a later one.
-func (c *crowd) Listed(number uint64) error {
+func (c *memberGroup) WaitList(number uint64) error {
 	began := time.Now()
 	for _, n := range c.nodes {
 		for n.Own().List < number {
@@ -287,7 +287,7 @@
 }
 
 // Close ends all members.
-func (c *crowd) Close() {
+func (c *memberGroup) Close() {
 	for _, n := range c.nodes {
 		_ = n.Close() // nothing of theirs is kept
 	}
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -12,7 +12,7 @@
 
 // Instructions sends so many instructions a second in all, each under a key of its own, spread over the dispatchers, and gives the
 // times of those that were served.
-func (b *Bench) Instructions(rate int, span time.Duration) (took []time.Duration, failed int) {
+func (b *Bench) SendInstructions(rate int, span time.Duration) (took []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	tick := time.NewTicker(time.Second / time.Duration(rate))
@@ -20,7 +20,7 @@
 	n := 0
 	for end := b.Now() + span; b.Now() < end; n++ {
 		<-tick.C
-		d, key := b.List[n%len(b.List)], fmt.Sprintf("m-%d-%d-%d", rate, b.next, n)
+		d, key := b.Dispatchers[n%len(b.Dispatchers)], fmt.Sprintf("m-%d-%d-%d", rate, b.next, n)
 		all.Go(func() {
 			a := b.t.send(d, Asked{Who: d.Name, ID: key, Once: true}, key, "{}")
 			mu.Lock()
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -16,12 +16,12 @@
 
 // startApart starts dispatchers that go by their own registers alone.
 func (b *Bench) startApart() error {
-	for _, d := range b.List {
+	for _, d := range b.Dispatchers {
 		if err := b.Start(d); err != nil {
 			return err
 		}
 	}
-	for _, d := range b.List {
+	for _, d := range b.Dispatchers {
 		if err := d.serves(); err != nil {
 			return err
 		}
@@ -42,7 +42,7 @@
 }
 
 // Register changes what the register says. Each agent hears of it after the time that late gives for its dispatcher.
-func (b *Bench) Register(key, value string, late func(i int) time.Duration) error {
+func (b *Bench) ChangeRegistry(key, value string, late func(i int) time.Duration) error {
 	if value == "restart" {
 		b.noteStart()
 	}
@@ -58,7 +58,7 @@
 	b.reg.mu.Lock()
 	list, version := slices.Clone(b.reg.list), b.reg.version
 	b.reg.mu.Unlock()
-	for i, d := range b.List {
+	for i, d := range b.Dispatchers {
 		tell := func() {
 			if a := b.reg.agents[d.Name]; a.Version() < version {
 				a.SetAt(version, list...)
@@ -73,7 +73,7 @@
 }
 
 // Weight gives a replica another weight in the register, which all agents hear at once.
-func (b *Bench) Weight(key string, weight float64) {
+func (b *Bench) SetWeight(key string, weight float64) {
 	b.weigh(key, weight, func(int) time.Duration { return 0 })
 }
 
@@ -92,9 +92,9 @@
 
 // Move gives a replica another weight in the register, has the agents hear of it, and gives the time until the last dispatcher
 // goes by it.
-func (b *Bench) Move(weight float64, late func(i int) time.Duration) (time.Duration, error) {
+func (b *Bench) ChangeWeight(weight float64, late func(i int) time.Duration) (time.Duration, error) {
 	before := uint64(0)
-	if !b.Script.Apart {
+	if !b.Script.Standalone {
 		var err error
 		if before, err = b.ListVersion(); err != nil {
 			return 0, err
@@ -102,15 +102,15 @@
 	}
 	began := time.Now()
 	b.weigh("writer-2", weight, late)
-	err := b.Listed(before + 1)
+	err := b.WaitList(before + 1)
 	return time.Since(began), err
 }
 
 // Served waits until every dispatcher serves: it answers 200 to a request.
-func (b *Bench) Served() error {
+func (b *Bench) WaitServing() error {
 	var work sync.WaitGroup
-	errs := make([]error, len(b.List))
-	for i, d := range b.List {
+	errs := make([]error, len(b.Dispatchers))
+	for i, d := range b.Dispatchers {
 		work.Go(func() {
 			for end := time.Now().Add(2 * generous); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				if a := b.t.try(d, int(10000+time.Now().UnixMilli()%1e6), ""); a.Status == 200 {
@@ -126,23 +126,23 @@
 
 // Listed waits until every dispatcher that runs goes by a list of a version or a later one, or, where each goes by its own
 // register, until every agent has handed out what it says.
-func (b *Bench) Listed(number uint64) error {
+func (b *Bench) WaitList(number uint64) error {
 	var work sync.WaitGroup
-	errs := make([]error, len(b.List))
+	errs := make([]error, len(b.Dispatchers))
 	b.reg.mu.Lock()
 	version := b.reg.version
 	b.reg.mu.Unlock()
-	for i, d := range b.List {
+	for i, d := range b.Dispatchers {
 		if !d.Running() {
 			continue
 		}
 		work.Go(func() {
 			for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(time.Millisecond) {
-				if b.Script.Apart {
+				if b.Script.Standalone {
 					if b.reg.agents[d.Name].Handed() >= version {
 						return
 					}
-				} else if o, err := b.Own(d); err == nil && o.List >= number {
+				} else if o, err := b.Status(d); err == nil && o.List >= number {
 					return
 				}
 			}
@@ -155,13 +155,13 @@
 
 // ListVersion gives the version of the agreed list at the first dispatcher.
 func (b *Bench) ListVersion() (uint64, error) {
-	o, err := b.Own(b.List[0])
+	o, err := b.Status(b.Dispatchers[0])
 	return o.List, err
 }
 
 // Readers names those who read the register for all.
 func (b *Bench) Readers() ([]*Dispatcher, error) {
-	r, err := b.Ask(b.List[0], agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+	r, err := b.Ask(b.Dispatchers[0], agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
 	if err != nil || r.View == nil {
 		return nil, fmt.Errorf("no view: %w %s", err, r.Error)
 	}
@@ -173,7 +173,7 @@
 }
 
 // Named gives dispatchers by name.
-func (b *Bench) Named(names ...string) (some []*Dispatcher) {
+func (b *Bench) DispatchersNamed(names ...string) (some []*Dispatcher) {
 	for _, n := range names {
 		some = append(some, b.named(n)...)
 	}
@@ -181,7 +181,7 @@
 }
 
 // Load sums what was asked of the register: calls answered, calls turned away, bytes handed out.
-func (b *Bench) Load() (answered, away, bytes int) {
+func (b *Bench) RegistryLoad() (answered, away, bytes int) {
 	for _, a := range b.reg.agents {
 		x, y, z := a.Load()
 		answered, away, bytes = answered+x, away+y, bytes+z
@@ -190,7 +190,7 @@
 }
 
 // LimitRegister has the one service behind all agents take so many calls a second, and turn the others away.
-func (b *Bench) LimitRegister(calls int) {
+func (b *Bench) LimitRegistry(calls int) {
 	l := rate.NewLimiter(rate.Limit(calls), calls)
 	for _, a := range b.reg.agents {
 		a.Limit(l)
@@ -198,11 +198,11 @@
 }
 
 // Hang has a replica say nothing any more, as a machine without power.
-func (b *Bench) Hang(replica string) { b.t.hung.Store(replica, true) }
+func (b *Bench) HangReplica(replica string) { b.t.hung.Store(replica, true) }
 
 // Coldest gives the most that a replica was sent in a span after the last restart of all, of what the rule on cold replicas allows
 // by the load that each bore before.
-func (b *Bench) Coldest() Coldest {
+func (b *Bench) PeakColdLoad() ColdLoad {
 	b.t.mu.Lock()
 	defer b.t.mu.Unlock()
 	r := Record{Acts: b.t.acts, Cold: b.restarted}
@@ -218,8 +218,8 @@
 }
 
 // Halves cuts the links between two halves of the dispatchers, or mends them.
-func (b *Bench) Halves(cut bool) {
-	one, other := b.List[:len(b.List)/2], b.List[len(b.List)/2:]
+func (b *Bench) SetPartition(cut bool) {
+	one, other := b.Dispatchers[:len(b.Dispatchers)/2], b.Dispatchers[len(b.Dispatchers)/2:]
 	for _, way := range [][2][]*Dispatcher{{one, other}, {other, one}} {
 		b.between(way[0], way[1], func(r *Relay, way int) {
 			r.Set(way, Weather{Lost: cut})
--- a/internal/proving/orders.go
+++ b/internal/proving/orders.go
@@ -37,16 +37,16 @@
 }
 
 // Orders sums them up.
-type Orders struct {
+type InstructionCounts struct {
 	Sent, Served, Told, GivenUp, Twice, Unknown int
 }
 
 // Add adds another trial's.
-func (o *Orders) Add(x Orders) {
+func (o *InstructionCounts) Add(x InstructionCounts) {
 	o.Sent, o.Served, o.Told, o.GivenUp, o.Twice, o.Unknown = o.Sent+x.Sent, o.Served+x.Served, o.Told+x.Told, o.GivenUp+x.GivenUp, o.Twice+x.Twice, o.Unknown+x.Unknown
 }
 
-func (o Orders) String() string {
+func (o InstructionCounts) String() string {
 	return fmt.Sprintf("instructions %d: served %d, told that they may have run %d, given up %d; ran twice %d, unknown in the end %d", o.Sent, o.Served, o.Told,
 		o.GivenUp, o.Twice, o.Unknown)
 }
@@ -115,7 +115,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for {
-		if d := o.f.List[o.rand.IntN(len(o.f.List))]; d != than {
+		if d := o.f.Dispatchers[o.rand.IntN(len(o.f.Dispatchers))]; d != than {
 			return d
 		}
 	}
@@ -154,7 +154,7 @@
 	}
 	for end := time.Now().Add(generous); time.Now().Before(end) && !off; time.Sleep(100 * time.Millisecond) {
 		var r agreement.Reply
-		if r, err = o.f.Ask(o.f.List[0], agreement.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
+		if r, err = o.f.Ask(o.f.Dispatchers[0], agreement.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
 			for _, row := range r.Ledger {
 				listed[row.Key.String()] = true
 			}
@@ -176,7 +176,7 @@
 			var h fasthttp.RequestHeader
 			h.Set("Idempotency-Key", name)
 			key, _ := once.Key(&h, "", nil)
-			r, err := o.f.Ask(o.f.List[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
+			r, err := o.f.Ask(o.f.Dispatchers[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
 			if err == nil && r.Error == "" && len(r.Ledger) == 1 {
 				order.Fate, order.Shown = r.Ledger[0].Entry.Fate(), true
 			}
@@ -190,24 +190,24 @@
 // judgeOrders finds instructions that ran twice, and such that ran and are not known to have, or maybe to have.
 func (r *Record) judgeOrders(find func(rule, form string, args ...any), j *Judgement) {
 	for _, o := range r.Orders {
-		j.Orders.Sent++
+		j.Instructions.Sent++
 		switch {
 		case o.Served > 0:
-			j.Orders.Served++
+			j.Instructions.Served++
 		case o.Told > 0:
-			j.Orders.Told++
+			j.Instructions.Told++
 		default:
-			j.Orders.GivenUp++
+			j.Instructions.GivenUp++
 		}
 		if o.Ran > 1 {
-			j.Orders.Twice++
+			j.Instructions.Twice++
 			find("twice", "instruction %s ran %d times in %d sends", o.Name, o.Ran, o.Sends)
 		}
 		if !o.Shown {
 			continue
 		}
 		if o.Fate == ledger.Unknown {
-			j.Orders.Unknown++
+			j.Instructions.Unknown++
 			if !o.Listed {
 				find("unknown", "instruction %s is unknown and not listed", o.Name)
 			}
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -73,10 +73,10 @@
 		t.orders = newOrders(s.Seed, f)
 	}
 	p := &play{s: s, f: f, t: t, reg: f.reg, acked: map[uint64]time.Duration{}}
-	if text, err := f.Run(f.List[0], "settings", "init"); err != nil {
+	if text, err := f.Run(f.Dispatchers[0], "settings", "init"); err != nil {
 		return Record{}, nil, fmt.Errorf("settings init: %w: %s", err, text)
 	}
-	for _, d := range f.List {
+	for _, d := range f.Dispatchers {
 		if err := f.Start(d); err != nil {
 			return Record{}, nil, err
 		}
@@ -85,7 +85,7 @@
 		return Record{}, nil, fmt.Errorf("%w: %s", ErrStart, late)
 	}
 	go t.meter()
-	for _, d := range f.List {
+	for _, d := range f.Dispatchers {
 		t.open.Add(1)
 		go t.ask(d, s.Rate)
 	}
@@ -285,7 +285,7 @@
 	var force uint64
 	late := p.await(func(o *agreement.Own) bool {
 		if force == 0 {
-			for _, d := range p.f.List {
+			for _, d := range p.f.Dispatchers {
 				if v, err := p.view(d); err == nil && v.Book.Open() == nil {
 					force = v.Book.Force
 					break
@@ -312,7 +312,7 @@
 func (p *play) await(holds func(o *agreement.Own) bool) (late string) {
 	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		late = ""
-		for _, d := range p.f.List {
+		for _, d := range p.f.Dispatchers {
 			if r, err := p.f.Ask(d, agreement.Command{Do: "own"}); err != nil {
 				late = fmt.Sprintf("%s: %v", d.Name, err)
 			} else if r.Own == nil || !holds(r.Own) {
@@ -340,7 +340,7 @@
 	if len(read) == 0 {
 		return read
 	}
-	for _, d := range p.f.List {
+	for _, d := range p.f.Dispatchers {
 		text, err := os.ReadFile(p.f.logOf(d))
 		if err != nil {
 			p.fault("%v", err)
@@ -356,7 +356,7 @@
 
 func (p *play) record() Record {
 	r := Record{Read: p.read(), Within: length(p.s.Within), Alone: p.s.Alone, Acts: p.t.acts, Asked: p.t.asked, Runs: p.t.runs, Drains: p.drains, Cold: p.cold, Downs: p.f.downs, Wrong: p.wrong}
-	for _, d := range p.f.List {
+	for _, d := range p.f.Dispatchers {
 		if view, err := p.view(d); err == nil {
 			for _, v := range view.Book.Versions {
 				r.Versions = append(r.Versions, Version{v.Number, v.Print, v.State, v.Keys, p.acked[v.Number]})
--- a/internal/proving/proving_test.go
+++ b/internal/proving/proving_test.go
@@ -16,7 +16,7 @@
 	if os.Getenv("STANDPULLEY_AS_PROGRAM") == "" {
 		os.Exit(m.Run())
 	}
-	if err := AsDispatcher(os.Args[1:]); err != nil {
+	if err := RunDispatcher(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -51,10 +51,10 @@
 			for _, f := range j.Findings {
 				t.Error(f)
 			}
-			if !Linear(history) {
+			if !IsLinearizable(history) {
 				t.Error("no order of the proposals explains what was read")
 			}
-			if j.Served == 0 || j.Acts == 0 {
+			if j.Served == 0 || j.Actions == 0 {
 				t.Errorf("nothing was served, so nothing is shown: %+v", j)
 			}
 			logs, _ := filepath.Glob(filepath.Join(folder, "*.log"))
@@ -84,13 +84,13 @@
 
 func TestScriptsArePrintedAndParsedBack(t *testing.T) {
 	for seed := range uint64(50) {
-		shape := Shape{Voters: 5, Others: 10, Within: time.Second, Lists: seed%2 == 0, Ledger: []string{"", "site", "process"}[seed%3]}
-		s := Draw(seed, shape)
+		shape := GeneratorOptions{Voters: 5, Others: 10, Within: time.Second, Lists: seed%2 == 0, Ledger: []string{"", "site", "process"}[seed%3]}
+		s := Generate(seed, shape)
 		again, err := Parse([]byte(s.String()))
 		if err != nil || again.String() != s.String() {
 			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, s, again)
 		}
-		if Draw(seed, shape).String() != s.String() {
+		if Generate(seed, shape).String() != s.String() {
 			t.Fatalf("seed %d draws two scripts", seed)
 		}
 	}
@@ -196,7 +196,7 @@
 		"unknown, came and went":    {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 3), show(32, 33, 2)}, false},
 		"a number that nobody made": {[]Operation{show(30, 31, 7)}, false},
 	} {
-		if Linear(x.history) != x.want {
+		if IsLinearizable(x.history) != x.want {
 			t.Errorf("%s: %v", name, !x.want)
 		}
 	}
--- a/internal/proving/register.go
+++ b/internal/proving/register.go
@@ -20,7 +20,7 @@
 
 // Linear tells whether a history is one that a single register could have had. A proposal whose fate is not known may
 // have taken effect at any time after its call, or never.
-func Linear(history []Operation) bool {
+func IsLinearizable(history []Operation) bool {
 	model := porcupine.Model{
 		Init: func() any { return uint64(1) },
 		Step: func(state, input, output any) (bool, any) {
--- a/internal/proving/register_list.go
+++ b/internal/proving/register_list.go
@@ -158,7 +158,7 @@
 				return
 			}
 			if !agreed {
-				for _, x := range p.f.List[:p.s.Voters] {
+				for _, x := range p.f.Dispatchers[:p.s.Voters] {
 					if !x.Running() || x.stopped.Load() {
 						continue
 					}
--- a/internal/proving/script.go
+++ b/internal/proving/script.go
@@ -34,21 +34,21 @@
 
 // Script is one trial.
 type Script struct {
-	Name   string `toml:"name"`
-	Seed   uint64 `toml:"seed,omitempty"`
-	Voters int    `toml:"voters"`
-	Others int    `toml:"others"`
-	Within string `toml:"within"`
-	Alone  string `toml:"alone"`
-	Rate   int    `toml:"rate"` // requests a second at each dispatcher
-	Fault  string `toml:"fault,omitempty"`
-	Lists  bool   `toml:"lists,omitempty"` // dispatchers agree on lists of replicas too
-	Steps  []Step `toml:"step"`
-	Last   string `toml:"last"`             // how long the trial goes on after its start; then all is mended and must agree again
-	Ledger string `toml:"ledger,omitempty"` // dispatchers remember instructions together, and that survives this; clients repeat
-	Order  bool   `toml:"order,omitempty"`  // with Lists: dispatchers come back in stages
-	Power  bool   `toml:"power,omitempty"`  // whoever is killed loses what was not synced
-	Apart  bool   `toml:"apart,omitempty"`  // with Lists: no agreement at all, each goes by its own register
+	Name            string `toml:"name"`
+	Seed            uint64 `toml:"seed,omitempty"`
+	Voters          int    `toml:"voters"`
+	Others          int    `toml:"others"`
+	Within          string `toml:"within"`
+	Alone           string `toml:"alone"`
+	Rate            int    `toml:"rate"` // requests a second at each dispatcher
+	Fault           string `toml:"fault,omitempty"`
+	Lists           bool   `toml:"lists,omitempty"` // dispatchers agree on lists of replicas too
+	Steps           []Step `toml:"step"`
+	Last            string `toml:"last"`             // how long the trial goes on after its start; then all is mended and must agree again
+	Ledger          string `toml:"ledger,omitempty"` // dispatchers remember instructions together, and that survives this; clients repeat
+	OrderedRecovery bool   `toml:"order,omitempty"`  // with Lists: dispatchers come back in stages
+	Power           bool   `toml:"power,omitempty"`  // whoever is killed loses what was not synced
+	Standalone      bool   `toml:"apart,omitempty"`  // with Lists: no agreement at all, each goes by its own register
 	// Dispatchers that turn down what moves services.*.name away from "instruction", as their own file needs it.
 	Picky []string `toml:"picky,omitempty"`
 	// Voters that come back in the end with the log of a cluster that was given up: they may never act again.
@@ -119,7 +119,7 @@
 var named embed.FS
 
 // Named gives the scripts of the hard cases.
-func Named() ([]Script, error) {
+func NamedScripts() ([]Script, error) {
 	files, err := fs.Glob(named, "scripts/*.toml")
 	if err != nil {
 		return nil, err
@@ -140,14 +140,14 @@
 }
 
 // For tells whether a script could find a fault: one about lists or the ledger needs those.
-func (s Script) For(fault string) bool {
+func (s Script) CanDetect(fault string) bool {
 	switch {
 	case strings.HasPrefix(fault, "list-"):
 		return s.Lists
 	case strings.HasPrefix(fault, "ledger-"):
 		return s.Ledger != ""
 	case strings.HasPrefix(fault, "recovery-"):
-		return s.Order
+		return s.OrderedRecovery
 	}
 	return s.Ledger == ""
 }
--- a/internal/proving/subject.go
+++ b/internal/proving/subject.go
@@ -12,7 +12,7 @@
 )
 
 // AsDispatcher stands for the program's command line, with the fault that is to be put in, if any: what Fleet runs of it.
-func AsDispatcher(args []string) error {
+func RunDispatcher(args []string) error {
 	PutIn()
 	dir := appliance.Dir(args[len(args)-1])
 	switch do := strings.Join(args[:2], " "); do {
@@ -49,7 +49,7 @@
 	}
 	lost := strconv.FormatUint(own.Cluster, 16)
 	args, left := []string{"recovery", "refound", "--lost", lost}, []*Dispatcher{}
-	for _, x := range p.f.List {
+	for _, x := range p.f.Dispatchers {
 		if r, err := agreement.Survey(string(x.dir)); err == nil && x != d && r.Cluster == own.Cluster {
 			args, left = append(args, "--from", string(x.dir)), append(left, x)
 		}
