--- a/cmd/standpulley/appliance_test.go
+++ b/cmd/standpulley/appliance_test.go
@@ -15,8 +15,8 @@
 	"standpulley/internal/standin"
 )
 
-// site writes an operator's file for a fleet that it lists itself.
-func site(t *testing.T, name, chat, listen string, list []standin.Entry) string {
+// writeSite writes an appliance configuration file that contains the replica list itself.
+func writeSite(t *testing.T, name, chat, listen string, list []standin.Entry) string {
 	t.Helper()
 	servers, err := jsoniter.MarshalToString(list)
 	if err != nil {
@@ -31,13 +31,14 @@
 	return path
 }
 
-// The appliance's life: apply, run, serve by the chat API, look at the console, apply anew while a stream runs.
+// TestApplianceFromApplyToExit runs an appliance from apply to exit: apply, run, serve the chat
+// API, read the console, and apply new configurations while a stream runs.
 func TestApplianceFromApplyToExit(t *testing.T) {
-	act, open, goOn := held()
-	list := fleet(t, act)
+	act, started, finish := heldWriter()
+	list := startFleet(t, act)
 	chat, listen, state := freeAddr(t), freeAddr(t), filepath.Join(t.TempDir(), "state")
-	first := site(t, "first", chat, listen, list)
-	do := func(want int, args ...string) string {
+	first := writeSite(t, "first", chat, listen, list)
+	run := func(want int, args ...string) string {
 		t.Helper()
 		var out bytes.Buffer
 		if code, err := command(append([]string{args[0], "-state", state}, args[1:]...), &out); code != want {
@@ -45,11 +46,11 @@
 		}
 		return out.String()
 	}
-	do(exitChanges, "plan", first)
-	do(0, "apply", first)
-	do(0, "plan", first)
-	cmd, out := start(t, nil, "run", "-state", state)
-	wait(t, "a ready program", func() bool { return strings.Contains(out.String(), "ready") })
+	run(exitChanges, "plan", first)
+	run(0, "apply", first)
+	run(0, "plan", first)
+	cmd, out := startProgram(t, nil, "run", "-state", state)
+	waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "ready") })
 
 	stream, err := http.Post("http://"+chat+"/v1/chat/completions", "application/json",
 		strings.NewReader(`{"model":"act","stream":true,"messages":[{"role":"user","content":"x"}]}`))
@@ -57,26 +58,27 @@
 		t.Fatalf("%v %v", stream, err)
 	}
 	defer stream.Body.Close()
-	<-open
-	if page := do(0, "console", "-once"); !strings.Contains(page, "first  ready") || !strings.Contains(page, "served 1") {
+	<-started
+	if page := run(0, "console", "-once"); !strings.Contains(page, "first  ready") || !strings.Contains(page, "served 1") {
 		t.Errorf("console:\n%s", page)
 	}
-	second := site(t, "second", chat, freeAddr(t), list)
-	do(0, "apply", second)
-	if page := do(0, "console", "-once"); !strings.Contains(page, "second  ready") {
+	second := writeSite(t, "second", chat, freeAddr(t), list)
+	run(0, "apply", second)
+	if page := run(0, "console", "-once"); !strings.Contains(page, "second  ready") {
 		t.Errorf("console:\n%s", page)
 	}
-	do(exitError, "apply", site(t, "third", chat, "256.0.0.1:1", list)) // no such address: the second stays
-	do(0, "plan", second)
-	close(goOn)
+	// The address does not exist, so the second configuration stays.
+	run(exitError, "apply", writeSite(t, "third", chat, "256.0.0.1:1", list))
+	run(0, "plan", second)
+	close(finish)
 	var text bytes.Buffer
 	if _, err := text.ReadFrom(stream.Body); err != nil || !strings.Contains(text.String(), "[DONE]") {
-		t.Errorf("the stream under the configuration before: %q, %v", text.String(), err)
+		t.Errorf("stream that started under the first configuration: %q, %v", text.String(), err)
 	}
 	resp, err := http.Post("http://"+chat+"/v1/chat/completions", "application/json",
 		strings.NewReader(`{"model":"act","messages":[{"role":"user","content":"y"}]}`))
 	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("under the second: %v %v", resp, err)
+		t.Errorf("request under the second configuration: %v %v", resp, err)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/standpulley/ledger.go
+++ b/cmd/standpulley/ledger.go
@@ -14,7 +14,7 @@
 	"standpulley/internal/program"
 )
 
-// ledgerCmd holds the commands about instructions, which must not run twice.
+// ledgerCmd groups the commands about instructions, which are requests that must not run twice.
 type ledgerCmd struct {
 	Status  ledgerStatusCmd  `cmd:"" help:"Show this dispatcher's part: whether it is whole, entries, what intents wait."`
 	Unknown ledgerUnknownCmd `cmd:"" help:"Show the instructions of which nobody knows whether they ran, to be cleared against the books."`
@@ -27,23 +27,23 @@
 
 type ledgerStatusCmd struct{}
 
-func (ledgerStatusCmd) Run(c *context) error {
-	r, err := c.ask(agreement.Command{Do: program.LedgerStatus})
+func (ledgerStatusCmd) Run(c *cmdContext) error {
+	r, err := c.send(agreement.Command{Do: program.LedgerStatus})
 	if err != nil {
 		return err
 	}
-	if c.json {
-		return c.print(r.Figures)
+	if c.asJSON {
+		return c.printJSON(r.Figures)
 	}
 	f := r.Figures
 	fmt.Fprintf(c.out, "intents wait %v, the slowest hundredth %v; outcomes that holders never heard: %d\n", f.WaitP50, f.WaitP99, f.Untold)
 	switch {
 	case !f.Holds:
-		fmt.Fprintln(c.out, "it holds no ledger: the voters do")
+		fmt.Fprintln(c.out, "this dispatcher holds no ledger; the voters do")
 	case f.Failed:
-		fmt.Fprintln(c.out, "its ledger can't be written and grants nothing: see the log, mend the disk, start this dispatcher again")
+		fmt.Fprintln(c.out, "its ledger cannot be written and grants nothing: see the log, repair the disk and restart this dispatcher")
 	case !f.Whole:
-		fmt.Fprintln(c.out, "its ledger is not whole: what it does not know tells nothing yet, see the log")
+		fmt.Fprintln(c.out, "its ledger is incomplete: a missing entry does not prove yet that an instruction never ran, see the log")
 	}
 	if f.Holds {
 		fmt.Fprintf(c.out, "%d instructions, %d commits, %d bytes on disk\n", f.Entries, f.Commits, f.Bytes)
@@ -53,24 +53,24 @@
 
 type ledgerUnknownCmd struct{}
 
-func (ledgerUnknownCmd) Run(c *context) error {
-	r, err := c.ask(agreement.Command{Do: program.LedgerUnknown})
+func (ledgerUnknownCmd) Run(c *cmdContext) error {
+	r, err := c.send(agreement.Command{Do: program.LedgerUnknown})
 	if err != nil {
 		return err
 	}
-	return c.rows(r.Ledger)
+	return c.printRows(r.Ledger)
 }
 
 type ledgerShowCmd struct {
 	Key string `arg:"" help:"The instruction, as unknown shows it."`
 }
 
-func (l ledgerShowCmd) Run(c *context) error {
-	r, err := c.ask(agreement.Command{Do: program.LedgerShow, ID: l.Key})
+func (l ledgerShowCmd) Run(c *cmdContext) error {
+	r, err := c.send(agreement.Command{Do: program.LedgerShow, ID: l.Key})
 	if err != nil {
 		return err
 	}
-	return c.rows(r.Ledger)
+	return c.printRows(r.Ledger)
 }
 
 type ledgerSettleCmd struct {
@@ -80,8 +80,8 @@
 	Why      string `required:"" help:"How it is known, for the audit trail."`
 }
 
-func (l ledgerSettleCmd) Run(c *context) error {
-	_, err := c.ask(agreement.Command{Do: program.LedgerSettle, ID: l.Key, Ran: l.Ran, By: operator(), Why: l.Why})
+func (l ledgerSettleCmd) Run(c *cmdContext) error {
+	_, err := c.send(agreement.Command{Do: program.LedgerSettle, ID: l.Key, Ran: l.Ran, By: operatorName(), Why: l.Why})
 	return err
 }
 
@@ -89,8 +89,8 @@
 	Why string `required:"" help:"The reason, for the log."`
 }
 
-func (l ledgerAcceptCmd) Run(c *context) error {
-	_, err := c.ask(agreement.Command{Do: program.LedgerAccept, By: operator(), Why: l.Why})
+func (l ledgerAcceptCmd) Run(c *cmdContext) error {
+	_, err := c.send(agreement.Command{Do: program.LedgerAccept, By: operatorName(), Why: l.Why})
 	return err
 }
 
@@ -98,17 +98,17 @@
 	File string `arg:"" help:"It must not be there yet."`
 }
 
-func (l ledgerExportCmd) Run(c *context) error {
+func (l ledgerExportCmd) Run(c *cmdContext) error {
 	f, err := os.OpenFile(l.File, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer f.Close() //nolint:errcheck // Sync tells
+	defer f.Close() //nolint:errcheck // Sync reports write errors
 	w := bufio.NewWriter(f)
 	out := jsoniter.ConfigCompatibleWithStandardLibrary.NewEncoder(w)
 	rows := 0
 	for after, last := uint64(0), false; !last; {
-		r, err := c.ask(agreement.Command{Do: program.LedgerExport, Number: after})
+		r, err := c.send(agreement.Command{Do: program.LedgerExport, Number: after})
 		if err != nil {
 			return err
 		}
@@ -131,24 +131,24 @@
 }
 
 const (
-	importMost = 200     // lines of one command
-	lineMost   = 1 << 20 // bytes
+	importBatch  = 200 // lines sent in one command
+	maxLineBytes = 1 << 20
 )
 
-func (l ledgerImportCmd) Run(c *context) error {
+func (l ledgerImportCmd) Run(c *cmdContext) error {
 	f, err := os.Open(l.File)
 	if err != nil {
 		return err
 	}
-	defer f.Close() //nolint:errcheck // it was read
+	defer f.Close() //nolint:errcheck // the file is only read
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, lineMost)
+	in.Buffer(nil, maxLineBytes)
 	var rows []bookkeeping.Row
 	send := func(line int) error {
 		if len(rows) == 0 {
 			return nil
 		}
-		if _, err := c.ask(agreement.Command{Do: program.LedgerImport, Ledger: rows}); err != nil {
+		if _, err := c.send(agreement.Command{Do: program.LedgerImport, Ledger: rows}); err != nil {
 			return fmt.Errorf("%s: up to line %d: %w", l.File, line, err)
 		}
 		rows = nil
@@ -161,7 +161,7 @@
 		if err := jsoniter.Unmarshal(in.Bytes(), &row); err != nil {
 			return fmt.Errorf("%s: line %d: %w", l.File, line, err)
 		}
-		if rows = append(rows, row); len(rows) == importMost {
+		if rows = append(rows, row); len(rows) == importBatch {
 			if err := send(line); err != nil {
 				return err
 			}
@@ -173,10 +173,10 @@
 	return send(line)
 }
 
-// rows prints instructions with their attempts and the words of operators.
-func (c *context) rows(rows []bookkeeping.Row) error {
-	if c.json {
-		return c.print(rows)
+// printRows prints instructions with their attempts and the operators' statements about them.
+func (c *cmdContext) printRows(rows []bookkeeping.Row) error {
+	if c.asJSON {
+		return c.printJSON(rows)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "INSTRUCTION\tCUSTOMER\tFATE\tATTEMPT\tOUTCOME")
--- a/cmd/standpulley/list.go
+++ b/cmd/standpulley/list.go
@@ -13,7 +13,7 @@
 	"standpulley/internal/membership"
 )
 
-// listCmd holds the commands about the agreed list of replicas.
+// listCmd groups the commands about the agreed list of replicas.
 type listCmd struct {
 	Show    listShowCmd    `cmd:"" help:"Show each replica: its agreed state, and what this dispatcher's own register says where it differs."`
 	History listHistoryCmd `cmd:"" help:"Show the latest versions of the list."`
@@ -23,10 +23,10 @@
 	Confirm listConfirmCmd `cmd:"" help:"Let the change of the list pass that is held."`
 }
 
-func (c *context) listView(replica string) (agreement.Reply, error) {
-	r, err := c.ask(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfList, Replica: replica}})
+func (c *cmdContext) listView(replica string) (agreement.Reply, error) {
+	r, err := c.send(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfList, Replica: replica}})
 	if err == nil && r.View.Book.List.Number == 0 && len(r.View.Readers) == 0 {
-		err = fmt.Errorf("dispatchers do not agree on lists here, or nobody has read the register yet")
+		err = fmt.Errorf("dispatchers do not agree on lists here, or no dispatcher has read discovery yet")
 	}
 	return r, err
 }
@@ -35,19 +35,19 @@
 	ID string `arg:"" optional:"" help:"Only this replica."`
 }
 
-func (l listShowCmd) Run(c *context) error {
+func (l listShowCmd) Run(c *cmdContext) error {
 	r, err := c.listView(l.ID)
 	if err != nil {
 		return err
 	}
-	if c.json {
-		return c.print(r)
+	if c.asJSON {
+		return c.printJSON(r)
 	}
 	b := &r.View.Book
 	fmt.Fprintf(c.out, "version %d, of the register's version %d; readers: %s; dispatchers that live: %d\n", b.List.Number, b.List.RegistryVersion,
 		strings.Join(r.View.Readers, ", "), len(b.Census.Names))
 	if h := r.View.Held; h != nil {
-		fmt.Fprintf(c.out, "HELD, %d replicas: %s. What drains there is kept all the same. A second reading or `list confirm` lets it pass.\n", len(h.Entries), h.Why)
+		fmt.Fprintf(c.out, "HELD, %d replicas: %s. Drains in it take effect anyway. A second reading of discovery or `list confirm` lets it pass.\n", len(h.Entries), h.Why)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REPLICA\tKIND\tZONE\tADDRESS\tAGREED\tOWN REGISTER\tORDER")
@@ -78,13 +78,13 @@
 
 type listHistoryCmd struct{}
 
-func (listHistoryCmd) Run(c *context) error {
+func (listHistoryCmd) Run(c *cmdContext) error {
 	r, err := c.listView("")
 	if err != nil {
 		return err
 	}
-	if c.json {
-		return c.print(r.View.Book.Changes)
+	if c.asJSON {
+		return c.printJSON(r.View.Book.Changes)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tREGISTER\tBY\tCHANGES")
@@ -101,8 +101,9 @@
 	return w.Flush()
 }
 
-// order gives an order on the list as it is seen now, or was seen at a version.
-func (c *context) order(do agreement.Command, seen uint64) error {
+// sendOrder sends an order about the list. The order is refused if the list is no longer at version
+// seen; 0 stands for its present version.
+func (c *cmdContext) sendOrder(do agreement.Command, seen uint64) error {
 	if seen == 0 {
 		r, err := c.listView("")
 		if err != nil {
@@ -110,15 +111,15 @@
 		}
 		seen = r.View.Book.List.Number
 	}
-	do.By, do.Seen = operator(), seen
-	_, err := c.ask(do)
+	do.By, do.Seen = operatorName(), seen
+	_, err := c.send(do)
 	if err != nil && c.code == exitError {
 		c.code = exitRefused
 	}
 	return err
 }
 
-// orderFlags are those of drain and hold.
+// orderFlags are the arguments and flags that drain and hold have in common.
 type orderFlags struct {
 	ID   string        `arg:"" help:"The replica."`
 	For  time.Duration `required:"" help:"It runs out after this."`
@@ -128,14 +129,14 @@
 
 type listDrainCmd struct{ orderFlags }
 
-func (l listDrainCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: membership.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+func (l listDrainCmd) Run(c *cmdContext) error {
+	return c.sendOrder(agreement.Command{Do: membership.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listHoldCmd struct{ orderFlags }
 
-func (l listHoldCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: membership.Hold, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+func (l listHoldCmd) Run(c *cmdContext) error {
+	return c.sendOrder(agreement.Command{Do: membership.Hold, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listUndrainCmd struct {
@@ -143,13 +144,13 @@
 	Seen uint64 `help:"The version of the list that you go by."`
 }
 
-func (l listUndrainCmd) Run(c *context) error {
-	return c.order(agreement.Command{Do: "undrain", ID: l.ID}, l.Seen)
+func (l listUndrainCmd) Run(c *cmdContext) error {
+	return c.sendOrder(agreement.Command{Do: "undrain", ID: l.ID}, l.Seen)
 }
 
 type listConfirmCmd struct{}
 
-func (listConfirmCmd) Run(c *context) error {
-	_, err := c.ask(agreement.Command{Do: "confirm"})
+func (listConfirmCmd) Run(c *cmdContext) error {
+	_, err := c.send(agreement.Command{Do: "confirm"})
 	return err
 }
--- a/cmd/standpulley/main.go
+++ b/cmd/standpulley/main.go
@@ -1,5 +1,6 @@
-// Command standpulley is the dispatcher: one program between clients and a two-stage fleet of replicas. Without a
-// command it serves the platform as its environment says; the commands are those of an appliance.
+// Command standpulley is the dispatcher: one program between clients and a two-stage fleet of
+// replicas. Without a command it serves the platform as its environment configures it; the commands
+// run and manage an appliance.
 package main
 
 import (
@@ -25,7 +26,7 @@
 Exit codes: 0 done; 1 an error; 2 plan and diff: something differs; 3 settings propose and rollback: turned down or
 refused; 4 settings: not known whether it was decided, see the history.`
 
-// The exit codes.
+// Exit codes.
 const (
 	exitError   = 1
 	exitChanges = 2
@@ -48,12 +49,12 @@
 	Settings settingsCmd `cmd:"" help:"Settings in versions on which dispatchers agree."`
 }
 
-// context is what commands work with.
-type context struct {
-	dir  appliance.Dir
-	out  io.Writer
-	json bool
-	code int // to exit with
+// cmdContext is the state that commands share.
+type cmdContext struct {
+	dir    appliance.Dir
+	out    io.Writer
+	asJSON bool
+	code   int // exit code
 }
 
 func main() {
@@ -71,30 +72,30 @@
 	os.Exit(code)
 }
 
-// errHelped ends a command line that only asked for help.
-var errHelped = errors.New("helped")
+// errHelpShown ends the parsing of a command line that only asked for help.
+var errHelpShown = errors.New("helped")
 
-// command runs one command line and gives its exit code.
+// command runs one command line and returns its exit code.
 func command(args []string, out io.Writer) (code int, err error) {
 	var c cli
 	defer func() {
 		if r := recover(); r != nil {
-			if r != errHelped { //nolint:errorlint // it is the value itself
+			if r != errHelpShown { //nolint:errorlint // panic passes the value itself
 				panic(r)
 			}
 			code, err = 0, nil
 		}
 	}()
 	k, err := kong.New(&c, kong.Name("standpulley"), kong.Description(description), kong.Writers(out, out),
-		kong.Exit(func(int) { panic(errHelped) }), kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}))
+		kong.Exit(func(int) { panic(errHelpShown) }), kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}))
 	if err != nil {
 		return exitError, err
 	}
-	parsed, err := k.Parse(oldFlags(args))
+	parsed, err := k.Parse(legacyFlags(args))
 	if err != nil {
 		return exitError, err
 	}
-	ctx := &context{dir: appliance.Dir(c.State), out: out, json: c.JSON}
+	ctx := &cmdContext{dir: appliance.Dir(c.State), out: out, asJSON: c.JSON}
 	err = parsed.Run(ctx)
 	if err != nil && ctx.code == 0 {
 		ctx.code = exitError
@@ -102,8 +103,8 @@
 	return ctx.code, err
 }
 
-// oldFlags spells the flags of earlier versions, with one dash, as those of today.
-func oldFlags(args []string) []string {
+// legacyFlags rewrites the single-dash flags of earlier versions to the present form.
+func legacyFlags(args []string) []string {
 	args = append([]string(nil), args...)
 	for i, a := range args {
 		name, _, _ := strings.Cut(a, "=")
@@ -117,7 +118,7 @@
 
 type runCmd struct{}
 
-func (runCmd) Run(c *context) error {
+func (runCmd) Run(c *cmdContext) error {
 	return program.WithAsyncLog(func() error { return program.RunAppliance(c.dir) })
 }
 
@@ -125,7 +126,7 @@
 	File string `arg:"" help:"The operator's file."`
 }
 
-func (p planCmd) Run(c *context) error {
+func (p planCmd) Run(c *cmdContext) error {
 	changes, err := c.dir.Plan(p.File)
 	if err != nil {
 		return err
@@ -133,12 +134,12 @@
 	if len(changes) > 0 {
 		c.code = exitChanges
 	}
-	return c.changes(changes)
+	return c.printChanges(changes)
 }
 
-func (c *context) changes(changes []appliance.Change) error {
-	if c.json {
-		return c.print(changes)
+func (c *cmdContext) printChanges(changes []appliance.Change) error {
+	if c.asJSON {
+		return c.printJSON(changes)
 	}
 	appliance.Print(c.out, changes)
 	return nil
@@ -148,12 +149,12 @@
 	File string `arg:"" help:"The operator's file."`
 }
 
-func (a applyCmd) Run(c *context) error {
+func (a applyCmd) Run(c *cmdContext) error {
 	changes, err := c.dir.Apply(a.File)
 	if err != nil {
 		return err
 	}
-	return c.changes(changes)
+	return c.printChanges(changes)
 }
 
 type consoleCmd struct {
@@ -166,8 +167,8 @@
 	consoleRows = 20
 )
 
-// Run shows pages until it is interrupted, or one.
-func (o consoleCmd) Run(c *context) error {
+// Run shows pages until it is interrupted, or a single page.
+func (o consoleCmd) Run(c *cmdContext) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	for {
--- a/cmd/standpulley/main_test.go
+++ b/cmd/standpulley/main_test.go
@@ -22,7 +22,7 @@
 	"standpulley/internal/standin"
 )
 
-// TestMain lets the test's own binary stand for the program.
+// TestMain lets the test binary run as the program or as a replica.
 func TestMain(m *testing.M) {
 	if os.Getenv("STANDPULLEY_AS_PROGRAM") != "" {
 		main()
@@ -37,48 +37,48 @@
 	os.Exit(m.Run())
 }
 
-// lines collects what a program writes.
-type lines struct {
+// outputBuffer collects what a program writes.
+type outputBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *outputBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *outputBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// start runs the program with arguments and environment.
-func start(t *testing.T, env []string, args ...string) (*exec.Cmd, *lines) {
+// startProgram runs the program with an environment and arguments.
+func startProgram(t *testing.T, env []string, args ...string) (*exec.Cmd, *outputBuffer) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), append(env, "STANDPULLEY_AS_PROGRAM=1")...)
-	out := &lines{}
+	out := &outputBuffer{}
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended already
 	return cmd, out
 }
 
-func wait(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, event string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !cond(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for: %s", event)
 		}
 	}
 }
 
-// freeAddr gives an address on which nothing listens.
+// freeAddr returns an address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,41 +96,42 @@
  "services":[{"name":"enquiry","goal_time_us":1500000,"deadline_us":6000000,"repeat":"idempotent","credit":3},
   {"name":"instruction","goal_time_us":1500000,"deadline_us":6000000,"repeat":"at_most_once","credit":2}]}`
 
-// fleet is a reader and a writer with the list of them.
-func fleet(t *testing.T, write func(*standin.Exchange)) []standin.Entry {
+// startFleet starts a reader and a writer and returns their list.
+func startFleet(t *testing.T, write func(*standin.Exchange)) []standin.Entry {
 	t.Helper()
 	var list []standin.Entry
 	for kind, act := range map[string]func(*standin.Exchange){"reader": func(x *standin.Exchange) { x.Read(0) }, "writer": write} {
-		_, e := replicaOf(t, kind, kind, act)
+		_, e := startReplica(t, kind, kind, act)
 		list = append(list, e)
 	}
 	return list
 }
 
-// held is a writer's script that stops after the first event: open tells that it came there, goOn lets it end.
-func held() (act func(*standin.Exchange), open, goOn chan bool) {
-	open, goOn = make(chan bool, 8), make(chan bool)
+// heldWriter returns the script of a writer that stops after the first event. It sends to started
+// when it gets there, and finish lets it end.
+func heldWriter() (act func(*standin.Exchange), started, finish chan bool) {
+	started, finish = make(chan bool, 8), make(chan bool)
 	return func(x *standin.Exchange) {
 		x.Head()
 		x.Token("one")
-		open <- true
-		<-goOn
+		started <- true
+		<-finish
 		x.End()
-	}, open, goOn
+	}, started, finish
 }
 
-func request(addr string, n int) string {
+func requestText(addr string, n int) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: %s\r\nX-Trace-Id: %016x\r\nX-Qos: instruction\r\n"+
 		"X-Expires-In: 5000m\r\nX-Props: prompt_len=10,max_out=10\r\nContent-Length: 2\r\n\r\n{}", addr, n)
 }
 
-// ask sends a request on a new connection and gives what to read its answer from.
-func ask(t *testing.T, addr string, n int) net.Conn {
+// sendRequest sends a request on a new connection and returns the connection.
+func sendRequest(t *testing.T, addr string, n int) net.Conn {
 	t.Helper()
-	return say(t, addr, request(addr, n))
+	return sendText(t, addr, requestText(addr, n))
 }
 
-func say(t *testing.T, addr, text string) net.Conn {
+func sendText(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -143,7 +144,7 @@
 	return c
 }
 
-func answered(t *testing.T, c net.Conn) string {
+func readAnswer(t *testing.T, c net.Conn) string {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -156,10 +157,11 @@
 	return string(text)
 }
 
-// The whole life on the platform: start, serve, SIGTERM while a request is open, a late connection, exit.
+// TestProgramFromStartToExit runs the program on the platform from start to exit: start, serve,
+// SIGTERM while a request is open, a late connection, exit.
 func TestProgramFromStartToExit(t *testing.T) {
-	act, open, goOn := held()
-	list := fleet(t, act)
+	act, started, finish := heldWriter()
+	list := startFleet(t, act)
 	agent, err := standin.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		t.Fatal(err)
@@ -170,8 +172,8 @@
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd, out := start(t, []string{"EDGE_CONFIG=" + path, "EDGE_LISTEN=" + addr, "EDGE_DISCOVERY=" + agent.Addr})
-	wait(t, "a ready program", func() bool {
+	cmd, out := startProgram(t, []string{"EDGE_CONFIG=" + path, "EDGE_LISTEN=" + addr, "EDGE_DISCOVERY=" + agent.Addr})
+	waitFor(t, "a ready program", func() bool {
 		resp, err := http.Get("http://" + addr + "/-/ready")
 		if err != nil {
 			return false
@@ -179,17 +181,17 @@
 		defer resp.Body.Close()
 		return resp.StatusCode == 200
 	})
-	first := ask(t, addr, 1)
-	<-open
+	first := sendRequest(t, addr, 1)
+	<-started
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the phase", func() bool { return strings.Contains(out.String(), "draining") })
-	late := ask(t, addr, 2) // connections still come for 0.4 s
-	<-open
-	close(goOn)
+	waitFor(t, "the drain phase", func() bool { return strings.Contains(out.String(), "draining") })
+	late := sendRequest(t, addr, 2) // new connections still arrive for 0.4 s
+	<-started
+	close(finish)
 	for _, c := range []net.Conn{first, late} {
-		if text := answered(t, c); !strings.HasSuffix(text, "[DONE]\n\n") {
+		if text := readAnswer(t, c); !strings.HasSuffix(text, "[DONE]\n\n") {
 			t.Errorf("got %q", text)
 		}
 	}
@@ -202,53 +204,54 @@
 	}
 }
 
-// Guards: SIGKILL cut streams whose clients then found every dispatcher restarting. Where clients ask another one for
-// the rest, streams are moved before it, later where a new version listens already, and the program ends by itself;
-// where they don't, none is cut.
+// TestStreamsAreMovedBeforeSIGKILL guards against SIGKILL cutting streams whose clients then find
+// every dispatcher restarting. If clients can ask another dispatcher for the rest, streams are
+// moved before SIGKILL, later if a new version already listens, and the program exits by itself. If
+// they cannot, no stream is cut.
 func TestStreamsAreMovedBeforeSIGKILL(t *testing.T) {
 	for _, x := range []struct {
-		siblings         int
-		moved, succeeded bool
+		siblings            int
+		moved, hasSuccessor bool
 	}{{2, true, false}, {2, true, true}, {1, false, false}} {
 		siblings, moved := x.siblings, x.moved
-		act, open, goOn := held()
-		agent, err := standin.StartAgent("127.0.0.1:0", fleet(t, act)...)
+		act, started, finish := heldWriter()
+		agent, err := standin.StartAgent("127.0.0.1:0", startFleet(t, act)...)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(agent.Close)
 		addr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-		set := strings.NewReplacer(`"siblings":1`, fmt.Sprintf(`"siblings":%d`, siblings), `"let_go_by_us"`, `"resume":true,"let_go_by_us"`,
+		changed := strings.NewReplacer(`"siblings":1`, fmt.Sprintf(`"siblings":%d`, siblings), `"let_go_by_us"`, `"resume":true,"let_go_by_us"`,
 			`"deadline_us":6000000`, `"deadline_us":1000000`, `"goal_time_us":1500000`, `"goal_time_us":500000`).Replace(settings)
-		config := fmt.Sprintf(`{"name":"n0","seed":"1","listen":%q,"discovery":%q,"settings":%s}`, addr, agent.Addr, set)
+		config := fmt.Sprintf(`{"name":"n0","seed":"1","listen":%q,"discovery":%q,"settings":%s}`, addr, agent.Addr, changed)
 		if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd, out := start(t, []string{"EDGE_CONFIG=" + path})
-		wait(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
-		c := ask(t, addr, 1)
-		<-open
-		if x.succeeded {
-			_, next := start(t, []string{"EDGE_CONFIG=" + path})
-			wait(t, "a new version", func() bool { return strings.Contains(next.String(), "n0: ready") })
+		cmd, out := startProgram(t, []string{"EDGE_CONFIG=" + path})
+		waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
+		c := sendRequest(t, addr, 1)
+		<-started
+		if x.hasSuccessor {
+			_, next := startProgram(t, []string{"EDGE_CONFIG=" + path})
+			waitFor(t, "a new version", func() bool { return strings.Contains(next.String(), "n0: ready") })
 		}
-		told := time.Now()
+		termAt := time.Now()
 		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if !moved {
-			time.AfterFunc(2*time.Second, func() { close(goOn) })
+			time.AfterFunc(2*time.Second, func() { close(finish) })
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(resp.Body)
-		if moved != (err != nil) || moved && time.Since(told) > 1700*time.Millisecond {
-			t.Errorf("%d siblings: after %v the stream ends with %v: %q", siblings, time.Since(told), err, text)
+		if moved != (err != nil) || moved && time.Since(termAt) > 1700*time.Millisecond {
+			t.Errorf("%d siblings: after %v the stream ends with %v: %q", siblings, time.Since(termAt), err, text)
 		}
-		if x.succeeded && time.Since(told) < 1100*time.Millisecond {
-			t.Errorf("moved after %v though the new version stays", time.Since(told))
+		if x.hasSuccessor && time.Since(termAt) < 1100*time.Millisecond {
+			t.Errorf("moved after %v although a new version listens", time.Since(termAt))
 		}
 		if err := cmd.Wait(); err != nil {
 			t.Errorf("%d siblings: exit: %v\n%s", siblings, err, out)
@@ -261,25 +264,26 @@
 	if err := os.WriteFile(path, []byte(`{"listen":"here"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd, out := start(t, []string{"EDGE_CONFIG=" + path})
+	cmd, out := startProgram(t, []string{"EDGE_CONFIG=" + path})
 	if err := cmd.Wait(); err == nil || !strings.Contains(out.String(), "key listen") {
 		t.Errorf("%v: %s", err, out)
 	}
 }
 
-// Guards: SIGHUP ended the process. It puts the file in force as it is now: a faulty one changes nothing, and where
-// only discovery differs, streams, connections and what was learned stay. Neither a silent agent nor several signals
-// nor a stop right after them may hurt.
+// TestReloadUnderLoad guards against SIGHUP ending the process. SIGHUP applies the present file: a
+// faulty file changes nothing, and if only discovery differs, streams, connections and learned
+// values are kept. A silent agent, several signals in a row and SIGTERM right after them must do no
+// harm.
 func TestReloadUnderLoad(t *testing.T) {
-	act, open, goOn := held()
-	list := fleet(t, act)
+	act, started, finish := heldWriter()
+	list := startFleet(t, act)
 	first, err := standin.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(first.Close)
-	// The second agent knows another writer in place of the first one.
-	next := fleet(t, func(x *standin.Exchange) { x.Answer("two") })
+	// The second agent lists another writer in place of the first one.
+	next := startFleet(t, func(x *standin.Exchange) { x.Answer("two") })
 	for i := range next {
 		if next[i].ID == "writer" {
 			next[i].ID = "writer-2"
@@ -292,7 +296,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(second.Close)
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // it accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -306,52 +310,53 @@
 		}
 	}
 	write(first.Addr, settings)
-	cmd, out := start(t, []string{"EDGE_CONFIG=" + path})
-	hup := func(said string, times int) {
+	cmd, out := startProgram(t, []string{"EDGE_CONFIG=" + path})
+	sendSIGHUP := func(logged string, times int) {
 		t.Helper()
-		before := strings.Count(out.String(), said)
+		before := strings.Count(out.String(), logged)
 		for range times {
 			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
 		}
-		wait(t, said, func() bool { return strings.Count(out.String(), said) > before })
+		waitFor(t, logged, func() bool { return strings.Count(out.String(), logged) > before })
 	}
-	wait(t, "a ready program", func() bool { return strings.Contains(out.String(), "ready") })
-	running := ask(t, addr, 1)
-	<-open
+	waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "ready") })
+	running := sendRequest(t, addr, 1)
+	<-started
 
 	write("nowhere", settings)
-	hup("key discovery", 1)
+	sendSIGHUP("key discovery", 1)
 	write(silent.Addr().String(), settings)
-	hup("discovery is at", 5)
+	sendSIGHUP("discovery is at", 5)
 	write(second.Addr, settings)
-	hup("discovery is at \""+second.Addr, 3)
-	wait(t, "the list of the second agent", func() bool { return strings.Contains(out.String(), "list: writer-2") })
-	if text := answered(t, ask(t, addr, 2)); !strings.Contains(text, "two") {
+	sendSIGHUP("discovery is at \""+second.Addr, 3)
+	waitFor(t, "the list of the second agent", func() bool { return strings.Contains(out.String(), "list: writer-2") })
+	if text := readAnswer(t, sendRequest(t, addr, 2)); !strings.Contains(text, "two") {
 		t.Errorf("served by %q", text)
 	}
 	if n := strings.Count(out.String(), "n0: ready"); n != 1 {
-		t.Errorf("%d starts where one stack should go on", n)
-	}
-	// A class comes in place of another; what runs of that one goes on. Nothing is taken of a broken file.
-	other := strings.NewReplacer(`"try_limit":4`, `"try_limit":5`, `"name":"instruction"`, `"name":"transfer"`).Replace(settings)
-	write(second.Addr, other)
-	hup("other settings are in force", 1)
-	for _, broken := range []string{"{}", strings.Replace(other, `"try_limit":5,`, "", 1), strings.Replace(other, `"deadline_us":6000000`, `"deadline_us":-1`, 1),
-		strings.Replace(other, `"name":"transfer",`, "", 1), strings.Replace(other, `"cancel":true,`, "", 1), other[:len(other)-1]} {
+		t.Errorf("%d starts, want one stack that goes on", n)
+	}
+	// One class replaces another; a request of the old class that runs goes on. Nothing of a broken
+	// file is applied.
+	changed := strings.NewReplacer(`"try_limit":4`, `"try_limit":5`, `"name":"instruction"`, `"name":"transfer"`).Replace(settings)
+	write(second.Addr, changed)
+	sendSIGHUP("new settings are in force", 1)
+	for _, broken := range []string{"{}", strings.Replace(changed, `"try_limit":5,`, "", 1), strings.Replace(changed, `"deadline_us":6000000`, `"deadline_us":-1`, 1),
+		strings.Replace(changed, `"name":"transfer",`, "", 1), strings.Replace(changed, `"cancel":true,`, "", 1), changed[:len(changed)-1]} {
 		write(second.Addr, broken)
-		hup("the configuration in force stays", 1)
+		sendSIGHUP("keeping the configuration in force", 1)
 	}
-	moved := strings.Replace(request(addr, 3), "X-Qos: instruction", "X-Qos: transfer", 1)
-	if text := answered(t, say(t, addr, moved)); !strings.Contains(text, "two") {
+	renamed := strings.Replace(requestText(addr, 3), "X-Qos: instruction", "X-Qos: transfer", 1)
+	if text := readAnswer(t, sendText(t, addr, renamed)); !strings.Contains(text, "two") {
 		t.Errorf("after new settings: served by %q", text)
 	}
-	if resp, err := http.ReadResponse(bufio.NewReader(ask(t, addr, 4)), nil); err != nil || resp.StatusCode != 400 {
-		t.Errorf("a class that is no more: %v %v", resp, err)
+	if resp, err := http.ReadResponse(bufio.NewReader(sendRequest(t, addr, 4)), nil); err != nil || resp.StatusCode != 400 {
+		t.Errorf("request of a removed class: %v %v", resp, err)
 	}
 	if n := strings.Count(out.String(), "n0: ready"); n != 1 {
-		t.Errorf("%d starts where one stack should go on", n)
+		t.Errorf("%d starts, want one stack that goes on", n)
 	}
 	write(first.Addr, settings)
 	for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
@@ -359,9 +364,9 @@
 			t.Fatal(err)
 		}
 	}
-	close(goOn)
-	if text := answered(t, running); !strings.HasSuffix(text, "[DONE]\n\n") {
-		t.Errorf("the stream that ran through it all: %q", text)
+	close(finish)
+	if text := readAnswer(t, running); !strings.HasSuffix(text, "[DONE]\n\n") {
+		t.Errorf("stream that ran during all reloads: %q", text)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v\n%s", err, out)
--- a/cmd/standpulley/recovery.go
+++ b/cmd/standpulley/recovery.go
@@ -11,7 +11,7 @@
 	"standpulley/internal/program"
 )
 
-// recoveryCmd holds the commands about coming back from a loss of power.
+// recoveryCmd groups the commands about recovery after a loss of power.
 type recoveryCmd struct {
 	Status  recoveryStatusCmd `cmd:"" help:"Show for each dispatcher in which stage it is, for how long, and what it waits for."`
 	Survey  surveyCmd         `cmd:"" help:"Show what the disks of state folders still know of their cluster. No program may run on them."`
@@ -21,13 +21,13 @@
 
 type recoveryStatusCmd struct{}
 
-func (recoveryStatusCmd) Run(c *context) error {
+func (recoveryStatusCmd) Run(c *cmdContext) error {
 	view, err := c.view()
 	if err != nil {
 		return err
 	}
-	if c.json {
-		return c.print(view.Members)
+	if c.asJSON {
+		return c.printJSON(view.Members)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DISPATCHER\tHEARD\tSTAGE")
@@ -41,7 +41,7 @@
 	Folders []string `arg:"" optional:"" help:"State folders, or copies of them; without any, the one of --state."`
 }
 
-func (s surveyCmd) Run(c *context) error {
+func (s surveyCmd) Run(c *cmdContext) error {
 	folders := s.Folders
 	if len(folders) == 0 {
 		folders = []string{string(c.dir)}
@@ -50,22 +50,22 @@
 	for _, folder := range folders {
 		r, err := agreement.Survey(folder)
 		if errors.Is(err, fs.ErrNotExist) {
-			err = fmt.Errorf("%s: there is no log of the agreement", folder)
+			err = fmt.Errorf("%s: no agreement log found", folder)
 		}
 		if err != nil {
 			return err
 		}
 		all = append(all, r)
 	}
-	if c.json {
-		return c.print(all)
+	if c.asJSON {
+		return c.printJSON(all)
 	}
-	c.remains(all)
+	c.printRemains(all)
 	return nil
 }
 
-// remains prints what folders know, and what would be lost.
-func (c *context) remains(all []agreement.Remains) {
+// printRemains prints what the state folders contain, and what would be lost without the others.
+func (c *cmdContext) printRemains(all []agreement.Remains) {
 	newest := -1
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FOLDER\tCLUSTER\tDISK\tLOG TO (TERM, ENTRY)\tIN FORCE\tACTED ON\tLIST\tORDERS\tSEATS")
@@ -85,15 +85,15 @@
 		fmt.Fprintf(w, "%s\t%x\t%x\t%d, %d\t%d\t%d\t%d\t%d\t%s\n", r.Folder, r.Cluster, r.Disk, r.Term, r.Index, r.Book.Force, r.Acts.Number, r.Book.List.Number,
 			len(r.Book.Orders), strings.Join(seats, " "))
 	}
-	_ = w.Flush() // to the same place as all else
+	_ = w.Flush() // errors of the other prints to this output are not checked either
 	if newest < 0 {
-		fmt.Fprintln(c.out, "None of these holds a voter's log: a new cluster can only be founded by settings init.")
+		fmt.Fprintln(c.out, "None of these folders holds a voter's log: a new cluster can only be created with settings init.")
 		return
 	}
 	b := &all[newest].Book
-	fmt.Fprintf(c.out, "The newest log is in %s. %d seats were taken: any %d of their logs together know all that was acknowledged.\n", all[newest].Folder,
+	fmt.Fprintf(c.out, "The newest log is in %s. %d seats were taken: any %d of their logs together contain all that was acknowledged.\n", all[newest].Folder,
 		len(b.Seats), len(b.Seats)/2+1)
-	fmt.Fprintln(c.out, "With fewer, what was decided after the newest one's last entry is lost: versions that none of these dispatchers acted on, changes of the list, and orders.")
+	fmt.Fprintln(c.out, "With fewer logs, decisions after the last entry of the newest one are lost: versions that none of these dispatchers acted on, changes of the list, and orders.")
 }
 
 type refoundCmd struct {
@@ -101,17 +101,17 @@
 	From []string `placeholder:"DIR" help:"State folders, or copies of them, of all other dispatchers that are left."`
 }
 
-func (r refoundCmd) Run(c *context) error {
-	lost, err := clusterNumber(r.Lost)
+func (r refoundCmd) Run(c *cmdContext) error {
+	lost, err := parseCluster(r.Lost)
 	if err != nil {
 		return err
 	}
-	book, err := program.Rebootstrap(c.dir, lost, r.From, operator())
+	book, err := program.Rebootstrap(c.dir, lost, r.From, operatorName())
 	if err != nil {
 		c.code = exitRefused
 		return err
 	}
-	fmt.Fprintf(c.out, "Cluster %x takes the place of %x, with version %d in force once all %d voters have taken their seats.\n", book.Cluster, lost, book.Force, book.Wanted)
+	fmt.Fprintf(c.out, "Cluster %x replaces %x, with version %d in force once all %d voters have taken their seats.\n", book.Cluster, lost, book.Force, book.Wanted)
 	fmt.Fprintf(c.out, "Next: recovery join --lost %x at every other dispatcher whose folder is left, then start all. The old logs must not run again.\n", lost)
 	return nil
 }
@@ -120,8 +120,8 @@
 	Lost string `required:"" placeholder:"CLUSTER" help:"The number of the cluster that is given up."`
 }
 
-func (j joinCmd) Run(c *context) error {
-	lost, err := clusterNumber(j.Lost)
+func (j joinCmd) Run(c *cmdContext) error {
+	lost, err := parseCluster(j.Lost)
 	if err != nil {
 		return err
 	}
@@ -132,9 +132,9 @@
 	return nil
 }
 
-func clusterNumber(text string) (n uint64, err error) {
+func parseCluster(text string) (n uint64, err error) {
 	if _, err = fmt.Sscanf(text, "%x", &n); err != nil || n == 0 {
-		return 0, fmt.Errorf("--lost: %q is no number of a cluster; survey shows it", text)
+		return 0, fmt.Errorf("--lost: %q is not a cluster number; recovery survey shows it", text)
 	}
 	return n, nil
 }
--- a/cmd/standpulley/settings.go
+++ b/cmd/standpulley/settings.go
@@ -18,7 +18,8 @@
 	"standpulley/internal/program"
 )
 
-// settingsCmd holds the commands about agreed settings. All but init speak to the program that runs on the state folder.
+// settingsCmd groups the commands about agreed settings. All except init talk to the program that
+// runs on the state folder.
 type settingsCmd struct {
 	Init     initCmd     `cmd:"" help:"Found the cluster: make the log of its first voter, with the settings of the file in force as version 1. Once, at one voter, before its first run."`
 	Propose  proposeCmd  `cmd:"" help:"Propose the settings of FILE as the next version, and wait until it is in force everywhere or turned down."`
@@ -31,8 +32,8 @@
 	Seat     seatCmd     `cmd:"" help:"Give the seat of this voter, whose log was lost, to its new log. The old one can never vote again."`
 }
 
-// print writes JSON.
-func (c *context) print(v any) error {
+// printJSON prints a value as indented JSON.
+func (c *cmdContext) printJSON(v any) error {
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return err
@@ -41,8 +42,8 @@
 	return err
 }
 
-// ask sends a command to the running program.
-func (c *context) ask(do agreement.Command) (agreement.Reply, error) {
+// send sends a command to the running program.
+func (c *cmdContext) send(do agreement.Command) (agreement.Reply, error) {
 	var r agreement.Reply
 	if err := c.dir.Settings(do, &r); err != nil {
 		return r, err
@@ -57,19 +58,19 @@
 	return r, nil
 }
 
-// view asks for all of the record.
-func (c *context) view() (*agreement.View, error) {
-	r, err := c.ask(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+// view returns the agreed record about settings.
+func (c *cmdContext) view() (*agreement.View, error) {
+	r, err := c.send(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
 	return r.View, err
 }
 
 type initCmd struct{}
 
-func (initCmd) Run(c *context) error {
+func (initCmd) Run(c *cmdContext) error {
 	if err := program.Bootstrap(c.dir); err != nil {
 		return err
 	}
-	fmt.Fprintln(c.out, "The cluster is founded. Start all voters; version 1 is in force once each has taken its seat.")
+	fmt.Fprintln(c.out, "The cluster is created. Start all voters; version 1 is in force once each has taken its seat.")
 	return nil
 }
 
@@ -81,7 +82,7 @@
 	Wait   time.Duration `default:"60s" help:"How long to wait for it to be in force."`
 }
 
-func (p proposeCmd) Run(c *context) error {
+func (p proposeCmd) Run(c *cmdContext) error {
 	text, err := os.ReadFile(p.File)
 	if err != nil {
 		return err
@@ -99,22 +100,22 @@
 	Wait    time.Duration `default:"60s" help:"How long to wait for it to be in force."`
 }
 
-func (r rollbackCmd) Run(c *context) error {
+func (r rollbackCmd) Run(c *cmdContext) error {
 	view, err := c.view()
 	if err != nil {
 		return err
 	}
 	v := view.Book.At(r.Version)
 	if v == nil {
-		return fmt.Errorf("version %d is not kept", r.Version)
+		return fmt.Errorf("version %d is not in the history", r.Version)
 	}
 	return c.propose(agreement.Command{Do: "propose", Base: view.Book.Force, Content: v.Content, Back: r.Version, Why: r.Why}, r.Wait)
 }
 
-// propose brings a version before the voters and waits for what becomes of it.
-func (c *context) propose(do agreement.Command, wait time.Duration) error {
-	do.By = operator()
-	r, err := c.ask(do)
+// propose proposes a version to the voters and waits until it is in force, rejected or withdrawn.
+func (c *cmdContext) propose(do agreement.Command, wait time.Duration) error {
+	do.By = operatorName()
+	r, err := c.send(do)
 	if err != nil {
 		if c.code != exitUnknown {
 			c.code = exitRefused
@@ -128,12 +129,12 @@
 		}
 		v := view.Book.At(r.Number)
 		if v == nil {
-			return fmt.Errorf("version %d is not kept any more", r.Number)
+			return fmt.Errorf("version %d is no longer in the history", r.Number)
 		}
 		switch v.State {
 		case agree.InForce, agree.Superseded:
-			if c.json {
-				return c.print(v)
+			if c.asJSON {
+				return c.printJSON(v)
 			}
 			fmt.Fprintf(c.out, "Version %d is in force.\n", v.Number)
 			return nil
@@ -151,7 +152,7 @@
 	}
 }
 
-func operator() string {
+func operatorName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -162,7 +163,7 @@
 	Version uint64 `arg:"" optional:"" help:"Its number."`
 }
 
-func (s showCmd) Run(c *context) error {
+func (s showCmd) Run(c *cmdContext) error {
 	view, err := c.view()
 	if err != nil {
 		return err
@@ -173,10 +174,10 @@
 	}
 	v := view.Book.At(number)
 	if v == nil {
-		return fmt.Errorf("version %d is not kept", number)
+		return fmt.Errorf("version %d is not in the history", number)
 	}
-	if c.json {
-		return c.print(v)
+	if c.asJSON {
+		return c.printJSON(v)
 	}
 	fmt.Fprintf(c.out, "# version %d, %s, by %s at %s %s\n%s\n", v.Number, v.State, v.By, v.At, v.Why, v.Content)
 	return nil
@@ -187,7 +188,7 @@
 	B uint64 `arg:"" help:"Another."`
 }
 
-// difference is one key that two versions hold differently.
+// difference is a key whose value differs between two versions.
 type difference struct {
 	Key    string `json:"key"`
 	A      string `json:"a"`
@@ -195,14 +196,14 @@
 	Effect string `json:"effect"`
 }
 
-func (d diffCmd) Run(c *context) error {
+func (d diffCmd) Run(c *cmdContext) error {
 	view, err := c.view()
 	if err != nil {
 		return err
 	}
 	a, b := view.Book.At(d.A), view.Book.At(d.B)
 	if a == nil || b == nil {
-		return fmt.Errorf("of versions %d and %d not both are kept", d.A, d.B)
+		return fmt.Errorf("versions %d and %d are not both in the history", d.A, d.B)
 	}
 	all := []difference{}
 	for _, key := range agree.Differs(a.Keys, b.Keys) {
@@ -216,8 +217,8 @@
 	if len(all) > 0 {
 		c.code = exitChanges
 	}
-	if c.json {
-		return c.print(all)
+	if c.asJSON {
+		return c.printJSON(all)
 	}
 	for _, x := range all {
 		fmt.Fprintf(c.out, "~ %s = %s -> %s   (%s)\n", x.Key, x.A, x.B, x.Effect)
@@ -228,13 +229,13 @@
 
 type historyCmd struct{}
 
-func (historyCmd) Run(c *context) error {
+func (historyCmd) Run(c *cmdContext) error {
 	view, err := c.view()
 	if err != nil {
 		return err
 	}
-	if c.json {
-		return c.print(view.Book.Versions)
+	if c.asJSON {
+		return c.printJSON(view.Book.Versions)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tFROM\tSTATE\tBY\tAT\tPRINT\tWHY")
@@ -255,33 +256,33 @@
 	Version uint64 `arg:"" help:"The version that is under way."`
 }
 
-func (w withdrawCmd) Run(c *context) error {
-	_, err := c.ask(agreement.Command{Do: "withdraw", Number: w.Version, By: operator()})
+func (w withdrawCmd) Run(c *cmdContext) error {
+	_, err := c.send(agreement.Command{Do: "withdraw", Number: w.Version, By: operatorName()})
 	return err
 }
 
 type seatCmd struct{}
 
-func (seatCmd) Run(c *context) error { return program.ReclaimSeat(c.dir) }
+func (seatCmd) Run(c *cmdContext) error { return program.ReclaimSeat(c.dir) }
 
 type statusCmd struct{}
 
-func (statusCmd) Run(c *context) error {
-	r, err := c.ask(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
+func (statusCmd) Run(c *cmdContext) error {
+	r, err := c.send(agreement.Command{Do: "view", Extract: agreement.Extract{Of: agreement.OfSettings}})
 	if err != nil && r.Own == nil {
 		return err
 	}
 	c.code = 0
-	if c.json {
-		return c.print(r)
+	if c.asJSON {
+		return c.printJSON(r)
 	}
 	o := r.Own
-	fmt.Fprintf(c.out, "%s: version %d, %s, cluster %s, disk %s\n", o.Name, o.Version, lease(o.LeaseMS, o.LostMS), o.Cluster, o.Disk)
+	fmt.Fprintf(c.out, "%s: version %d, %s, cluster %s, disk %s\n", o.Name, o.Version, leaseText(o.LeaseMS, o.LostMS), o.Cluster, o.Disk)
 	if o.Why != "" {
 		fmt.Fprintf(c.out, "  %s; alone=%s\n", o.Why, o.Alone)
 	}
 	if r.View == nil {
-		fmt.Fprintf(c.out, "what the others do is not known: %v\n", err)
+		fmt.Fprintf(c.out, "the state of the other dispatchers is unknown: %v\n", err)
 		c.code = exitError
 		return nil
 	}
@@ -308,7 +309,7 @@
 	return w.Flush()
 }
 
-func lease(left, lost int64) string {
+func leaseText(left, lost int64) string {
 	if lost > 0 {
 		return fmt.Sprintf("no lease for %d ms", lost)
 	}
--- a/cmd/standpulley/customers_test.go
+++ b/cmd/standpulley/settings_names_test.go
@@ -14,8 +14,8 @@
 	"standpulley/internal/standin"
 )
 
-// customer is a site's settings, of which the program knows nothing but the form.
-func customer(zone, kinds, duties string, classes []string, tenants string) string {
+// siteSettings returns the settings of a made-up site. All of its names are unknown to the program.
+func siteSettings(zone, kinds, duties string, classes []string, tenants string) string {
 	var services []string
 	for i, c := range classes {
 		repeat := []string{`"idempotent"`, `"at_most_once"`, `"deduplicated","key_scope":"all","window_us":2000000`,
@@ -28,41 +28,42 @@
  %s"services":[%s]}`, zone, kinds, duties, tenants, strings.Join(services, ","))
 }
 
-// What one customer's settings name comes from these alone: one class or five, none of the usual names, no zones, no tenants, other kinds.
-func TestOtherCustomersSettings(t *testing.T) {
-	zoned, bare := `"zone":"dock-7","zones":["dock-7","dock-9"],`, ""
+// TestSettingsWithOtherNames checks that the names in the settings come from the settings alone:
+// with one class or five, none of the usual names, no zones, no tenants and other kinds.
+func TestSettingsWithOtherNames(t *testing.T) {
+	zoned, noZones := `"zone":"dock-7","zones":["dock-7","dock-9"],`, ""
 	for name, c := range map[string]struct {
 		settings        string
 		classes         []string
 		kinds           [2]string
 		zone, tenantTag string
 	}{
-		"one class, no zones, no tenants": {customer(bare, `["tide","ebb"]`, `["read","write"]`, []string{"ask"}, ""), []string{"ask"}, [2]string{"tide", "ebb"}, "", ""},
-		"five classes with zones and tenants": {customer(zoned, `["in","out"]`, `["read","write"]`, []string{"a", "b", "c", "d", "e"},
+		"one class, no zones, no tenants": {siteSettings(noZones, `["tide","ebb"]`, `["read","write"]`, []string{"ask"}, ""), []string{"ask"}, [2]string{"tide", "ebb"}, "", ""},
+		"five classes with zones and tenants": {siteSettings(zoned, `["in","out"]`, `["read","write"]`, []string{"a", "b", "c", "d", "e"},
 			`"tenants":[{"name":"fleet","portion":0.6,"quota_rps":50},{"name":"yard","portion":0.4,"quota_rps":50}],`),
 			[]string{"a", "b", "c", "d", "e"}, [2]string{"in", "out"}, "dock-7", "X-Customer: fleet\r\n"},
-		"servers that do both": {customer(bare, `["all-in-one"]`, `["both"]`, []string{"x", "y"}, ""), []string{"x", "y"}, [2]string{"all-in-one", "all-in-one"}, "", ""},
+		"servers that do both": {siteSettings(noZones, `["all-in-one"]`, `["both"]`, []string{"x", "y"}, ""), []string{"x", "y"}, [2]string{"all-in-one", "all-in-one"}, "", ""},
 	} {
 		act := func(x *standin.Exchange) { x.Answer("one") }
 		read := func(x *standin.Exchange) { x.Read(0) }
 		if c.kinds[0] == c.kinds[1] {
 			read = act
 		}
-		_, r := replicaOf(t, "s1", c.kinds[0], read)
-		_, w := replicaOf(t, "s2", c.kinds[1], act)
-		r.Zone, w.Zone = c.zone, c.zone
-		agent, addr, path := agentOf(t, r, w), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-		_, out := start(t, configure(t, path, addr, agent.Addr, c.settings, ""))
-		wait(t, name+": a ready program", func() bool { code, _ := call("GET", addr, "/-/ready"); return code == 200 })
+		_, reader := startReplica(t, "s1", c.kinds[0], read)
+		_, writer := startReplica(t, "s2", c.kinds[1], act)
+		reader.Zone, writer.Zone = c.zone, c.zone
+		agent, addr, path := startAgent(t, reader, writer), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
+		_, out := startProgram(t, writeConfig(t, path, addr, agent.Addr, c.settings, ""))
+		waitFor(t, name+": a ready program", func() bool { code, _ := call("GET", addr, "/-/ready"); return code == 200 })
 		for n, class := range c.classes {
-			text := strings.Replace(request(addr, n+1), "X-Qos: instruction\r\n", "X-Qos: "+class+"\r\n"+c.tenantTag, 1)
-			if got := answered(t, say(t, addr, text)); !strings.HasSuffix(got, "[DONE]\n\n") {
+			text := strings.Replace(requestText(addr, n+1), "X-Qos: instruction\r\n", "X-Qos: "+class+"\r\n"+c.tenantTag, 1)
+			if got := readAnswer(t, sendText(t, addr, text)); !strings.HasSuffix(got, "[DONE]\n\n") {
 				t.Errorf("%s, class %s: %q\n%s", name, class, got, out)
 			}
 		}
 	}
-	// Settings that can't be used are turned down with the key named.
-	usable := customer(zoned, `["in","out"]`, `["read","write"]`, []string{"a", "b", "c"}, "")
+	// Unusable settings must be rejected with an error that names the key.
+	usable := siteSettings(zoned, `["in","out"]`, `["read","write"]`, []string{"a", "b", "c"}, "")
 	for text, key := range map[string]string{
 		strings.Replace(usable, `"read","write"`, `"read","sing"`, 1):                          "family_info.duty_by_kind",
 		strings.Replace(usable, `"repeat":"at_most_once"`, `"repeat":"sometimes"`, 1):          "services.1.repeat",
@@ -73,16 +74,16 @@
 		strings.Replace(usable, `"limits":{"try_limit":3,`, `"limits":{"try_limit":"few",`, 1): "limits.try_limit",
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
-		cmd, out := start(t, configure(t, path, freeAddr(t), freeAddr(t), text, ""))
+		cmd, out := startProgram(t, writeConfig(t, path, freeAddr(t), freeAddr(t), text, ""))
 		if err := cmd.Wait(); err == nil || !strings.Contains(out.String(), key) {
 			t.Errorf("want %s: %v\n%s", key, err, out)
 		}
 	}
 }
 
-// The deploy file names every package of the repository that the dispatcher links, and none that it doesn't. Every file of
-// decisions is named as policy.
-func TestDeployFileNamesWhatTheDispatcherLinks(t *testing.T) {
+// TestDeployFileListsLinkedPackages checks that the deploy file lists exactly the packages of this
+// repository that the dispatcher links, and that it lists every file of package logic as policy.
+func TestDeployFileListsLinkedPackages(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -96,12 +97,12 @@
 	}
 	decisions, err := filepath.Glob("../../logic/*.go")
 	if err != nil || len(decisions) == 0 {
-		t.Fatalf("no files of decisions: %v", err)
+		t.Fatalf("no files in package logic: %v", err)
 	}
 	for _, path := range decisions {
 		file := filepath.Join("logic", filepath.Base(path))
 		if !strings.HasSuffix(file, "_test.go") && !slices.Contains(deploy.Policy, file) {
-			t.Errorf("%s is not named as policy", file)
+			t.Errorf("%s is not listed as policy", file)
 		}
 	}
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
@@ -121,12 +122,12 @@
 	}
 	for _, pkg := range links {
 		if !slices.ContainsFunc(named, func(n string) bool { return under(pkg, n) }) {
-			t.Errorf("%s is linked and not named", pkg)
+			t.Errorf("%s is linked but not listed", pkg)
 		}
 	}
 	for _, n := range deploy.Node {
 		if !slices.ContainsFunc(links, func(pkg string) bool { return under(pkg, n) }) {
-			t.Errorf("%s is named and not linked", n)
+			t.Errorf("%s is listed but not linked", n)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/standpulley/sighup_test.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"standpulley/internal/standin"
+)
+
+// TestSIGHUPUnderOpenRequests sends SIGHUP while requests are open: an at_most_once class becomes
+// idempotent, deadlines and limits shrink, and a broken file follows. A request that may have run
+// must not be sent again, and a waiting request must be answered under its old deadline.
+func TestSIGHUPUnderOpenRequests(t *testing.T) {
+	arrived, finish := make(chan string, 8), make(chan bool)
+	breakOrAnswer := func(x *standin.Exchange) {
+		arrived <- x.ID
+		<-finish
+		if strings.HasSuffix(x.ID, "1") {
+			x.Break() // the request may have run
+			return
+		}
+		x.Answer("late")
+	}
+	_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) { x.Read(0) })
+	one, w1 := startReplica(t, "w1", "writer", breakOrAnswer)
+	two, w2 := startReplica(t, "w2", "writer", breakOrAnswer)
+	agent, addr, path := startAgent(t, r, w1, w2), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
+	cmd, out := startProgram(t, writeConfig(t, path, addr, agent.Addr, settings, ""))
+	waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
+	broken := sendRequest(t, addr, 1)
+	<-arrived
+	waiting := sendRequest(t, addr, 2)
+	<-arrived
+	changed := strings.NewReplacer(`"at_most_once"`, `"idempotent"`, `"deadline_us":6000000`, `"deadline_us":200000`,
+		`"goal_time_us":1500000`, `"goal_time_us":100000`).Replace(settings)
+	writeConfig(t, path, addr, agent.Addr, changed, "")
+	sendSignal(t, cmd, syscall.SIGHUP)
+	waitFor(t, "the new settings", func() bool { return strings.Contains(out.String(), "new settings are in force") })
+	if err := os.WriteFile(path, []byte(`{"name":"n0","settings":{"services":[]}}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	sendSignal(t, cmd, syscall.SIGHUP)
+	waitFor(t, "the rejection of the broken file", func() bool { return strings.Contains(out.String(), "keeping the configuration in force") })
+	close(finish)
+	if status, _, err := readResponse(t, broken); err != nil || status != 502 {
+		t.Errorf("request that may have run: %d %v", status, err)
+	}
+	if status, text, err := readResponse(t, waiting); err != nil || status != 200 || !strings.Contains(text, "late") {
+		t.Errorf("waiting request: %d %q %v", status, text, err)
+	}
+	if n := len(one.Calls("POST")) + len(two.Calls("POST")); n != 2 {
+		t.Errorf("%d sends to writers for two requests", n)
+	}
+}
--- a/cmd/standpulley/soak_test.go
+++ b/cmd/standpulley/soak_test.go
@@ -8,8 +8,8 @@
 	"standpulley/internal/soak"
 )
 
-// A short soak: dispatchers and replicas as processes, faults that overlap, and the rules judged from outside. More seeds are played by
-// hand: bin/proving soak.
+// TestSoak runs a short soak: dispatchers and replicas run as processes with overlapping faults,
+// and the rules are checked from outside. More seeds can be run by hand with bin/proving soak.
 func TestSoak(t *testing.T) {
 	const length, size = 5 * time.Second, 0.4
 	self := soak.Program{Dispatcher: os.Args[0], DispatcherEnv: []string{"STANDPULLEY_AS_PROGRAM=1"}, Replica: os.Args[0]}
--- a/internal/program/managed.go
+++ b/internal/program/appliance.go
@@ -8,24 +8,25 @@
 	"standpulley/internal/config"
 )
 
-// reload asks the program's goroutine to put a configuration in force.
-type reload struct {
+// reloadRequest asks the main goroutine of the program to apply a configuration.
+type reloadRequest struct {
 	cfg   config.Config
 	reply chan error
 }
 
-// managed is what the console speaks to.
-type managed struct {
+// applianceConsole serves the console commands of an appliance.
+type applianceConsole struct {
 	dir     appliance.Dir
 	since   time.Time
-	reloads chan reload
+	reloads chan reloadRequest
 	state   chan chan appliance.Reply
 	done    chan struct{}
-	agreed  atomic.Pointer[agreed] // once it runs, if dispatchers agree on settings
+	// Set once the agreement runs; nil if dispatchers do not agree on settings.
+	agreement atomic.Pointer[agreementAdapter]
 }
 
-// State asks the program's goroutine for its present stack, and the stack for its state.
-func (m *managed) State() appliance.Reply {
+// State asks the main goroutine of the program for the state of the present stack.
+func (m *applianceConsole) State() appliance.Reply {
 	q := make(chan appliance.Reply, 1)
 	select {
 	case m.state <- q:
@@ -35,37 +36,37 @@
 	}
 }
 
-// Reload takes up what is in force in the state folder.
-func (m *managed) Reload() error {
+// Reload applies the configuration in force in the state folder.
+func (m *applianceConsole) Reload() error {
 	cfg, err := m.dir.Load()
 	if err != nil {
 		return err
 	}
-	r := reload{cfg, make(chan error, 1)}
+	r := reloadRequest{cfg, make(chan error, 1)}
 	select {
 	case m.reloads <- r:
 		return <-r.reply
 	case <-m.done:
-		return nil // the next start finds it
+		return nil // the next start reads it
 	}
 }
 
 // Settings answers a command about the agreed settings.
-func (m *managed) Settings(text []byte) []byte {
-	a := m.agreed.Load()
+func (m *applianceConsole) Settings(text []byte) []byte {
+	a := m.agreement.Load()
 	if a == nil {
 		return []byte(`{"error":"dispatchers do not agree on settings here: the file in force has no agree, or the program is just starting"}`)
 	}
-	return a.settings(text)
+	return a.runCommand(text)
 }
 
-// RunAppliance serves what is in force in a state folder.
+// RunAppliance serves the configuration in force in a state folder.
 func RunAppliance(dir appliance.Dir) error {
 	ln, err := dir.Listen()
 	if err != nil {
 		return err
 	}
-	m := &managed{dir: dir, since: time.Now(), reloads: make(chan reload), state: make(chan chan appliance.Reply), done: make(chan struct{})}
+	m := &applianceConsole{dir: dir, since: time.Now(), reloads: make(chan reloadRequest), state: make(chan chan appliance.Reply), done: make(chan struct{})}
 	defer close(m.done)
 	defer ln.Close()
 	go appliance.Serve(ln, m)
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -15,13 +15,14 @@
 
 const ledgerCall = "/ledger"
 
-// LedgerHooks are where a test's own build puts faults in; the zero value puts in none.
+// LedgerHooks are fault injection hooks for the ledger, set only in test builds. The zero value
+// injects nothing.
 var LedgerHooks struct {
 	Options func(*bookkeeping.Options)
 }
 
 // openLedger opens this dispatcher's part of the ledger.
-func (a *agreed) openLedger(cfg config.Config, folder string) (*bookkeeping.Keeper, error) {
+func (a *agreementAdapter) openLedger(cfg config.Config, folder string) (*bookkeeping.Keeper, error) {
 	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
 		Find: cfg.Ledger.FindTimeout(), Survive: cfg.Ledger.Survive, Draw: agreement.Draw, Record: (*ledgerRecord)(a.node),
 		Speak: func(name string, ask, answer any, limit time.Duration) error {
@@ -33,8 +34,8 @@
 	return bookkeeping.Open(opt)
 }
 
-// ledgerCall answers another dispatcher.
-func (a *agreed) ledgerCall(_ string, body []byte) (any, error) {
+// ledgerCall answers a ledger call of another dispatcher.
+func (a *agreementAdapter) ledgerCall(_ string, body []byte) (any, error) {
 	var c bookkeeping.Call
 	if err := jsoniter.Unmarshal(body, &c); err != nil {
 		return nil, err
@@ -42,7 +43,7 @@
 	return a.keeper.Serve(c)
 }
 
-// ledgerRecord is what the agreed record says of ledgers.
+// ledgerRecord gives the ledger access to the disk identities of ledgers in the agreed record.
 type ledgerRecord agreement.Node
 
 func (r *ledgerRecord) Disk(name string) (uint64, bool, error) {
@@ -53,7 +54,7 @@
 	return (*agreement.Node)(r).SetLedger(name, disk)
 }
 
-// The commands about the ledger.
+// Commands about the ledger.
 const (
 	LedgerUnknown = "ledger-unknown"
 	LedgerShow    = "ledger-show"
@@ -64,8 +65,8 @@
 	LedgerImport  = "ledger-import"
 )
 
-// ledger carries out an operator's command.
-func (a *agreed) ledger(c agreement.Command) (r agreement.Reply) {
+// runLedgerCommand runs an operator's command about the ledger.
+func (a *agreementAdapter) runLedgerCommand(c agreement.Command) (r agreement.Reply) {
 	var key ledger.Key
 	err := error(nil)
 	if c.Do == LedgerShow || c.Do == LedgerSettle {
@@ -100,23 +101,23 @@
 	return r
 }
 
-func (a *agreed) ledgerFigures(say func(name string, value int, kind string)) {
+func (a *agreementAdapter) ledgerMetrics(emit func(name string, value int, kind string)) {
 	f := a.keeper.Figures()
-	say("ledger.calls", int(f.Calls), "c")
-	say("ledger.untold", int(f.Untold), "c")
-	say("ledger.wait_p50_us", int(f.WaitP50.Microseconds()), "g")
-	say("ledger.wait_p99_us", int(f.WaitP99.Microseconds()), "g")
+	emit("ledger.calls", int(f.Calls), "c")
+	emit("ledger.untold", int(f.Untold), "c")
+	emit("ledger.wait_p50_us", int(f.WaitP50.Microseconds()), "g")
+	emit("ledger.wait_p99_us", int(f.WaitP99.Microseconds()), "g")
 	if !f.Holds {
 		return
 	}
-	say("ledger.entries", int(f.Entries), "g")
-	say("ledger.commits", int(f.Commits), "c")
-	say("ledger.bytes", int(f.Bytes), "g")
+	emit("ledger.entries", int(f.Entries), "g")
+	emit("ledger.commits", int(f.Commits), "c")
+	emit("ledger.bytes", int(f.Bytes), "g")
 	for name, is := range map[string]bool{"whole": f.Whole, "failed": f.Failed} {
 		value := 0
 		if is {
 			value = 1
 		}
-		say(fmt.Sprintf("ledger.%s", name), value, "g")
+		emit(fmt.Sprintf("ledger.%s", name), value, "g")
 	}
 }
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -14,53 +14,60 @@
 	"standpulley/logic"
 )
 
-// lists is what a dispatcher goes by where dispatchers agree on lists of replicas: the agreed one, made stricter at once by
-// what its own register says while it reads that.
-type lists struct {
-	a      *agreed
-	set    config.Lists
-	orders chan bool // to the program's goroutine: read the register, or stop
+// listMerger computes the replica list for the core where dispatchers agree on lists: the agreed
+// list, made stricter at once by this dispatcher's own discovery service while that is read.
+type listMerger struct {
+	adapter    *agreementAdapter
+	cfg        config.Lists
+	readOrders chan bool // tells the main goroutine to start or stop reading discovery
 
-	mu      sync.Mutex
-	agreed  membership.List
-	own     map[string]membership.Entry // nil where the register is not read, or has said nothing
-	version int64                       // the register's
-	living  int
-	counted bool
-	told    map[string]membership.Entry // what the core has
-	reads   bool
-	wants   bool                 // a start is drawn and under way
-	differs map[string]time.Time // since when an entry of the own register differs from the agreed one
-	failing time.Time            // since when the register does not answer; zero where it does
-	within  time.Duration        // the promise's time
-	ramp    time.Duration        // a replica is cold for this long after its start
-	doubt   time.Time            // no replica counts as started before, as what is listed may be from before a loss of power; zero: none
+	mu              sync.Mutex
+	agreed          membership.List
+	own             map[string]membership.Entry // entries from own discovery; nil if it is not read or has sent nothing
+	ownVersion      int64                       // version of the own list
+	liveDispatchers int
+	hasShare        bool
+	inCore          map[string]membership.Entry // entries that the core has
+	readsDiscovery  bool
+	startPending    bool                 // a delayed start of reading is scheduled
+	differsSince    map[string]time.Time // since when an own entry has differed from the agreed one
+	failingSince    time.Time            // since when discovery has not answered; zero if it answers
+	// agree.within: no dispatcher acts on a replaced version for longer than this.
+	within time.Duration
+	ramp   time.Duration // slow-start time: a replica is cold for this long after its start
+	// Replicas count as started no earlier than this, because a list from before a power loss may
+	// hold outdated start times. Zero: listed start times are trusted.
+	suspectSince time.Time
 }
 
-const deafAfter = 2 * time.Second // of calls that fail: another reader takes over
+// discoveryTimeout is how long calls to discovery must fail before another dispatcher takes over
+// reading.
+const discoveryTimeout = 2 * time.Second
 
-func newLists(a *agreed, cfg config.Config) *lists {
-	l := &lists{a: a, set: *cfg.Agree.Lists, orders: make(chan bool, 1), ramp: cfg.Settings.RampTime, within: cfg.Agree.Timing().Within, reads: true}
+func newListMerger(a *agreementAdapter, cfg config.Config) *listMerger {
+	l := &listMerger{adapter: a, cfg: *cfg.Agree.Lists, readOrders: make(chan bool, 1), ramp: cfg.Settings.RampTime, within: cfg.Agree.Timing().Within, readsDiscovery: true}
 	if cfg.Recovery != nil && !RecoveryHooks.TrustInitialList {
-		l.doubt = time.Now()
+		l.suspectSince = time.Now()
 	}
 	return l
 }
 
-// trust ends the doubt: the register was read since, or others have served all the while.
-func (l *lists) trust() {
+// clearSuspect trusts listed start times again, because discovery was read since the start or other
+// dispatchers have served all the while.
+func (l *listMerger) clearSuspect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.doubt.IsZero() {
-		l.doubt = time.Time{}
-		l.push()
+	if !l.suspectSince.IsZero() {
+		l.suspectSince = time.Time{}
+		l.pushToCore()
 	}
 }
 
-// hear takes what the own register says: the core hears at once of what is stricter, the leader of all of it.
-func (l *lists) hear(u dispatch.Update) {
+// updateOwn takes an update from own discovery. The core gets stricter states at once; the leader
+// of the agreement gets all entries.
+func (l *listMerger) updateOwn(u dispatch.Update) {
 	l.mu.Lock()
-	l.hurry(u)
+	l.sendDrainsFirst(u)
 	if u.Full || l.own == nil {
 		l.own = map[string]membership.Entry{}
 	}
@@ -71,65 +78,67 @@
 			l.own[e.ID] = e
 		}
 	}
-	l.version = u.Version
-	l.failing = time.Time{}
-	l.push()
+	l.ownVersion = u.Version
+	l.failingSince = time.Time{}
+	l.pushToCore()
 	all := maps.Clone(l.own)
 	l.mu.Unlock()
-	l.a.node.Heard(u.Version, all)
+	l.adapter.node.Heard(u.Version, all)
 }
 
-// hurry tells the core of drains before all else, as a list may be long. It needs mu.
-func (l *lists) hurry(u dispatch.Update) {
-	var some []membership.Entry
+// sendDrainsFirst tells the core of drains before the rest of an update, because processing a long
+// list takes time. The caller holds mu.
+func (l *listMerger) sendDrainsFirst(u dispatch.Update) {
+	var drains []membership.Entry
 	for _, s := range u.Servers {
-		had, ok := l.own[s.ID]
-		told, has := l.told[s.ID]
-		if ok && has && had.State == membership.InService && s.Availability == logic.Draining && told.State == membership.InService && ListHooks.OverrideMerge == nil {
-			told.State = membership.Terminating
-			l.told[s.ID] = told
-			some = append(some, told)
+		own, ok := l.own[s.ID]
+		sent, inCore := l.inCore[s.ID]
+		if ok && inCore && own.State == membership.InService && s.Availability == logic.Draining && sent.State == membership.InService && ListHooks.OverrideMerge == nil {
+			sent.State = membership.Terminating
+			l.inCore[s.ID] = sent
+			drains = append(drains, sent)
 		}
 	}
-	if core := l.a.p.live.Load(); core != nil && len(some) > 0 {
-		core.core.UpdateServers(updateOf(some))
+	if core := l.adapter.p.live.Load(); core != nil && len(drains) > 0 {
+		core.core.UpdateServers(updateOf(drains))
 	}
 }
 
-// heard notes whether the register answers.
-func (l *lists) heard(answered bool) {
+// recordAnswer records whether a call to discovery was answered.
+func (l *listMerger) recordAnswer(answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case answered:
-		l.failing = time.Time{}
-	case l.failing.IsZero():
-		l.failing = time.Now()
+		l.failingSince = time.Time{}
+	case l.failingSince.IsZero():
+		l.failingSince = time.Now()
 	}
 }
 
-// Deaf tells that the register is read and has not answered for a while.
-func (l *lists) Deaf() bool {
+// discoveryFailing reports whether discovery is read here and has not answered for
+// discoveryTimeout.
+func (l *listMerger) discoveryFailing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reads && !l.failing.IsZero() && time.Since(l.failing) > deafAfter
+	return l.readsDiscovery && !l.failingSince.IsZero() && time.Since(l.failingSince) > discoveryTimeout
 }
 
-// push hands the core what differs from what it has. It needs mu.
-func (l *lists) push() {
-	core := l.a.p.live.Load()
+// pushToCore sends the core the entries that differ from what it has. The caller holds mu.
+func (l *listMerger) pushToCore() {
+	core := l.adapter.p.live.Load()
 	if core == nil {
 		return
 	}
-	if !l.reads && (l.agreed.RegistryVersion >= l.version || ListHooks.ForgetOnStop) {
-		l.own = nil // the agreed list knows all that this register told; until then what it made stricter stays so
+	if !l.readsDiscovery && (l.agreed.RegistryVersion >= l.ownVersion || ListHooks.ForgetOnStop) {
+		l.own = nil // the agreed list now covers this own list; until it does, its stricter states stay in effect
 	}
 	join := membership.Effective
 	if ListHooks.OverrideMerge != nil {
 		join = ListHooks.OverrideMerge
 	}
-	next := join(l.agreed, membership.OwnList{Version: l.version, Entries: l.own}, l.set.NamedBy == config.ByAgreed)
-	if !l.counted { // its share of cold replicas is none yet
+	next := join(l.agreed, membership.OwnList{Version: l.ownVersion, Entries: l.own}, l.cfg.NamedBy == config.ByAgreed)
+	if !l.hasShare { // this dispatcher has no share of the cold-replica budget yet
 		for id, e := range next {
 			if e.StartedMS > 0 && time.Since(time.UnixMilli(e.StartedMS)) < l.ramp {
 				e.State = membership.Terminating
@@ -137,65 +146,67 @@
 			}
 		}
 	}
-	if since := l.doubt.UnixMilli(); !l.doubt.IsZero() {
+	if since := l.suspectSince.UnixMilli(); !l.suspectSince.IsZero() {
 		for id, e := range next {
 			e.StartedMS = max(e.StartedMS, since)
 			next[id] = e
 		}
 	}
-	l.compare()
-	diff := membership.Diff(l.told, next)
-	l.told = next
+	l.updateDifferences()
+	diff := membership.Diff(l.inCore, next)
+	l.inCore = next
 	if len(diff) > 0 {
 		core.core.UpdateServers(updateOf(diff))
 	}
 }
 
-// compare notes since when the own register and the agreed list differ on a replica. It needs mu.
-func (l *lists) compare() {
+// updateDifferences records since when own discovery and the agreed list have differed on each
+// replica. The caller holds mu.
+func (l *listMerger) updateDifferences() {
 	now := map[string]time.Time{}
-	for _, some := range []map[string]membership.Entry{l.agreed.Entries, l.own} {
-		for id := range some {
-			if l.own == nil || membership.DescribeDifference(at(l.agreed.Entries, id), at(l.own, id)) == "" {
+	for _, entries := range []map[string]membership.Entry{l.agreed.Entries, l.own} {
+		for id := range entries {
+			if l.own == nil || membership.DescribeDifference(entryAt(l.agreed.Entries, id), entryAt(l.own, id)) == "" {
 				continue
 			}
 			now[id] = time.Now()
-			if since, ok := l.differs[id]; ok {
+			if since, ok := l.differsSince[id]; ok {
 				now[id] = since
 			}
 		}
 	}
-	l.differs = now
+	l.differsSince = now
 }
 
-func at(list map[string]membership.Entry, id string) *membership.Entry {
+func entryAt(list map[string]membership.Entry, id string) *membership.Entry {
 	if e, ok := list[id]; ok {
 		return &e
 	}
 	return nil
 }
 
-// beside is how the own register stands beside the agreed list, for operators.
-func (l *lists) beside() map[string]agreement.Beside {
+// differences returns where own discovery differs from the agreed list, for operators.
+func (l *listMerger) differences() map[string]agreement.Beside {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[string]agreement.Beside{}
-	for id, since := range l.differs {
-		all[id] = agreement.Beside{Says: membership.DescribeDifference(at(l.agreed.Entries, id), at(l.own, id)), ForMS: time.Since(since).Milliseconds()}
+	for id, since := range l.differsSince {
+		all[id] = agreement.Beside{Says: membership.DescribeDifference(entryAt(l.agreed.Entries, id), entryAt(l.own, id)), ForMS: time.Since(since).Milliseconds()}
 	}
 	return all
 }
 
-// take acts on an agreed list from now on. It returns when the core goes by nothing older.
-func (l *lists) take(list membership.List, living int, counted bool) (moved bool) {
+// applyAgreed applies an agreed list and reports whether the number of live dispatchers changed. It
+// returns once the core uses nothing older.
+func (l *listMerger) applyAgreed(list membership.List, live int, hasShare bool) (changed bool) {
 	if ListHooks.ApplyDelay > 0 && list.Number > 1 {
-		time.AfterFunc(ListHooks.ApplyDelay, func() { l.act(list, living, counted) })
+		time.AfterFunc(ListHooks.ApplyDelay, func() { l.applyAgreedNow(list, live, hasShare) })
 		return false
 	}
-	return l.act(list, living, counted)
+	return l.applyAgreedNow(list, live, hasShare)
 }
 
-func (l *lists) act(list membership.List, living int, counted bool) (moved bool) {
+func (l *listMerger) applyAgreedNow(list membership.List, live int, hasShare bool) (changed bool) {
 	if ListHooks.MutateEntry != nil {
 		list = list.Clone()
 		for id, e := range list.Entries {
@@ -204,100 +215,102 @@
 		}
 	}
 	l.mu.Lock()
-	moved = living != l.living
+	changed = live != l.liveDispatchers
 	if !ListHooks.IgnoreAgreed || l.agreed.Number == 0 {
 		l.agreed = list
 	}
-	l.living, l.counted = living, counted
-	l.push()
+	l.liveDispatchers, l.hasShare = live, hasShare
+	l.pushToCore()
 	l.mu.Unlock()
-	if s := l.a.p.live.Load(); s != nil {
-		s.core.List() // an answer comes after all that was told before
+	if s := l.adapter.p.live.Load(); s != nil {
+		s.core.List() // the core replies after it has processed all earlier updates
 	}
-	return moved
+	return changed
 }
 
-// reading tells whether the register is read here.
-func (l *lists) reading() bool {
+// isReading reports whether discovery is read here.
+func (l *listMerger) isReading() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reads
+	return l.readsDiscovery
 }
 
-// anew hands all of it to a core that has nothing yet.
-func (l *lists) anew() {
+// resendAll sends the full list to a core that has none yet.
+func (l *listMerger) resendAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = nil
-	l.push()
+	l.inCore = nil
+	l.pushToCore()
 }
 
-// count is the number of dispatchers that live.
-func (l *lists) count() int {
+// liveCount returns the number of live dispatchers.
+func (l *listMerger) liveCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.living
+	return l.liveDispatchers
 }
 
-// read starts or stops reading the register for all.
-func (l *lists) read(yes bool) {
-	if l.set.NamedBy == config.ByOwn {
-		return // it is always read
+// setReading starts or stops reading discovery on behalf of all dispatchers.
+func (l *listMerger) setReading(on bool) {
+	if l.cfg.NamedBy == config.ByOwn {
+		return // every dispatcher always reads its own discovery service
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if yes == l.reads || l.wants {
+	if on == l.readsDiscovery || l.startPending {
 		return
 	}
-	if yes {
-		l.start()
+	if on {
+		l.startReading()
 		return
 	}
-	l.reads, l.failing = false, time.Time{}
-	l.order(false)
-	l.push()
+	l.readsDiscovery, l.failingSince = false, time.Time{}
+	l.sendReadOrder(false)
+	l.pushToCore()
 }
 
-// alone begins to read after a drawn time: nobody does it for this dispatcher, and all others may be beginning too.
-func (l *lists) alone() {
+// startReadingAlone starts reading discovery after a random delay: no other dispatcher reads it for
+// this one, and all others may be starting at the same time.
+func (l *listMerger) startReadingAlone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.reads && !l.wants {
-		l.wants = true
+	if !l.readsDiscovery && !l.startPending {
+		l.startPending = true
 		time.AfterFunc(rand.N(4*l.within), func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.wants = false
-			l.start()
+			l.startPending = false
+			l.startReading()
 		})
 	}
 }
 
-func (l *lists) start() {
-	l.reads = true
-	l.order(true)
+func (l *listMerger) startReading() {
+	l.readsDiscovery = true
+	l.sendReadOrder(true)
 }
 
-// order tells the program's goroutine; a later order takes the place of one that waits.
-func (l *lists) order(read bool) {
+// sendReadOrder tells the main goroutine to start or stop reading; a newer order replaces one that
+// is pending.
+func (l *listMerger) sendReadOrder(read bool) {
 	select {
-	case <-l.orders:
+	case <-l.readOrders:
 	default:
 	}
-	l.orders <- read
+	l.readOrders <- read
 }
 
-var states = map[logic.Availability]string{logic.Ready: membership.InService, logic.Draining: membership.Terminating, logic.Gone: membership.Terminated}
+var stateNames = map[logic.Availability]string{logic.Ready: membership.InService, logic.Draining: membership.Terminating, logic.Gone: membership.Terminated}
 
 func entryOf(s dispatch.Server) membership.Entry {
-	e := membership.Entry{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: states[s.Availability], Weight: s.Weight}
+	e := membership.Entry{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: stateNames[s.Availability], Weight: s.Weight}
 	if !s.LastBoot.IsZero() {
 		e.StartedMS = s.LastBoot.UnixMilli()
 	}
 	return e
 }
 
-// updateOf puts entries into the core's form, as discovery does.
+// updateOf converts entries into an update for the core, as discovery does.
 func updateOf(entries []membership.Entry) dispatch.Update {
 	return discovery.List{Servers: entries}.Update()
 }
--- a/internal/program/log.go
+++ b/internal/program/log.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// logWriter writes the log from a goroutine of its own. The core logs too, and must not wait for whoever reads the
-// log: lines for which there is no room are dropped and counted.
+// logWriter writes the log from its own goroutine. The core logs too and must not wait for whatever
+// consumes the log, so lines that do not fit into the buffer are dropped and counted.
 type logWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -27,16 +27,16 @@
 	go func() {
 		defer close(w.done)
 		for line := range w.lines {
-			_, _ = out.Write(line) // a log that can't be written can't be told of either
+			_, _ = out.Write(line) // a failure to write the log cannot be logged
 			if n := w.dropped.Swap(0); n > 0 {
-				_, _ = fmt.Fprintf(out, "%d lines of the log were dropped\n", n)
+				_, _ = fmt.Fprintf(out, "%d log lines were dropped\n", n)
 			}
 		}
 	}()
 	return w
 }
 
-// Write never blocks.
+// Write queues a line. It never blocks.
 func (w *logWriter) Write(p []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), p...):
@@ -46,7 +46,7 @@
 	return len(p), nil
 }
 
-// Close writes what waits, if that takes no longer than a moment. Nothing may be written after it.
+// Close writes the queued lines, for at most logFlush. Write must not be called after it.
 func (w *logWriter) Close() {
 	close(w.lines)
 	select {
@@ -55,7 +55,7 @@
 	}
 }
 
-// WithAsyncLog runs a server whose log never makes it wait.
+// WithAsyncLog runs a server with a log that never blocks it.
 func WithAsyncLog(run func() error) error {
 	w := newLogWriter(os.Stderr)
 	log.SetOutput(w)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,17 +1,18 @@
-// Package program is the process from its start to its exit: the stack in force and the ports that outlive it, reload,
-// hand-over to another stack, the operators' door and the drain. The phases are those of the core.
+// Package program runs the dispatcher process from start to exit: the stack in force and the
+// listening ports that outlive it, configuration reload, hand-over to another stack, the admin
+// endpoint and the drain on shutdown. The phases are those of dispatch.Phases.
 //
-//	program.go  the process and its loop: signals, the console, reloads
-//	stack.go    all that serves one configuration: a core, its discovery and its fronts
-//	force.go    how a configuration takes the place of the one before
-//	drain.go    the way from SIGTERM to the exit
-//	door.go     what the operators' door shows
-//	agreed.go   settings on which dispatchers agree
-//	lists.go    lists of replicas on which they agree
-//	comeback.go the stages in which this dispatcher comes back
-//	ledger.go   what they remember together of what must not run twice
-//	managed.go  the appliance: a program that serves what is in force in a state folder
-//	log.go      a log that nobody waits for
+//	program.go    the process and its main loop: signals, the console, reloads
+//	stack.go      everything that serves one configuration: a core, its discovery and its fronts
+//	apply.go      how a configuration replaces the one before
+//	drain.go      the shutdown sequence from SIGTERM to exit
+//	admin.go      what the admin endpoint shows and does
+//	agreement.go  settings that dispatchers agree on
+//	lists.go      replica lists that dispatchers agree on
+//	recovery.go   the recovery stages of this dispatcher after a start
+//	ledger.go     the shared ledger of requests that must not run twice
+//	appliance.go  the appliance, which serves the configuration in force in a state folder
+//	log.go        a log writer that never blocks its callers
 package program
 
 import (
@@ -28,137 +29,143 @@
 	"standpulley/internal/appliance"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
-	_ "standpulley/internal/earlyhup" // ignored until this program listens
+	_ "standpulley/internal/earlyhup" // ignores SIGHUP until this program handles it
 	"standpulley/internal/front"
 	"standpulley/internal/replica"
 )
 
-// program is the process: the stack in force and the ports that outlive it.
+// program is the state of the process: the stack in force and the ports that outlive it.
 type program struct {
-	ports      map[string]*front.Port
-	pool       *replica.Pool // this and the gate are the same for all stacks, as the limits are the process's
-	gate       *front.ConnLimiter
-	now        *stack
-	live       atomic.Pointer[stack] // the same, for the operators' door
-	door       *front.Port           // and that door
-	doorAt     string
-	counts     dispatch.Counts // of all stacks
-	applied    atomic.Int64    // files taken at SIGHUP
-	rejected   atomic.Int64    // and those turned down
-	away       atomic.Bool     // operators have emptied the program
-	shared     bool            // another process may listen at the clients' address: a new version takes over there
-	old        sync.WaitGroup  // stacks that finish what they had taken
-	draining   chan struct{}   // closed when the program drains
-	toldToStop time.Time       // when SIGTERM came; set before draining is closed
-	agreed     *agreed         // nil where dispatchers do not agree on settings
-	licence    dispatch.Lease
+	ports map[string]*front.Port
+	// pool and limiter are shared by all stacks because their limits apply to the whole process.
+	pool          *replica.Pool
+	limiter       *front.ConnLimiter
+	current       *stack
+	live          atomic.Pointer[stack] // same as current, read by the admin endpoint
+	adminPort     *front.Port           // port of the admin endpoint
+	adminAddr     string
+	counts        dispatch.Counts // totals over all stacks
+	applied       atomic.Int64    // configurations applied on SIGHUP
+	rejected      atomic.Int64    // configurations rejected on SIGHUP
+	operatorDrain atomic.Bool     // an operator has drained the program
+	// Another process may listen on the client address, so that a new version can take over.
+	shared    bool
+	finishing sync.WaitGroup    // replaced stacks that are still finishing their requests
+	draining  chan struct{}     // closed when the program starts to drain
+	sigtermAt time.Time         // when SIGTERM arrived; set before draining is closed
+	agreement *agreementAdapter // nil if dispatchers do not agree on settings
+	lease     dispatch.Lease
 }
 
-// reload reads the configuration anew and puts it in force; a faulty one changes nothing.
+// reload reads the configuration again and applies it. A faulty configuration changes nothing.
 func (p *program) reload(load func() (config.Config, error)) {
 	cfg, err := load()
 	if err == nil {
-		err = cfg.CheckMissingKeys(p.now.cfg)
+		err = cfg.CheckMissingKeys(p.current.cfg)
 	}
 	if err == nil {
 		err = p.adopt(cfg)
 	}
 	if err != nil {
 		p.rejected.Add(1)
-		log.Printf("SIGHUP: the configuration in force stays: %v", err)
+		log.Printf("SIGHUP: keeping the configuration in force: %v", err)
 		return
 	}
 	p.applied.Add(1)
 }
 
-// adopt puts a file in force. Where dispatchers agree on settings, those stay as they are.
+// adopt applies a configuration file. Where dispatchers agree on settings, the agreed settings stay
+// in force and only the rest of the file is applied.
 func (p *program) adopt(cfg config.Config) (err error) {
-	if p.agreed != nil {
-		cfg, err = p.agreed.adopt(cfg)
+	if p.agreement != nil {
+		cfg, err = p.agreement.adopt(cfg)
 	} else if cfg.Agree.Enabled() {
 		err = &config.Fault{Key: "agree", Text: "can't be switched on while the program runs"}
 	}
 	if err != nil {
 		return err
 	}
-	return p.force(cfg)
+	return p.apply(cfg)
 }
 
-// Run serves the platform, as the environment says.
+// Run serves the platform with the configuration that the environment names.
 func Run() error { return serve(config.FromEnvironment, nil) }
 
-// signals gives the channel on which some signals come. One that comes while another waits adds nothing to it.
+// signals returns a channel that receives the given signals. A signal that arrives while another is
+// pending is dropped.
 func signals(which ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, which...)
 	return c
 }
 
-// stampedSignals gives the channel on which comes when the first of some signals came. Whoever takes it may be busy with a reload by then.
-func stampedSignals(which ...os.Signal) <-chan time.Time {
-	came, stamped := signals(which...), make(chan time.Time, 1)
+// timedSignals returns a channel that receives the arrival time of the first of the given signals.
+// The time is taken on arrival because the receiver may be busy with a reload.
+func timedSignals(which ...os.Signal) <-chan time.Time {
+	received, arrivals := signals(which...), make(chan time.Time, 1)
 	go func() {
-		sig := <-came
-		stamped <- time.Now()
+		sig := <-received
+		arrivals <- time.Now()
 		log.Printf("signal: %v", sig)
 	}()
-	return stamped
+	return arrivals
 }
 
-// serve is the program from start to exit; load reads its configuration, and m is nil on the platform.
-func serve(load func() (config.Config, error), m *managed) error {
-	hangUp, stop := signals(syscall.SIGHUP), stampedSignals(syscall.SIGTERM, syscall.SIGINT)
+// serve runs the program from start to exit. load reads its configuration; m is nil on the
+// platform.
+func serve(load func() (config.Config, error), m *applianceConsole) error {
+	hangUp, stop := signals(syscall.SIGHUP), timedSignals(syscall.SIGTERM, syscall.SIGINT)
 	cfg, err := load()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := &program{ports: map[string]*front.Port{}, pool: replica.NewPool(0, 0, 0), gate: front.NewConnLimiter(0, 0),
+	p := &program{ports: map[string]*front.Port{}, pool: replica.NewPool(0, 0, 0), limiter: front.NewConnLimiter(0, 0),
 		draining: make(chan struct{})}
-	p.gate.OnClose = func(cause dispatch.Cause, client string) { p.counts.Count(dispatch.ClientClosed, cause, client) }
+	p.limiter.OnClose = func(cause dispatch.Cause, client string) { p.counts.Count(dispatch.ClientClosed, cause, client) }
 	go p.pool.Sweep(ctx)
 	if m == nil {
 		p.shared = true
-		m = &managed{} // whose channels bring nothing
+		m = &applianceConsole{} // its nil channels never receive
 	}
-	var takeups chan takeup
-	var reads chan bool
+	var applyRequests chan applyRequest
+	var readOrders chan bool
 	if cfg.Agree.Enabled() {
-		if p.agreed, cfg, err = p.agreeOn(cfg, string(m.dir)); err != nil {
+		if p.agreement, cfg, err = p.openAgreement(cfg, string(m.dir)); err != nil {
 			return err
 		}
-		takeups = p.agreed.takeups
-		if p.agreed.lists != nil {
-			reads = p.agreed.lists.orders
+		applyRequests = p.agreement.applyRequests
+		if p.agreement.lists != nil {
+			readOrders = p.agreement.lists.readOrders
 		}
 	}
-	if err := p.force(cfg); err != nil {
+	if err := p.apply(cfg); err != nil {
 		return err
 	}
-	if p.agreed != nil {
-		if err := p.agreed.node.Run(p.agreed); err != nil {
+	if p.agreement != nil {
+		if err := p.agreement.node.Run(p.agreement); err != nil {
 			return err
 		}
-		if k := p.agreed.keeper; k != nil {
-			k.Run()
+		if keeper := p.agreement.keeper; keeper != nil {
+			keeper.Run()
 		}
-		if b := p.agreed.back; b != nil {
+		if b := p.agreement.recovery; b != nil {
 			go b.run(ctx.Done())
 		}
-		m.agreed.Store(p.agreed)
+		m.agreement.Store(p.agreement)
 	}
-	go p.sendAway(ctx)
+	go p.closeIdleClients(ctx)
 	for {
 		select {
-		case told := <-stop:
-			err := p.drain(told)
-			if p.agreed != nil {
-				if k := p.agreed.keeper; k != nil {
-					err = errors.Join(err, k.Close())
+		case termAt := <-stop:
+			err := p.drain(termAt)
+			if p.agreement != nil {
+				if keeper := p.agreement.keeper; keeper != nil {
+					err = errors.Join(err, keeper.Close())
 				}
-				p.agreed.node.Leave()
-				err = errors.Join(err, p.agreed.node.Close())
+				p.agreement.node.Leave()
+				err = errors.Join(err, p.agreement.node.Close())
 			}
 			return err
 		case <-hangUp:
@@ -166,23 +173,23 @@
 			p.reload(load)
 		case r := <-m.reloads:
 			r.reply <- p.adopt(r.cfg)
-		case yes := <-reads:
-			p.now.reads(yes)
-		case t := <-takeups:
-			before := p.licence
-			if t.licence != nil {
-				p.licence = t.licence
+		case on := <-readOrders:
+			p.current.setWatching(on)
+		case t := <-applyRequests:
+			before := p.lease
+			if t.lease != nil {
+				p.lease = t.lease
 			}
-			err := p.force(t.cfg)
+			err := p.apply(t.cfg)
 			if err != nil {
-				p.licence = before
+				p.lease = before
 			}
 			t.reply <- err
 		case q := <-m.state:
-			view, _ := p.now.core.Inspect() // it runs for as long as it is in force
-			r := appliance.Reply{Name: p.now.cfg.Name, Since: m.since, View: view}
-			if p.agreed != nil {
-				p.agreed.console(&r)
+			view, _ := p.current.core.Inspect() // the core runs as long as its stack is in force
+			r := appliance.Reply{Name: p.current.cfg.Name, Since: m.since, View: view}
+			if p.agreement != nil {
+				p.agreement.fillConsole(&r)
 			}
 			q <- r
 		}
--- a/internal/program/share_test.go
+++ b/internal/program/share_test.go
@@ -2,9 +2,12 @@
 
 import "testing"
 
-// Guards: a small limit left fewer descriptors than discovery, the door and the runtime hold beside those of clients and replicas.
-func TestSharesOfSocketsLeaveEnough(t *testing.T) {
-	const others = 40 // 16 callers of the door and 8 that are told to go, discovery, three ports, the runtime's own, and a few more
+// TestSocketSharesLeaveReserve guards against a small socket limit that leaves fewer descriptors
+// than discovery, the admin endpoint and the runtime need beside clients and replicas.
+func TestSocketSharesLeaveReserve(t *testing.T) {
+	// 16 callers of the admin endpoint and 8 refused connections, discovery, three ports, the
+	// runtime's own, and a few more.
+	const others = 40
 	for sockets := 64; sockets < 1<<16; sockets++ {
 		clients, replicas := share(sockets)
 		if clients+replicas > sockets-others || clients < 8 || replicas < 8 {
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -22,34 +22,36 @@
 )
 
 const (
-	handOver     = 2 * time.Second // connections of the configuration before may still be used
-	releaseAhead = time.Second     // what is held is let go before the exit, if that takes no longer
-	bodyShare    = 0.25            // of the memory, for the bodies of open requests
+	handOverTime   = 2 * time.Second // how long clients may still use connections of the replaced configuration
+	releaseTimeout = time.Second     // longest wait before exit for replicas to release prefill state
+	bodyShare      = 0.25            // share of memory for the bodies of open requests
 )
 
-// stack is all that serves one configuration: a core, its discovery and its fronts.
+// stack is everything that serves one configuration: a core, its discovery and its fronts.
 type stack struct {
-	cfg      config.Config
-	core     *dispatch.Dispatcher
-	releaser *replica.Releaser
-	platform *platform.Front             // if there is one
-	chat     *chat.Front                 // likewise
-	fronts   map[string]*fasthttp.Server // by address
-	accepts  []*front.Listener           // of the fronts
-	heard    chan struct{}
-	ctx      context.Context // ends with the stack
-	cancel   context.CancelFunc
-	unwatch  context.CancelFunc // ends the watches of discovery
-	known    *int64             // version of the list with which the first of them begins; nil: it asks for the whole
-	telling  sync.Mutex         // held by the watch that tells
-	lists    *lists             // nil where each dispatcher goes by its own register
+	cfg          config.Config
+	core         *dispatch.Dispatcher
+	releaser     *replica.Releaser
+	platform     *platform.Front             // nil if not configured
+	chat         *chat.Front                 // nil if not configured
+	fronts       map[string]*fasthttp.Server // keyed by address
+	listeners    []*front.Listener           // listeners that the fronts accept from
+	listReceived chan struct{}
+	ctx          context.Context // cancelled when the stack ends
+	cancel       context.CancelFunc
+	stopWatch    context.CancelFunc // stops the discovery watches
+	// List version from which the first watch continues; nil: it asks for the full list.
+	knownVersion *int64
+	tellMu       sync.Mutex  // held by the watch that passes on an update
+	lists        *listMerger // nil if each dispatcher uses its own discovery service
 }
 
-// newStack makes a stack that knows the replicas of a list, whose version at its discovery is at, if it came from there. It is not yet open
-// to clients.
-func newStack(cfg config.Config, known dispatch.Update, at *int64, pool *replica.Pool, counts *dispatch.Counts, licence dispatch.Lease, l *lists, k *bookkeeping.Keeper) (*stack, error) {
-	s := &stack{cfg: cfg, releaser: replica.NewReleaser(pool), fronts: map[string]*fasthttp.Server{}, heard: make(chan struct{}, 1),
-		unwatch: func() {}, lists: l, known: at}
+// newStack returns a stack that starts with the replicas in known. knownVersion is the version of
+// that list at its discovery service, or nil if the list did not come from there. The stack is not
+// yet open to clients.
+func newStack(cfg config.Config, known dispatch.Update, knownVersion *int64, pool *replica.Pool, counts *dispatch.Counts, lease dispatch.Lease, l *listMerger, k *bookkeeping.Keeper) (*stack, error) {
+	s := &stack{cfg: cfg, releaser: replica.NewReleaser(pool), fronts: map[string]*fasthttp.Server{}, listReceived: make(chan struct{}, 1),
+		stopWatch: func() {}, lists: l, knownVersion: knownVersion}
 	var err error
 	s.core, err = dispatch.New(cfg.Settings, cfg.Seed, known, s.releaser, bounds(cfg.Limits))
 	if err != nil {
@@ -57,15 +59,15 @@
 	}
 	s.core.Counts = counts
 	s.core.Prober = replica.Prober{Pool: pool}
-	if licence != nil {
-		s.core.SetLease(licence)
+	if lease != nil {
+		s.core.SetLease(lease)
 	}
-	var remembered once.Ledger
+	var ledger once.Ledger
 	if k != nil {
-		remembered = k
+		ledger = k
 	}
 	if cfg.Chat.Listen != "" {
-		f, err := chat.New(s.core, pool, cfg.Settings.Classes, chat.Options{Models: cfg.Chat.Models, MaxOutput: cfg.Chat.MaxOutput, Ledger: remembered})
+		f, err := chat.New(s.core, pool, cfg.Settings.Classes, chat.Options{Models: cfg.Chat.Models, MaxOutput: cfg.Chat.MaxOutput, Ledger: ledger})
 		if err != nil {
 			return nil, err
 		}
@@ -73,7 +75,7 @@
 		s.fronts[cfg.Chat.Listen] = f.Server()
 	}
 	if cfg.Listen != "" {
-		s.platform = platform.New(s.core, pool, cfg.Settings, remembered)
+		s.platform = platform.New(s.core, pool, cfg.Settings, ledger)
 		s.fronts[cfg.Listen] = s.platform.Server()
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -86,64 +88,67 @@
 	return dispatch.Bounds{Requests: l.Sockets / 2, Bytes: int(bodyShare * float64(l.MemoryMB<<20))}
 }
 
-// takesUp tells whether the stack can go on under another configuration: what was learned, is held and runs stays.
-func (s *stack) takesUp(cfg config.Config) bool {
+// canApply reports whether the stack can continue under cfg. If so, learned values, held prefill
+// state and running requests are kept.
+func (s *stack) canApply(cfg config.Config) bool {
 	return s.cfg.Listen == cfg.Listen && reflect.DeepEqual(s.cfg.Chat, cfg.Chat)
 }
 
-// takeUp puts a configuration in force that the stack can go on under.
-func (s *stack) takeUp(cfg config.Config, licence dispatch.Lease) error {
-	if err := s.retune(cfg, licence); err != nil {
+// apply puts cfg in force on this stack; canApply must have returned true for it.
+func (s *stack) apply(cfg config.Config, lease dispatch.Lease) error {
+	if err := s.retune(cfg, lease); err != nil {
 		return err
 	}
 	old, set := s.cfg.Settings, cfg.Settings
 	listed := cfg.Discovery == "" && !reflect.DeepEqual(cfg.Known, s.cfg.Known)
-	// Where some read the register for all, how many there are changes nothing for them.
-	another := cfg.Discovery != s.cfg.Discovery || listed || set.Siblings != old.Siblings && s.lists == nil || !slices.Equal(set.Kinds, old.Kinds)
-	if another && (s.lists == nil || s.lists.reading()) {
+	// If designated dispatchers read discovery for all, the number of siblings does not affect the
+	// watch.
+	rewatch := cfg.Discovery != s.cfg.Discovery || listed || set.Siblings != old.Siblings && s.lists == nil || !slices.Equal(set.Kinds, old.Kinds)
+	if rewatch && (s.lists == nil || s.lists.isReading()) {
 		s.watch(cfg)
 	}
 	s.cfg = cfg
 	return nil
 }
 
-// retune hands the settings to all that acts on them. It may be called from any goroutine.
-func (s *stack) retune(cfg config.Config, licence dispatch.Lease) error {
-	if err := s.core.UpdateSettings(cfg.Settings, bounds(cfg.Limits), licence); err != nil {
+// retune passes the settings to the core and the fronts. It may be called from any goroutine.
+func (s *stack) retune(cfg config.Config, lease dispatch.Lease) error {
+	if err := s.core.UpdateSettings(cfg.Settings, bounds(cfg.Limits), lease); err != nil {
 		return err
 	}
 	if s.platform != nil {
 		s.platform.UpdateSettings(cfg.Settings)
 	}
 	if s.chat != nil {
-		if err := s.chat.UpdateClasses(cfg.Settings.Classes); err != nil { // config has checked that each model has its class
+		if err := s.chat.UpdateClasses(cfg.Settings.Classes); err != nil { // config has checked that each model has a class
 			log.Printf("chat: %v", err)
 		}
 	}
 	return nil
 }
 
-// watch follows the discovery that cfg names. The watches before it go on until this one has brought its list, but
-// no longer than a moment: they may still have something to tell. What they say after that is not heard.
+// watch follows the discovery service that cfg names. Earlier watches continue until this one has
+// delivered its first list, but no longer than handOverTime, as they may still have updates.
+// Updates that they deliver later are ignored.
 func (s *stack) watch(cfg config.Config) {
 	s.cfg = cfg
-	before := s.unwatch
+	before := s.stopWatch
 	ctx, cancel := context.WithCancel(s.ctx)
-	s.unwatch = func() { cancel(); before() }
+	s.stopWatch = func() { cancel(); before() }
 	tell := func(u dispatch.Update) {
-		s.telling.Lock()
-		defer s.telling.Unlock()
+		s.tellMu.Lock()
+		defer s.tellMu.Unlock()
 		if ctx.Err() != nil {
 			return
 		}
 		before()
 		if s.lists != nil {
-			s.lists.hear(u)
+			s.lists.updateOwn(u)
 		} else {
 			s.core.UpdateServers(u)
 		}
 		select {
-		case s.heard <- struct{}{}:
+		case s.listReceived <- struct{}{}:
 		default:
 		}
 	}
@@ -151,18 +156,19 @@
 		tell(cfg.Known.Update())
 		return
 	}
-	time.AfterFunc(handOver, before)
-	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, PushMode: !cfg.Settings.ListOnRequest, KnownVersion: s.known, Kinds: cfg.Settings.Kinds, OnUpdate: tell}
-	s.known = nil
+	time.AfterFunc(handOverTime, before)
+	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, PushMode: !cfg.Settings.ListOnRequest, KnownVersion: s.knownVersion, Kinds: cfg.Settings.Kinds, OnUpdate: tell}
+	s.knownVersion = nil
 	if s.lists != nil {
-		w.OnResult = s.lists.heard
+		w.OnResult = s.lists.recordAnswer
 	}
 	go w.Run(ctx)
 }
 
-// follow has a stack that finishes what it took hear of replicas where the configuration that has taken its place does: the discovery
-// before may say nothing more.
-func (s *stack) follow(cfg config.Config) {
+// followDiscovery makes a stack that is finishing its requests get replica updates from the same
+// source as the configuration that replaced it, because its own discovery service may send no more
+// updates.
+func (s *stack) followDiscovery(cfg config.Config) {
 	if s.cfg.Discovery == cfg.Discovery && cfg.Discovery != "" {
 		return
 	}
@@ -171,21 +177,23 @@
 	s.watch(own)
 }
 
-// reads starts or stops the watch of discovery, where somebody else may do it for this dispatcher.
-func (s *stack) reads(yes bool) {
-	if yes {
+// setWatching starts or stops the discovery watch. It is used where another dispatcher may read
+// discovery for this one.
+func (s *stack) setWatching(on bool) {
+	if on {
 		s.watch(s.cfg)
 	} else if s.cfg.Discovery != "" {
-		s.unwatch()
-		s.unwatch = func() {}
+		s.stopWatch()
+		s.stopWatch = func() {}
 	}
 }
 
-// open serves clients on the ports, from the time that the list is there, or wait has passed.
+// open serves clients on the ports. The phase becomes ready when the first replica list has arrived
+// or wait has passed.
 func (s *stack) open(ports map[string]*front.Port, wait time.Duration) error {
 	for addr, server := range s.fronts {
 		ln := ports[addr].Attach()
-		s.accepts = append(s.accepts, ln)
+		s.listeners = append(s.listeners, ln)
 		go func() {
 			if err := server.Serve(ln); err != nil {
 				log.Printf("front at %s: %v", addr, err)
@@ -193,23 +201,23 @@
 		}()
 	}
 	select {
-	case <-s.heard:
+	case <-s.listReceived:
 	case <-time.After(wait):
-		log.Print("no list from discovery yet: starting with the one that was known")
+		log.Print("no list from discovery yet: starting with the known list")
 	}
 	return s.core.Phases.Enter(dispatch.Ready)
 }
 
-// finish answers what was taken, lets go of what is held and ends the stack. Its ports are closed, or another
-// stack's by now.
+// finish answers the requests that were accepted, releases prefill state that is held and ends the
+// stack. By then its ports are closed or belong to another stack.
 func (s *stack) finish() error {
 	if s.core.Phases.Now() < dispatch.Leaving {
 		if err := s.core.Phases.Enter(dispatch.Leaving); err != nil {
 			return err
 		}
 	}
-	for _, ln := range s.accepts {
-		ln.DrainConns() // first: what the server's own end finds on a connection it drops, read or not
+	for _, ln := range s.listeners {
+		ln.DrainConns() // before Shutdown, which drops connections together with any request on them, read or not
 	}
 	for addr, server := range s.fronts {
 		if err := server.Shutdown(); err != nil {
@@ -217,7 +225,7 @@
 		}
 	}
 	s.core.Phases.AwaitIdle()
-	ctx, cancel := context.WithTimeout(context.Background(), releaseAhead)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	s.releaser.AwaitIdle(ctx)
 	s.cancel()
--- a/internal/program/walltime_test.go
+++ b/internal/program/walltime_test.go
@@ -11,23 +11,25 @@
 	"testing"
 )
 
-// requestPath are the packages through which requests, attempts, lists and releases pass.
+// requestPath lists the packages that handle requests, attempts, replica lists and releases.
 var requestPath = []string{"logic", "internal/dispatch", "internal/replica", "internal/discovery", "internal/front", "internal/front/platform",
 	"internal/front/chat", "internal/front/once", "internal/operator"}
 
-// wallReaders are the calls that take a moment as the wall clock shows it, without its monotonic reading.
-var wallReaders = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "UTC", "Local", "In", "Date", "Truncate", "AppendFormat",
+// wallClockMethods are the calls that read a time as the wall clock shows it, without its monotonic
+// reading.
+var wallClockMethods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "UTC", "Local", "In", "Date", "Truncate", "AppendFormat",
 	"Parse", "ParseInLocation"}
 
-// wallUses are the places that may read the wall clock, each with its reason.
-var wallUses = map[string]string{
-	"internal/dispatch/starttime.go Round": "the one seam: ages of replicas are found there, once",
-	"internal/dispatch/counts.go Round":    "a span, rounded for people",
-	"internal/discovery/list.go UnixMilli": "the form in which lists name a start",
-	"internal/front/chat/chat.go Unix":     "a field of the chat API, for people",
+// allowedUses are the places that may read the wall clock, each with its reason.
+var allowedUses = map[string]string{
+	"internal/dispatch/starttime.go Round": "the only conversion: replica ages are computed there, once",
+	"internal/dispatch/counts.go Round":    "a duration, rounded for display",
+	"internal/discovery/list.go UnixMilli": "the format of start times in lists",
+	"internal/front/chat/chat.go Unix":     "the created field of the chat API, for display",
 }
 
-// Guards: a step of the wall clock moves no deadline, window, wait or grace: nothing in the path of requests reads it.
+// TestRequestPathReadsNoWallTime guards against a step of the wall clock that shifts a deadline,
+// window, wait or grace period: nothing in the request path may read the wall clock.
 func TestRequestPathReadsNoWallTime(t *testing.T) {
 	used := map[string]bool{}
 	for _, pkg := range requestPath {
@@ -39,26 +41,27 @@
 			if strings.HasSuffix(path, "_test.go") {
 				continue
 			}
-			for _, call := range callsIn(t, path) {
-				if !slices.Contains(wallReaders, call) {
+			for _, call := range calledSelectors(t, path) {
+				if !slices.Contains(wallClockMethods, call) {
 					continue
 				}
 				use := pkg + "/" + filepath.Base(path) + " " + call
-				if used[use] = true; wallUses[use] == "" {
+				if used[use] = true; allowedUses[use] == "" {
 					t.Errorf("%s reads wall time", use)
 				}
 			}
 		}
 	}
-	for use := range wallUses {
+	for use := range allowedUses {
 		if !used[use] {
-			t.Errorf("%s is allowed and not there", use)
+			t.Errorf("%s is allowed but not used", use)
 		}
 	}
 }
 
-// callsIn gives the names of the selectors that a file calls, but for those of package math.
-func callsIn(t *testing.T, path string) (names []string) {
+// calledSelectors returns the names of the selectors that a file calls, except those of package
+// math.
+func calledSelectors(t *testing.T, path string) (names []string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
