--- a/cmd/standpulley/settings_names_test.go
+++ b/cmd/standpulley/settings_names_test.go
@@ -28,8 +28,9 @@
  %s"services":[%s]}`, zone, kinds, duties, tenants, strings.Join(services, ","))
 }
 
-// TestSettingsWithOtherNames checks that the names in the settings come from the settings alone:
-// with one class or five, none of the usual names, no zones, no tenants and other kinds.
+// TestSettingsWithOtherNames checks that the names of kinds, classes, zones and tenants come from
+// the settings alone: with one class or five, none of the usual names, no zones, no tenants and
+// other kinds.
 func TestSettingsWithOtherNames(t *testing.T) {
 	zoned, noZones := `"zone":"dock-7","zones":["dock-7","dock-9"],`, ""
 	for name, c := range map[string]struct {
--- a/cmd/standpulley/shutdown_test.go
+++ b/cmd/standpulley/shutdown_test.go
@@ -85,7 +85,7 @@
 // hung replicas may hold must be released, and the program must exit only after the stream has
 // ended.
 func TestSIGTERMAnswersOpenRequests(t *testing.T) {
-	// One deadline below and one above the 3 s at which it is capped for the time of SIGKILL.
+	// SIGKILL follows the deadline, which counts as at most 3 s: test one below and one above.
 	for _, deadline := range []time.Duration{time.Second, 6 * time.Second} {
 		hung, finish := make(chan bool, 8), make(chan bool)
 		reader, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) {
--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -251,7 +251,7 @@
 	case a.applyRequests <- t:
 		err = <-t.reply
 	case <-a.p.draining: // only the rules for requests that are still open change
-		err = a.p.live.Load().retune(cfg, t.lease)
+		err = a.p.live.Load().updateSettings(cfg, t.lease)
 	}
 	if err == nil {
 		a.mu.Lock()
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -114,7 +114,7 @@
 // serve runs the program from start to exit. load reads its configuration; m is nil on the
 // platform.
 func serve(load func() (config.Config, error), m *applianceConsole) error {
-	hangUp, stop := signals(syscall.SIGHUP), timedSignals(syscall.SIGTERM, syscall.SIGINT)
+	sighup, stop := signals(syscall.SIGHUP), timedSignals(syscall.SIGTERM, syscall.SIGINT)
 	cfg, err := load()
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 				err = errors.Join(err, p.agreement.node.Close())
 			}
 			return err
-		case <-hangUp:
+		case <-sighup:
 			log.Print("signal: SIGHUP")
 			p.reload(load)
 		case r := <-m.reloads:
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -42,7 +42,7 @@
 	stopWatch    context.CancelFunc // stops the discovery watches
 	// List version from which the first watch continues; nil: it asks for the full list.
 	knownVersion *int64
-	tellMu       sync.Mutex  // held by the watch that passes on an update
+	updateMu     sync.Mutex  // held by the watch that passes on an update
 	lists        *listMerger // nil if each dispatcher uses its own discovery service
 }
 
@@ -96,7 +96,7 @@
 
 // apply puts cfg in force on this stack; canApply must have returned true for it.
 func (s *stack) apply(cfg config.Config, lease dispatch.Lease) error {
-	if err := s.retune(cfg, lease); err != nil {
+	if err := s.updateSettings(cfg, lease); err != nil {
 		return err
 	}
 	old, set := s.cfg.Settings, cfg.Settings
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// retune passes the settings to the core and the fronts. It may be called from any goroutine.
-func (s *stack) retune(cfg config.Config, lease dispatch.Lease) error {
+// updateSettings passes the settings to the core and the fronts. It may be called from any goroutine.
+func (s *stack) updateSettings(cfg config.Config, lease dispatch.Lease) error {
 	if err := s.core.UpdateSettings(cfg.Settings, bounds(cfg.Limits), lease); err != nil {
 		return err
 	}
@@ -132,16 +132,16 @@
 // Updates that they deliver later are ignored.
 func (s *stack) watch(cfg config.Config) {
 	s.cfg = cfg
-	before := s.stopWatch
+	stopPrevious := s.stopWatch
 	ctx, cancel := context.WithCancel(s.ctx)
-	s.stopWatch = func() { cancel(); before() }
-	tell := func(u dispatch.Update) {
-		s.tellMu.Lock()
-		defer s.tellMu.Unlock()
+	s.stopWatch = func() { cancel(); stopPrevious() }
+	onUpdate := func(u dispatch.Update) {
+		s.updateMu.Lock()
+		defer s.updateMu.Unlock()
 		if ctx.Err() != nil {
 			return
 		}
-		before()
+		stopPrevious()
 		if s.lists != nil {
 			s.lists.updateOwn(u)
 		} else {
@@ -153,11 +153,11 @@
 		}
 	}
 	if cfg.Discovery == "" {
-		tell(cfg.Known.Update())
+		onUpdate(cfg.Known.Update())
 		return
 	}
-	time.AfterFunc(handOverTime, before)
-	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, PushMode: !cfg.Settings.ListOnRequest, KnownVersion: s.knownVersion, Kinds: cfg.Settings.Kinds, OnUpdate: tell}
+	time.AfterFunc(handOverTime, stopPrevious)
+	w := &discovery.Watcher{Addr: cfg.Discovery, Siblings: cfg.Settings.Siblings, PushMode: !cfg.Settings.ListOnRequest, KnownVersion: s.knownVersion, Kinds: cfg.Settings.Kinds, OnUpdate: onUpdate}
 	s.knownVersion = nil
 	if s.lists != nil {
 		w.OnResult = s.lists.recordAnswer
