--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -13,16 +13,16 @@
 }
 
 // founded gives a Book with all its seats taken and version 1 in force.
-func founded(t testing.TB) *Record {
+func bootstrapped(t testing.TB) *Record {
 	t.Helper()
 	b := &Record{}
-	must(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 7, RequiredSeats: 3, Seat: Seat{"a", 1}, First: Propose{Content: "1", Keys: keysWith("6", "1"), Fingerprint: "p1"}}})
-	must(t, b, Entry{TakeSeat: &Seat{"b", 2}})
-	must(t, b, Entry{TakeSeat: &Seat{"c", 3}})
+	mustApply(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 7, RequiredSeats: 3, Seat: Seat{"a", 1}, First: Propose{Content: "1", Keys: keysWith("6", "1"), Fingerprint: "p1"}}})
+	mustApply(t, b, Entry{TakeSeat: &Seat{"b", 2}})
+	mustApply(t, b, Entry{TakeSeat: &Seat{"c", 3}})
 	return b
 }
 
-func must(t testing.TB, b *Record, e Entry) uint64 {
+func mustApply(t testing.TB, b *Record, e Entry) uint64 {
 	t.Helper()
 	n, err := b.Apply(e)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return Entry{Propose: &Propose{ID: id, Base: base, Content: id, Keys: keys, Fingerprint: "p" + id, By: "op"}}
 }
 
-func refused(t *testing.T, b *Record, e Entry, words ...string) {
+func expectRefusal(t *testing.T, b *Record, e Entry, words ...string) {
 	t.Helper()
 	before := fmt.Sprintf("%+v", b.Versions)
 	_, err := b.Apply(e)
@@ -49,59 +49,59 @@
 	}
 }
 
-func TestVersionsAreProposedFromTheNewest(t *testing.T) {
-	b := founded(t)
-	n := must(t, b, proposal("x", 1, keysWith("5", "1")))
-	refused(t, b, proposal("y", 1, keysWith("4", "1")), "version 2", "under way", "limits.try_limit")
+func TestVersionsAreProposedFromTheOneInForce(t *testing.T) {
+	b := bootstrapped(t)
+	n := mustApply(t, b, proposal("x", 1, keysWith("5", "1")))
+	expectRefusal(t, b, proposal("y", 1, keysWith("4", "1")), "version 2", "under way", "limits.try_limit")
 	if again, err := b.Apply(proposal("x", 1, keysWith("5", "1"))); err != nil || again != n || b.LastNumber != 2 {
 		t.Errorf("the same proposal twice: %d, %v, last %d", again, err, b.LastNumber)
 	}
-	must(t, b, Entry{Activate: &Activate{Number: n}})
-	refused(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
-	refused(t, b, proposal("z", 1, keysWith("4", "2")), "made from version 1, and 2 is in force", "limits.try_limit")
-	refused(t, b, proposal("same", 2, keysWith("5", "1")), "no key differs")
-	refused(t, b, Entry{TurnDown: &TurnDown{Number: 2}}, "not under way")
+	mustApply(t, b, Entry{Activate: &Activate{Number: n}})
+	expectRefusal(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
+	expectRefusal(t, b, proposal("z", 1, keysWith("4", "2")), "made from version 1, and 2 is in force", "limits.try_limit")
+	expectRefusal(t, b, proposal("same", 2, keysWith("5", "1")), "no key differs")
+	expectRefusal(t, b, Entry{TurnDown: &TurnDown{Number: 2}}, "not under way")
 	// A number that was turned down is not given again, and going back is a new number.
-	n = must(t, b, proposal("bad", 2, keysWith("1", "1")))
-	must(t, b, Entry{TurnDown: &TurnDown{Number: n, Member: "c", Fault: Fault{"limits.try_limit", "too few"}}})
-	refused(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
+	n = mustApply(t, b, proposal("bad", 2, keysWith("1", "1")))
+	mustApply(t, b, Entry{TurnDown: &TurnDown{Number: n, Member: "c", Fault: Fault{"limits.try_limit", "too few"}}})
+	expectRefusal(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
 	back := proposal("back", 2, keysWith("6", "1"))
 	back.Propose.RollbackTo = 1
-	if n := must(t, b, back); n != 4 || b.Version(4).RollbackTo != 1 || b.InForceNumber != 2 {
+	if n := mustApply(t, b, back); n != 4 || b.Version(4).RollbackTo != 1 || b.InForceNumber != 2 {
 		t.Errorf("back as %d, in force %d", n, b.InForceNumber)
 	}
-	must(t, b, Entry{Withdraw: &Withdraw{ID: "w", Number: 4, By: "op"}})
+	mustApply(t, b, Entry{Withdraw: &Withdraw{ID: "w", Number: 4, By: "op"}})
 	if b.Version(4).State != Withdrawn || b.InProgress() != nil || b.InForce().Number != 2 || b.Decisions != 2 {
 		t.Errorf("%+v", b)
 	}
 }
 
 func TestSeats(t *testing.T) {
-	b := founded(t)
-	refused(t, b, Entry{TakeSeat: &Seat{"d", 3}}, "has a seat")
-	must(t, b, Entry{TakeSeat: &Seat{"c", 9}})
-	refused(t, b, Entry{TakeSeat: &Seat{"c", 3}}, "had a seat before")
+	b := bootstrapped(t)
+	expectRefusal(t, b, Entry{TakeSeat: &Seat{"d", 3}}, "has a seat")
+	mustApply(t, b, Entry{TakeSeat: &Seat{"c", 9}})
+	expectRefusal(t, b, Entry{TakeSeat: &Seat{"c", 3}}, "had a seat before")
 	if disk, ok := b.SeatOf("c"); disk != 9 || !ok || !b.Complete || !slices.Equal(b.RetiredDisks, []uint64{3}) {
 		t.Errorf("%+v", b)
 	}
-	refused(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 8}}, "founded before")
+	expectRefusal(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 8}}, "founded before")
 }
 
 func TestContentsAreKeptWithinBounds(t *testing.T) {
-	b := founded(t)
-	for i := range 3 * keptVersions {
+	b := bootstrapped(t)
+	for i := range 3 * maxKeptVersions {
 		e := proposal(fmt.Sprint(i), b.InForceNumber, keysWith(fmt.Sprint(i), "1"))
 		e.Propose.Content = strings.Repeat("x", 40<<10)
-		must(t, b, Entry{Activate: &Activate{Number: must(t, b, e)}})
+		mustApply(t, b, Entry{Activate: &Activate{Number: mustApply(t, b, e)}})
 	}
 	bytes := 0
 	for _, v := range b.Versions {
 		bytes += len(v.Content)
 	}
-	if bytes > keptBytes+40<<10 || len(b.Results) > keptDone || b.InForce() == nil || b.LastNumber != 3*keptVersions+1 {
+	if bytes > maxKeptBytes+40<<10 || len(b.Results) > maxKeptResults || b.InForce() == nil || b.LastNumber != 3*maxKeptVersions+1 {
 		t.Errorf("%d bytes, %d answers, last %d", bytes, len(b.Results), b.LastNumber)
 	}
-	refused(t, b, proposal("old", 1, keysWith("9", "1")), "no longer kept")
+	expectRefusal(t, b, proposal("old", 1, keysWith("9", "1")), "no longer kept")
 }
 
 func TestKeys(t *testing.T) {
@@ -172,8 +172,8 @@
 	}
 }
 
-func TestTally(t *testing.T) {
-	b, timing := founded(t), TimingOf(time.Second)
+func TestLeaseTable(t *testing.T) {
+	b, timing := bootstrapped(t), TimingOf(time.Second)
 	tally := NewLeaseTable(0, timing)
 	now := 10 * time.Second // leases that another leader granted are over
 	renew := func(name string, checked uint64, f *Fault) bool {
@@ -182,7 +182,7 @@
 	if !renew("a", 0, nil) || !renew("b", 0, nil) {
 		t.Fatal("no lease")
 	}
-	n := must(t, b, proposal("x", 1, keysWith("5", "1")))
+	n := mustApply(t, b, proposal("x", 1, keysWith("5", "1")))
 	renew("a", n, nil)
 	if e := tally.Next(now, b); e != nil {
 		t.Fatalf("b may be acting and has not checked: %+v", e)
@@ -206,12 +206,12 @@
 	if !renew("b", n, nil) {
 		t.Error("no lease for who has")
 	}
-	must(t, b, Entry{Activate: &Activate{Number: n}})
+	mustApply(t, b, Entry{Activate: &Activate{Number: n}})
 	if !renew("d", 0, nil) {
 		t.Error("no lease for a newcomer")
 	}
 	// One that turns it down, one that leaves, one that is not fit.
-	n = must(t, b, proposal("y", 2, keysWith("4", "1")))
+	n = mustApply(t, b, proposal("y", 2, keysWith("4", "1")))
 	renew("a", n, nil)
 	renew("b", n, &Fault{"k", "no"})
 	if e := tally.Next(now, b); e == nil || e.TurnDown == nil || e.TurnDown.Member != "b" {
@@ -234,13 +234,13 @@
 func TestCanary(t *testing.T) {
 	timing := TimingOf(time.Second)
 	start := func() (*Record, *LeaseTable, uint64) {
-		b := founded(t)
+		b := bootstrapped(t)
 		harm := proposal("h", 1, keysWith("5", "1"))
 		harm.Propose.CanaryMember = "a"
-		refused(t, b, harm, "alone may not", "limits.try_limit")
+		expectRefusal(t, b, harm, "alone may not", "limits.try_limit")
 		free := proposal("f", 1, keysWith("6", "2"))
 		free.Propose.CanaryMember = "a"
-		n := must(t, b, free)
+		n := mustApply(t, b, free)
 		tally := NewLeaseTable(0, timing)
 		now := 10 * time.Second
 		tally.Renew(now, Renewal{Name: "a", Boot: 1, Checked: n}, b)
@@ -249,7 +249,7 @@
 		if e == nil || e.Activate == nil || !e.Activate.Canary {
 			t.Fatalf("%+v", e)
 		}
-		must(t, b, *e)
+		mustApply(t, b, *e)
 		if b.VersionFor("a").Number != n || b.VersionFor("b").Number != 1 || b.InForceNumber != 1 {
 			t.Fatalf("a %d, b %d", b.VersionFor("a").Number, b.VersionFor("b").Number)
 		}
@@ -281,7 +281,7 @@
 	if e == nil || e.Withdraw == nil {
 		t.Fatalf("it went down: %+v", e)
 	}
-	must(t, b, *e)
+	mustApply(t, b, *e)
 	if b.VersionFor("a").Number != 1 || b.Version(n).State != Withdrawn {
 		t.Errorf("%+v", b)
 	}
--- a/internal/agree/keys.go
+++ b/internal/agree/keys.go
@@ -120,7 +120,7 @@
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		switch effect, why := EffectOf(key); effect {
 		case Unknown:
-			return &Fault{Key: key, Reason: why + nearest(key)}
+			return &Fault{Key: key, Reason: why + suggestion(key)}
 		case Local:
 			return &Fault{Key: key, Reason: "not agreed on: it is " + why}
 		}
@@ -129,11 +129,11 @@
 }
 
 // nearest names the key that was most likely meant: the one with the same end.
-func nearest(key string) string {
+func suggestion(key string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
 	best, most := "", 3
 	for _, k := range Keys {
-		if n := common(last, k.Path[strings.LastIndexByte(k.Path, '.')+1:]); n > most {
+		if n := commonLetters(last, k.Path[strings.LastIndexByte(k.Path, '.')+1:]); n > most {
 			best, most = k.Path, n
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // common counts the letters that two words begin and end with alike.
-func common(a, b string) int {
+func commonLetters(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
--- a/internal/agree/lease.go
+++ b/internal/agree/lease.go
@@ -72,8 +72,8 @@
 	Fingerprint string
 	OnLeaseLoss LeaseLossPolicy
 
-	take, send atomic.Int64 // ends
-	late       atomic.Int64 // acts after the end, by choice (Hold, Safe)
+	acceptEnd, sendEnd atomic.Int64 // ends
+	lateActs           atomic.Int64 // acts after the end, by choice (Hold, Safe)
 }
 
 // Renewed moves the ends on by a renewal that was sent at a time and named this version as the one in force.
@@ -81,7 +81,7 @@
 	for _, x := range []struct {
 		end *atomic.Int64
 		by  time.Duration
-	}{{&l.take, t.AcceptFor}, {&l.send, t.SendFor}} {
+	}{{&l.acceptEnd, t.AcceptFor}, {&l.sendEnd, t.SendFor}} {
 		if at := int64(sent + x.by); at > x.end.Load() {
 			x.end.Store(at)
 		}
@@ -89,27 +89,29 @@
 }
 
 // Left is how long work may still be taken; none or less once the lease is over.
-func (l *Lease) Remaining(now time.Duration) time.Duration { return time.Duration(l.take.Load()) - now }
+func (l *Lease) Remaining(now time.Duration) time.Duration {
+	return time.Duration(l.acceptEnd.Load()) - now
+}
 
 // Late counts acts after the end of the lease that Alone allowed: the promise does not cover them.
-func (l *Lease) LateActs() int64 { return l.late.Load() }
+func (l *Lease) LateActs() int64 { return l.lateActs.Load() }
 
 // MayTake says whether a new request may be taken; once is that its class must not run twice.
 func (l *Lease) MayAccept(now time.Duration, once bool) error {
-	return l.may(now < time.Duration(l.take.Load()), once)
+	return l.allow(now < time.Duration(l.acceptEnd.Load()), once)
 }
 
 // MaySend says whether an attempt may leave now. Again is that an earlier attempt of the request may have run.
 func (l *Lease) MaySend(now time.Duration, once, again bool) error {
-	return l.may(now < time.Duration(l.send.Load()), once || again)
+	return l.allow(now < time.Duration(l.sendEnd.Load()), once || again)
 }
 
-func (l *Lease) may(leased, harmful bool) error {
+func (l *Lease) allow(leased, harmful bool) error {
 	switch {
 	case leased:
 		return nil
-	case l.OnLeaseLoss == Hold && l.Number > 0, l.OnLeaseLoss == Safe && !harmful && l.send.Load() > 0:
-		l.late.Add(1)
+	case l.OnLeaseLoss == Hold && l.Number > 0, l.OnLeaseLoss == Safe && !harmful && l.sendEnd.Load() > 0:
+		l.lateActs.Add(1)
 		return nil
 	}
 	return ErrLeaseExpired
@@ -117,7 +119,7 @@
 
 // Ready tells whether clients may come.
 func (l *Lease) Ready(now time.Duration) bool {
-	return l.Remaining(now) > 0 || l.OnLeaseLoss == Hold && l.Number > 0 || l.OnLeaseLoss == Safe && l.send.Load() > 0
+	return l.Remaining(now) > 0 || l.OnLeaseLoss == Hold && l.Number > 0 || l.OnLeaseLoss == Safe && l.sendEnd.Load() > 0
 }
 
 // Once tells whether every class must be treated as one that may run only once.
--- a/internal/agree/tally.go
+++ b/internal/agree/leasetable.go
@@ -44,13 +44,13 @@
 	timing         Timing
 	Members        map[string]*Member
 	AllLeasesKnown time.Duration
-	sealed         uint64 // the version whose activation was proposed: leases are only for who has checked it
-	swept          time.Duration
-	first          trial // of the dispatcher that goes first
+	activating     uint64 // the version whose activation was proposed: leases are only for who has checked it
+	lastSweep      time.Duration
+	canary         canaryTrial // of the dispatcher that goes first
 }
 
 // trial is how the dispatcher that goes first fares.
-type trial struct {
+type canaryTrial struct {
 	number, boot uint64
 	since        time.Duration
 }
@@ -60,7 +60,7 @@
 const TrialTime = 10 * time.Second
 
 // keepMember is how long a dispatcher that is not heard stays in view, in leases.
-const keepMember = 30
+const keepMemberFactor = 30
 
 // NewTally begins at a time of the leader's monotonic clock.
 func NewLeaseTable(now time.Duration, timing Timing) *LeaseTable {
@@ -83,7 +83,7 @@
 	if !b.Complete || b.InForce() == nil || r.Unfit != nil {
 		return false
 	}
-	if open := b.InProgress(); open != nil && open.Number == t.sealed && r.Checked != open.Number {
+	if open := b.InProgress(); open != nil && open.Number == t.activating && r.Checked != open.Number {
 		return false
 	}
 	m.LeaseEnd = now + t.timing.MaxLease
@@ -129,12 +129,12 @@
 
 // sweep forgets, once in a while, who has not been heard for long.
 func (t *LeaseTable) sweep(now time.Duration) {
-	if now < t.swept+t.timing.Within {
+	if now < t.lastSweep+t.timing.Within {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for name, m := range t.Members {
-		if now > m.LastRenewal+keepMember*t.timing.Within && now > m.LeaseEnd {
+		if now > m.LastRenewal+keepMemberFactor*t.timing.Within && now > m.LeaseEnd {
 			delete(t.Members, name)
 		}
 	}
@@ -153,7 +153,7 @@
 		switch {
 		case m.Checked != open.Number:
 			all = all && now >= m.LeaseEnd
-		case m.Fault != nil && t.sealed != open.Number && (down == "" || name < down):
+		case m.Fault != nil && t.activating != open.Number && (down == "" || name < down):
 			down = name
 		}
 	}
@@ -171,13 +171,13 @@
 		return &Entry{Activate: &Activate{Number: open.Number, Canary: true}}
 	}
 	if open.CanaryMember != "" {
-		if failed, proven := t.try(now, open); failed != "" {
+		if failed, proven := t.checkCanary(now, open); failed != "" {
 			return withdrawal(open, failed)
 		} else if !proven {
 			return nil
 		}
 	}
-	t.sealed = open.Number
+	t.activating = open.Number
 	return &Entry{Activate: &Activate{Number: open.Number}}
 }
 
@@ -186,18 +186,18 @@
 }
 
 // try follows the dispatcher that goes first. It has proven the version once it has acted on it for TrialTime in one life.
-func (t *LeaseTable) try(now time.Duration, v *Version) (failed string, proven bool) {
+func (t *LeaseTable) checkCanary(now time.Duration, v *Version) (failed string, proven bool) {
 	m := t.Members[v.CanaryMember]
 	if m == nil || m.ActsOn != v.Number {
 		return "", false
 	}
 	switch {
-	case t.first.number != v.Number:
-		t.first = trial{v.Number, m.Boot, now}
-	case t.first.boot != m.Boot:
+	case t.canary.number != v.Number:
+		t.canary = canaryTrial{v.Number, m.Boot, now}
+	case t.canary.boot != m.Boot:
 		return v.CanaryMember + " ended while it went first", false
 	}
-	return "", now-t.first.since >= TrialTime && now < m.LeaseEnd
+	return "", now-t.canary.since >= TrialTime && now < m.LeaseEnd
 }
 
 // For gives the version that a dispatcher is to act on: the one in force, or the one that it tries first.
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -23,19 +23,19 @@
 
 // Changes are kept for who has missed no more; others get the whole list.
 const (
-	keptChanges = 256
-	keptEntries = 4096 // of all of them together, but for the last
+	maxKeptChanges       = 256
+	maxKeptChangeEntries = 4096 // of all of them together, but for the last
 )
 
-func (b *Record) change(c membership.Change) error {
+func (b *Record) applyChange(c membership.Change) error {
 	if err := b.List.Apply(c); err != nil {
 		return err
 	}
 	b.Changes = append(b.Changes, c)
 	entries, from := 0, len(b.Changes)
-	for from > 0 && len(b.Changes)-from < keptChanges {
+	for from > 0 && len(b.Changes)-from < maxKeptChanges {
 		entries += len(b.Changes[from-1].Entries)
-		if entries > keptEntries && from < len(b.Changes) {
+		if entries > maxKeptChangeEntries && from < len(b.Changes) {
 			break
 		}
 		from--
@@ -49,7 +49,7 @@
 // Part gives what brings a copy of the list nearer to the present one.
 func (b *Record) Part(at membership.Cursor, pager *membership.Pager) membership.Part {
 	p := membership.Part{Number: b.List.Number}
-	changes, kept := b.since(at.Number)
+	changes, kept := b.changesSince(at.Number)
 	if !kept || at.After != "" {
 		if !kept {
 			at.After = ""
@@ -68,7 +68,7 @@
 }
 
 // since gives the changes that lead from a version of the list to the present one; false where not all are kept.
-func (b *Record) since(number uint64) ([]membership.Change, bool) {
+func (b *Record) changesSince(number uint64) ([]membership.Change, bool) {
 	if number == b.List.Number {
 		return nil, true
 	}
@@ -80,7 +80,7 @@
 	return nil, false
 }
 
-func (b *Record) order(o membership.Order) error {
+func (b *Record) placeOrder(o membership.Order) error {
 	if err := b.Orders.Check(o, &b.List); err != nil {
 		return err
 	}
@@ -90,12 +90,12 @@
 	b.Orders[o.ID] = o
 	if e := b.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
 		e.State = membership.Terminating
-		return b.change(membership.Change{Number: b.List.Number + 1, RegistryVersion: b.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
+		return b.applyChange(membership.Change{Number: b.List.Number + 1, RegistryVersion: b.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
 	return nil
 }
 
-func (b *Record) lift(l *LiftOrder) error {
+func (b *Record) liftOrder(l *LiftOrder) error {
 	had, ok := b.Orders[l.ID]
 	switch {
 	case !ok:
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (b *Record) count(c membership.Census) error {
+func (b *Record) applyCensus(c membership.Census) error {
 	if c.Number != b.Census.Number+1 {
 		return fmt.Errorf("census %d does not follow %d", c.Number, b.Census.Number)
 	}
--- a/internal/agree/lists_test.go
+++ b/internal/agree/lists_test.go
@@ -12,7 +12,7 @@
 
 // A copy that is brought up to date in bounded parts, while the list goes on changing and some answers are lost, comes to
 // the list that is agreed on, whatever it had before.
-func TestPartsMakeTheList(t *testing.T) {
+func TestPartsConvergeToTheList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var b Record
 		var pager membership.Pager
@@ -27,7 +27,7 @@
 				}
 				change.Entries = append(change.Entries, e)
 			}
-			if err := b.change(change); err != nil {
+			if err := b.applyChange(change); err != nil {
 				rt.Fatal(err)
 			}
 		}
@@ -35,7 +35,7 @@
 		for i := range rapid.IntRange(0, 1500).Draw(rt, "first") {
 			first.Entries = append(first.Entries, membership.Entry{ID: fmt.Sprint("s", i), State: membership.InService})
 		}
-		if err := b.change(first); err != nil {
+		if err := b.applyChange(first); err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(1, 30).Draw(rt, "answers") {
@@ -78,12 +78,12 @@
 }
 
 // A gap, or a page that does not follow, is noticed, and the copy begins anew and comes to the list.
-func TestCopyBeginsAnewAfterAGap(t *testing.T) {
+func TestCopyRestartsAfterAGap(t *testing.T) {
 	var b Record
 	var pager membership.Pager
 	var c membership.Copy
 	for i := range 3 {
-		if err := b.change(membership.Change{Number: uint64(i + 1), Entries: []membership.Entry{{ID: fmt.Sprint("s", i), State: membership.InService}}}); err != nil {
+		if err := b.applyChange(membership.Change{Number: uint64(i + 1), Entries: []membership.Entry{{ID: fmt.Sprint("s", i), State: membership.InService}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -105,11 +105,11 @@
 		for i := range 500 {
 			c.Entries = append(c.Entries, membership.Entry{ID: fmt.Sprint("s", i), Weight: float64(n), State: membership.InService})
 		}
-		if err := b.change(c); err != nil {
+		if err := b.applyChange(c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(b.Changes); n != keptEntries/500 || b.Changes[n-1].Number != 40 {
+	if n := len(b.Changes); n != maxKeptChangeEntries/500 || b.Changes[n-1].Number != 40 {
 		t.Errorf("%d changes are kept", n)
 	}
 }
--- a/internal/agree/promise_test.go
+++ b/internal/agree/promise_test.go
@@ -14,33 +14,33 @@
 // apart within the drift, dispatchers are cut off and stopped, leaders come and go. What the consensus gives is modelled: a
 // read is answered only if its leader was the leader after the read had come, and an entry is decided by the present leader.
 type sim struct {
-	t      *rapid.T
-	r      *rand.Rand
-	now    time.Duration
-	events events
-	timing Timing
-	book   Record
-	tally  *LeaseTable
-	leader int // counted up
-	nodes  []*simNode
-	loss   float64
-	slow   time.Duration
-
-	decided []time.Duration // by version number, 0 where it is not
-	longest time.Duration
-	turned  map[uint64]bool
-	putting bool // an entry is on its way
+	t        *rapid.T
+	r        *rand.Rand
+	now      time.Duration
+	events   events
+	timing   Timing
+	record   Record
+	leases   *LeaseTable
+	leader   int // counted up
+	nodes    []*simNode
+	lossRate float64
+	maxDelay time.Duration
+
+	decidedAt      []time.Duration // by version number, 0 where it is not
+	longestOverlap time.Duration
+	turnedDown     map[uint64]bool
+	proposing      bool // an entry is on its way
 }
 
 type simNode struct {
-	name    string
-	rate    float64 // of its clock
-	cut     bool
-	stopped time.Duration // until
-	lease   *Lease
-	checked uint64
-	fault   *Fault
-	picky   bool
+	name        string
+	rate        float64 // of its clock
+	partitioned bool
+	pausedUntil time.Duration // until
+	lease       *Lease
+	checked     uint64
+	fault       *Fault
+	rejecting   bool
 }
 
 type event struct {
@@ -62,50 +62,50 @@
 func (n *simNode) real(at time.Duration) time.Duration   { return time.Duration(float64(at) / n.rate) }
 
 // message carries something, or loses it.
-func (s *sim) message(n *simNode, do func()) {
-	if n.cut || s.r.Float64() < s.loss {
+func (s *sim) send(n *simNode, do func()) {
+	if n.partitioned || s.r.Float64() < s.lossRate {
 		return
 	}
-	s.after(time.Duration(s.r.Int64N(int64(s.slow)+1)), do)
+	s.after(time.Duration(s.r.Int64N(int64(s.maxDelay)+1)), do)
 }
 
 // renew is one renewal of a dispatcher, from its sending to its answer.
 func (s *sim) renew(n *simNode) {
 	s.after(time.Duration(float64(s.timing.Renew)*(0.5+s.r.Float64())), func() { s.renew(n) })
-	if s.now < n.stopped {
+	if s.now < n.pausedUntil {
 		return
 	}
 	sent, r := n.clock(s.now), Renewal{Name: n.name, Checked: n.checked, Fault: n.fault}
 	if n.lease != nil {
 		r.ActsOn = n.lease.Number
 	}
-	s.message(n, func() {
+	s.send(n, func() {
 		leader := s.leader
-		s.after(time.Duration(s.r.Int64N(int64(s.slow)+1)), func() { // the round that tells whether it still leads
+		s.after(time.Duration(s.r.Int64N(int64(s.maxDelay)+1)), func() { // the round that tells whether it still leads
 			if leader != s.leader {
 				return
 			}
-			granted := s.tally.Renew(s.now, r, &s.book)
-			force, open := *s.book.VersionFor(n.name), s.book.InProgress()
+			granted := s.leases.Renew(s.now, r, &s.record)
+			force, open := *s.record.VersionFor(n.name), s.record.InProgress()
 			var next uint64
 			var keys map[string]string
 			if open != nil {
 				next, keys = open.Number, open.Keys
 			}
-			s.due()
-			s.message(n, func() { s.answered(n, sent, granted, force, next, keys) })
+			s.proposeDue()
+			s.send(n, func() { s.handleResponse(n, sent, granted, force, next, keys) })
 		})
 	})
 }
 
-func (s *sim) answered(n *simNode, sent time.Duration, granted bool, force Version, open uint64, keys map[string]string) {
-	if s.now < n.stopped {
-		s.after(n.stopped-s.now, func() { s.answered(n, sent, granted, force, open, keys) })
+func (s *sim) handleResponse(n *simNode, sent time.Duration, granted bool, force Version, open uint64, keys map[string]string) {
+	if s.now < n.pausedUntil {
+		s.after(n.pausedUntil-s.now, func() { s.handleResponse(n, sent, granted, force, open, keys) })
 		return
 	}
 	if open != 0 && open != n.checked {
 		n.checked, n.fault = open, nil
-		if n.picky && keys["limits.try_limit"] == "1" {
+		if n.rejecting && keys["limits.try_limit"] == "1" {
 			n.fault = &Fault{"limits.try_limit", "too few"}
 		}
 	}
@@ -119,83 +119,83 @@
 		return // an older answer that came later
 	}
 	n.lease.Extend(sent, s.timing)
-	s.judge(n)
+	s.checkLease(n)
 }
 
 // judge holds a dispatcher's lease against every version that was decided since.
-func (s *sim) judge(n *simNode) {
+func (s *sim) checkLease(n *simNode) {
 	if n.lease == nil {
 		return
 	}
-	end := n.real(time.Duration(n.lease.send.Load()))
-	if s.turned[n.lease.Number] {
+	end := n.real(time.Duration(n.lease.sendEnd.Load()))
+	if s.turnedDown[n.lease.Number] {
 		s.t.Fatalf("%s acts on version %d, which was turned down", n.name, n.lease.Number)
 	}
-	for v := n.lease.Number + 1; v < uint64(len(s.decided)); v++ {
-		if s.decided[v] == 0 || len(ConflictingKeys(s.book.keysOf(n.lease.Number), s.book.keysOf(v))) == 0 {
+	for v := n.lease.Number + 1; v < uint64(len(s.decidedAt)); v++ {
+		if s.decidedAt[v] == 0 || len(ConflictingKeys(s.record.keysOf(n.lease.Number), s.record.keysOf(v))) == 0 {
 			continue
 		}
-		over := end - s.decided[v]
-		s.longest = max(s.longest, over)
+		over := end - s.decidedAt[v]
+		s.longestOverlap = max(s.longestOverlap, over)
 		if over > s.timing.Within {
-			s.t.Fatalf("%s may act on version %d until %v, and %d was decided at %v", n.name, n.lease.Number, end, v, s.decided[v])
+			s.t.Fatalf("%s may act on version %d until %v, and %d was decided at %v", n.name, n.lease.Number, end, v, s.decidedAt[v])
 		}
 	}
 }
 
 // due proposes what the tally finds due; it is decided a while later if the leader is still the same.
-func (s *sim) due() {
-	e := s.tally.Next(s.now, &s.book)
-	if e == nil || s.putting {
+func (s *sim) proposeDue() {
+	e := s.leases.Next(s.now, &s.record)
+	if e == nil || s.proposing {
 		return
 	}
-	s.putting = true
+	s.proposing = true
 	leader := s.leader
-	s.after(time.Duration(s.r.Int64N(int64(s.slow)+1)), func() {
-		s.putting = false
+	s.after(time.Duration(s.r.Int64N(int64(s.maxDelay)+1)), func() {
+		s.proposing = false
 		if leader == s.leader {
-			s.decide(*e)
+			s.applyEntry(*e)
 		}
 	})
 }
 
-func (s *sim) decide(e Entry) {
-	n, err := s.book.Apply(e)
+func (s *sim) applyEntry(e Entry) {
+	n, err := s.record.Apply(e)
 	if err != nil {
 		return
 	}
-	for uint64(len(s.decided)) <= s.book.LastNumber {
-		s.decided = append(s.decided, 0)
+	for uint64(len(s.decidedAt)) <= s.record.LastNumber {
+		s.decidedAt = append(s.decidedAt, 0)
 	}
 	switch {
 	case e.Activate != nil:
-		s.decided[n] = s.now
+		s.decidedAt[n] = s.now
 		for _, x := range s.nodes {
-			s.judge(x)
+			s.checkLease(x)
 		}
 	case e.TurnDown != nil:
-		s.turned[n] = true
+		s.turnedDown[n] = true
 	}
 }
 
 // trouble draws what goes wrong next.
-func (s *sim) trouble() {
-	s.after(time.Duration(s.r.Int64N(int64(s.timing.Within))), s.trouble)
+func (s *sim) injectFault() {
+	s.after(time.Duration(s.r.Int64N(int64(s.timing.Within))), s.injectFault)
 	n := s.nodes[s.r.IntN(len(s.nodes))]
 	switch s.r.IntN(16) {
 	case 0:
 		s.leader++
-		s.putting = false
-		s.tally = NewLeaseTable(s.now, s.timing)
+		s.proposing = false
+		s.leases = NewLeaseTable(s.now, s.timing)
 	case 1:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 2:
-		n.stopped = s.now + time.Duration(s.r.Int64N(int64(3*s.timing.Within)))
+		n.pausedUntil = s.now + time.Duration(s.r.Int64N(int64(3*s.timing.Within)))
 	case 3: // it comes back from nothing
 		n.lease, n.checked, n.fault = nil, 0, nil
 	default:
 		limit := fmt.Sprint(1 + s.r.IntN(6))
-		s.decide(proposal(fmt.Sprint(s.r.Uint64()), s.book.InForceNumber, map[string]string{"siblings": "3", "limits.try_limit": limit, "services.0.credit": fmt.Sprint(s.r.IntN(3))}))
+		s.applyEntry(proposal(fmt.Sprint(s.r.Uint64()), s.record.InForceNumber, map[string]string{"siblings": "3", "limits.try_limit": limit, "services.0.credit": fmt.Sprint(s.r.IntN(3))}))
 	}
 }
 
@@ -207,28 +207,28 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		within := time.Duration(rapid.IntRange(500, 5000).Draw(rt, "within_ms")) * time.Millisecond
-		s := &sim{t: rt, r: rand.New(rand.NewPCG(seed, 1)), timing: TimingOf(within), turned: map[uint64]bool{}, decided: make([]time.Duration, 2),
-			loss: float64(rapid.IntRange(0, 30).Draw(rt, "loss")) / 100, slow: within * time.Duration(rapid.IntRange(1, 40).Draw(rt, "slow")) / 100}
-		s.book = *founded(t)
-		s.tally = NewLeaseTable(0, s.timing)
+		s := &sim{t: rt, r: rand.New(rand.NewPCG(seed, 1)), timing: TimingOf(within), turnedDown: map[uint64]bool{}, decidedAt: make([]time.Duration, 2),
+			lossRate: float64(rapid.IntRange(0, 30).Draw(rt, "loss")) / 100, maxDelay: within * time.Duration(rapid.IntRange(1, 40).Draw(rt, "slow")) / 100}
+		s.record = *bootstrapped(t)
+		s.leases = NewLeaseTable(0, s.timing)
 		for i := range 300 {
 			drift := (s.r.Float64()*2 - 1) / DriftDivisor
-			n := &simNode{name: fmt.Sprintf("d%d", i), rate: 1 + drift, picky: i == 7}
+			n := &simNode{name: fmt.Sprintf("d%d", i), rate: 1 + drift, rejecting: i == 7}
 			s.nodes = append(s.nodes, n)
 			s.after(time.Duration(s.r.Int64N(int64(s.timing.Renew))), func() { s.renew(n) })
 		}
-		s.after(within, s.trouble)
+		s.after(within, s.injectFault)
 		for s.now < 8*within && len(s.events) > 0 {
 			e := heap.Pop(&s.events).(event)
 			s.now = e.at
 			e.do()
 		}
-		for _, at := range s.decided {
+		for _, at := range s.decidedAt {
 			if at != 0 {
 				decisions++
 			}
 		}
-		bins[min(max(int(10*s.longest/within), 0), 10)]++
+		bins[min(max(int(10*s.longestOverlap/within), 0), 10)]++
 	})
 	t.Logf("%d decisions; seeds by the longest contradiction in tenths of Within: %v", decisions, bins)
 	if decisions == 0 {
--- a/internal/agree/readers.go
+++ b/internal/agree/readers.go
@@ -12,7 +12,7 @@
 // Readers picks those who read the register for all. Who reads goes on for as long as it is heard and hears the register; its
 // place is taken by the next one of an order that is drawn from names, so that the load is not always on the same.
 type RegistryReaders struct {
-	now map[string]bool
+	current map[string]bool
 }
 
 // Pick gives the readers at a time, at most so many.
@@ -24,13 +24,13 @@
 		}
 	}
 	next := map[string]bool{}
-	for name := range r.now {
+	for name := range r.current {
 		if able[name] {
 			next[name] = true
 		}
 	}
 	order := slices.SortedFunc(maps.Keys(able), func(a, b string) int {
-		x, y := drawn(a), drawn(b)
+		x, y := nameHash(a), nameHash(b)
 		switch {
 		case x < y:
 			return -1
@@ -45,11 +45,11 @@
 		}
 		next[name] = true
 	}
-	r.now = next
+	r.current = next
 	return next
 }
 
-func drawn(name string) uint64 {
+func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
 	return h.Sum64()
--- a/internal/agree/refound.go
+++ b/internal/agree/rebootstrap.go
@@ -7,7 +7,7 @@
 )
 
 // lostNumbers are left out where a cluster is founded anew: the logs that are lost may have given out some, and no number is used twice.
-const lostNumbers = 100
+const skippedNumbers = 100
 
 // Refound gives the record of a new cluster that takes the place of one whose logs are lost but for this record. acted are versions that
 // dispatchers are known to have acted on: what is newer than the record was in force, and is again. A version that was under way is
@@ -33,7 +33,7 @@
 			v.State, v.Base = Pending, next.InForceNumber
 			next.Versions = append(next.Versions, v)
 		}
-		next.force(v.Number)
+		next.putInForce(v.Number)
 		next.LastNumber = max(next.LastNumber, v.Number)
 	}
 	if open := next.InProgress(); open != nil {
@@ -43,10 +43,10 @@
 		next.RetiredDisks = append(next.RetiredDisks, s.Disk)
 	}
 	next.Cluster, next.RequiredSeats, next.Seats, next.Complete = cluster, wanted, []Seat{seat}, wanted <= 1
-	next.LastNumber += lostNumbers
+	next.LastNumber += skippedNumbers
 	next.Changes = nil
 	if next.List.Number > 0 {
-		next.List.Number += lostNumbers
+		next.List.Number += skippedNumbers
 	}
 	next.Revision++
 	return next, nil
--- a/internal/agree/refound_test.go
+++ b/internal/agree/rebootstrap_test.go
@@ -4,11 +4,11 @@
 
 // Guards: a cluster that is founded anew from what is left never goes back behind what any disk knows, uses no number twice, puts nothing
 // in force that was under way, and has no seat for a disk of before.
-func TestRefound(t *testing.T) {
-	b := founded(t)
-	must(t, b, proposal("x", 1, keysWith("5", "1")))
-	must(t, b, Entry{Activate: &Activate{Number: 2}})
-	must(t, b, proposal("y", 2, keysWith("4", "1")))
+func TestRebootstrap(t *testing.T) {
+	b := bootstrapped(t)
+	mustApply(t, b, proposal("x", 1, keysWith("5", "1")))
+	mustApply(t, b, Entry{Activate: &Activate{Number: 2}})
+	mustApply(t, b, proposal("y", 2, keysWith("4", "1")))
 	four := Version{Number: 4, Fingerprint: "p4", Content: "4", Keys: keysWith("3", "1")}
 	for name, x := range map[string]struct {
 		acted []Version
@@ -34,7 +34,7 @@
 			t.Errorf("%s: %d in force, last %d, %+v", name, inForce, n.LastNumber, n.Seats)
 		}
 		for _, s := range b.Seats {
-			if err := n.sit(s); err == nil {
+			if err := n.takeSeat(s); err == nil {
 				t.Errorf("%s: the disk of %s is back", name, s.Name)
 			}
 		}
--- a/internal/agree/book.go
+++ b/internal/agree/record.go
@@ -95,9 +95,9 @@
 }
 
 const (
-	keptVersions = 64 // contents; the oldest go first, never those in force or pending
-	keptBytes    = 1 << 20
-	keptDone     = 128
+	maxKeptVersions = 64 // contents; the oldest go first, never those in force or pending
+	maxKeptBytes    = 1 << 20
+	maxKeptResults  = 128
 	// MaxContent bounds a version's content, in bytes.
 	MaxContent = 256 << 10
 )
@@ -139,23 +139,23 @@
 func (b *Record) Apply(e Entry) (number uint64, err error) {
 	switch {
 	case e.Bootstrap != nil:
-		err = b.found(e.Bootstrap)
+		err = b.bootstrap(e.Bootstrap)
 	case e.Propose != nil:
-		return b.answer(e.Propose.ID, func() (uint64, error) { return b.propose(e.Propose) })
+		return b.applyOnce(e.Propose.ID, func() (uint64, error) { return b.propose(e.Propose) })
 	case e.Withdraw != nil:
-		return b.answer(e.Withdraw.ID, func() (uint64, error) { return e.Withdraw.Number, b.withdraw(e.Withdraw) })
+		return b.applyOnce(e.Withdraw.ID, func() (uint64, error) { return e.Withdraw.Number, b.withdraw(e.Withdraw) })
 	case e.TurnDown != nil:
 		number, err = e.TurnDown.Number, b.turnDown(e.TurnDown)
 	case e.Activate != nil:
 		number, err = e.Activate.Number, b.activate(e.Activate)
 	case e.TakeSeat != nil:
-		err = b.sit(*e.TakeSeat)
+		err = b.takeSeat(*e.TakeSeat)
 	case e.Order != nil:
-		return b.answer(e.Order.Request, func() (uint64, error) { return b.List.Number, b.order(e.Order.Order) })
+		return b.applyOnce(e.Order.Request, func() (uint64, error) { return b.List.Number, b.placeOrder(e.Order.Order) })
 	case e.Lift != nil:
-		return b.answer(e.Lift.Request, func() (uint64, error) { return b.List.Number, b.lift(e.Lift) })
+		return b.applyOnce(e.Lift.Request, func() (uint64, error) { return b.List.Number, b.liftOrder(e.Lift) })
 	case e.Ledger != nil:
-		return b.answer(e.Ledger.Request, func() (uint64, error) {
+		return b.applyOnce(e.Ledger.Request, func() (uint64, error) {
 			if b.LedgerDisks == nil {
 				b.LedgerDisks = map[string]uint64{}
 			}
@@ -163,9 +163,9 @@
 			return 0, nil
 		})
 	case e.Change != nil:
-		number, err = e.Change.Number, b.change(*e.Change)
+		number, err = e.Change.Number, b.applyChange(*e.Change)
 	case e.Census != nil:
-		err = b.count(*e.Census)
+		err = b.applyCensus(*e.Census)
 	}
 	if err == nil {
 		b.Revision++
@@ -174,7 +174,7 @@
 }
 
 // answer makes a change once for each ID and repeats what was answered before.
-func (b *Record) answer(id string, change func() (uint64, error)) (uint64, error) {
+func (b *Record) applyOnce(id string, change func() (uint64, error)) (uint64, error) {
 	for _, d := range b.Results {
 		if d.ID == id {
 			if d.Error != "" {
@@ -191,28 +191,28 @@
 		b.Revision++
 	}
 	b.Results = append(b.Results, d)
-	if len(b.Results) > keptDone {
-		b.Results = slices.Clone(b.Results[len(b.Results)-keptDone:])
+	if len(b.Results) > maxKeptResults {
+		b.Results = slices.Clone(b.Results[len(b.Results)-maxKeptResults:])
 	}
 	return n, err
 }
 
-func (b *Record) found(f *Bootstrap) error {
+func (b *Record) bootstrap(f *Bootstrap) error {
 	if b.Cluster != 0 {
 		return fmt.Errorf("the cluster was founded before")
 	}
 	b.Cluster, b.RequiredSeats, b.Seats = f.Cluster, f.RequiredSeats, []Seat{f.Seat}
-	b.add(&f.First)
-	b.force(1)
+	b.addVersion(&f.First)
+	b.putInForce(1)
 	b.Complete = len(b.Seats) >= b.RequiredSeats
 	return nil
 }
 
-func (b *Record) add(p *Propose) uint64 {
+func (b *Record) addVersion(p *Propose) uint64 {
 	b.LastNumber++
 	b.Versions = append(b.Versions, Version{Number: b.LastNumber, Base: p.Base, State: Pending, Content: p.Content, Keys: p.Keys,
 		Fingerprint: p.Fingerprint, By: p.By, Why: p.Why, At: p.At, CanaryMember: p.CanaryMember, RollbackTo: p.RollbackTo})
-	for i := 0; i < len(b.Versions) && b.tooMuch(); {
+	for i := 0; i < len(b.Versions) && b.overKeptLimits(); {
 		if s := b.Versions[i].State; s == InForce || s == Pending || s == Canary {
 			i++
 			continue
@@ -223,23 +223,23 @@
 }
 
 // tooMuch tells whether the contents hold more than is kept.
-func (b *Record) tooMuch() bool {
+func (b *Record) overKeptLimits() bool {
 	bytes := 0
 	for _, v := range b.Versions {
 		bytes += len(v.Content)
 	}
-	return len(b.Versions) > keptVersions || bytes > keptBytes
+	return len(b.Versions) > maxKeptVersions || bytes > maxKeptBytes
 }
 
 // propose enters a version for all to check. It must be made from the newest one.
 func (b *Record) propose(p *Propose) (uint64, error) {
 	if open := b.InProgress(); open != nil {
 		return 0, fmt.Errorf("version %d by %s is under way; keys that it moves: %s", open.Number, open.By,
-			moved(b.keysOf(open.Base), open.Keys))
+			changedKeys(b.keysOf(open.Base), open.Keys))
 	}
 	if p.Base != b.InForceNumber {
 		return 0, fmt.Errorf("made from version %d, and %d is in force since; keys that moved: %s", p.Base, b.InForceNumber,
-			moved(b.keysOf(p.Base), b.keysOf(b.InForceNumber)))
+			changedKeys(b.keysOf(p.Base), b.keysOf(b.InForceNumber)))
 	}
 	if len(DifferingKeys(b.keysOf(b.InForceNumber), p.Keys)) == 0 {
 		return 0, fmt.Errorf("no key differs from version %d, which is in force", b.InForceNumber)
@@ -249,7 +249,7 @@
 			return 0, fmt.Errorf("%s alone may not act on it: it contradicts version %d in %s", p.CanaryMember, b.InForceNumber, strings.Join(keys, ", "))
 		}
 	}
-	return b.add(p), nil
+	return b.addVersion(p), nil
 }
 
 func (b *Record) keysOf(number uint64) map[string]string {
@@ -259,20 +259,20 @@
 	return nil
 }
 
-const namedMost = 12
+const maxListedKeys = 12
 
-func moved(from, to map[string]string) string {
+func changedKeys(from, to map[string]string) string {
 	if from == nil {
 		return "not known, the version is no longer kept"
 	}
 	keys := DifferingKeys(from, to)
-	if len(keys) > namedMost {
-		return fmt.Sprintf("%s and %d more", strings.Join(keys[:namedMost], ", "), len(keys)-namedMost)
+	if len(keys) > maxListedKeys {
+		return fmt.Sprintf("%s and %d more", strings.Join(keys[:maxListedKeys], ", "), len(keys)-maxListedKeys)
 	}
 	return strings.Join(keys, ", ")
 }
 
-func (b *Record) open(number uint64) (*Version, error) {
+func (b *Record) checkInProgress(number uint64) (*Version, error) {
 	v := b.InProgress()
 	if v == nil || v.Number != number {
 		return nil, fmt.Errorf("version %d is not under way", number)
@@ -281,7 +281,7 @@
 }
 
 func (b *Record) turnDown(t *TurnDown) error {
-	v, err := b.open(t.Number)
+	v, err := b.checkInProgress(t.Number)
 	if err != nil {
 		return err
 	}
@@ -290,7 +290,7 @@
 }
 
 func (b *Record) withdraw(w *Withdraw) error {
-	v, err := b.open(w.Number)
+	v, err := b.checkInProgress(w.Number)
 	if err != nil {
 		return err
 	}
@@ -299,7 +299,7 @@
 }
 
 func (b *Record) activate(a *Activate) error {
-	v, err := b.open(a.Number)
+	v, err := b.checkInProgress(a.Number)
 	if err != nil {
 		return err
 	}
@@ -310,11 +310,11 @@
 		v.State = Canary
 		return nil
 	}
-	b.force(v.Number)
+	b.putInForce(v.Number)
 	return nil
 }
 
-func (b *Record) force(number uint64) {
+func (b *Record) putInForce(number uint64) {
 	if before := b.InForce(); before != nil {
 		before.State = Superseded
 	}
@@ -324,7 +324,7 @@
 }
 
 // sit gives a disk the seat of a voter. The disk that sat there never comes back.
-func (b *Record) sit(s Seat) error {
+func (b *Record) takeSeat(s Seat) error {
 	if slices.Contains(b.RetiredDisks, s.Disk) {
 		return fmt.Errorf("the disk of %s had a seat before and lost it", s.Name)
 	}
--- a/internal/agree/bears_test.go
+++ b/internal/agree/warmrates_test.go
@@ -7,7 +7,7 @@
 
 // Guards: what replicas bear is told to who does not know by the lower median of those that may be acting, so that one that lies moves
 // little, and by no more than the part of those who know.
-func TestBearsByTheOthers(t *testing.T) {
+func TestWarmRatesFromOtherDispatchers(t *testing.T) {
 	b, timing := &Record{}, TimingOf(time.Second)
 	tally := NewLeaseTable(0, timing)
 	say := func(name string, x float64) {
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -17,7 +17,7 @@
 // The calls among dispatchers. All but the voters' frames are JSON.
 const (
 	renewCall   = "/agree/renew"
-	newsCall    = "/agree/news"
+	changesCall = "/agree/news"
 	proposeCall = "/agree/propose"
 	showCall    = "/agree/show"
 	seatCall    = "/agree/seat"
@@ -26,18 +26,18 @@
 )
 
 // brief is a version as a dispatcher needs it to act on it.
-type brief struct {
-	Number  uint64            `json:"number"`
-	Print   string            `json:"print"`
-	Content string            `json:"content,omitempty"` // left out where the dispatcher has it
-	Keys    map[string]string `json:"keys,omitempty"`
+type versionInfo struct {
+	Number      uint64            `json:"number"`
+	Fingerprint string            `json:"print"`
+	Content     string            `json:"content,omitempty"` // left out where the dispatcher has it
+	Keys        map[string]string `json:"keys,omitempty"`
 }
 
-func briefOf(v *agree.Version, has bool) *brief {
+func versionInfoOf(v *agree.Version, has bool) *versionInfo {
 	if v == nil {
 		return nil
 	}
-	b := &brief{Number: v.Number, Print: v.Fingerprint}
+	b := &versionInfo{Number: v.Number, Fingerprint: v.Fingerprint}
 	if !has {
 		b.Content, b.Keys = v.Content, v.Keys
 	}
@@ -45,44 +45,44 @@
 }
 
 // renewed answers a renewal.
-type renewed struct {
-	Leader  string `json:"leader"` // as far as the voter knows that was asked
-	Sure    bool   `json:"sure"`   // the voter leads, and led after the renewal had come: what follows is so
-	Lease   bool   `json:"lease"`
-	Force   *brief `json:"force,omitempty"`
-	Open    *brief `json:"open,omitempty"` // under way, to be checked
-	Cluster uint64 `json:"cluster"`
-	Stamp   uint64 `json:"stamp"`
-	Why     string `json:"why,omitempty"`       // no lease
-	Serves  int64  `json:"serves_ms,omitempty"` // how long another dispatcher has served as usual
-
-	Bears map[string]float64 `json:"bears,omitempty"` // what others say that replicas bear, for one that does not know
-
-	List *listNews `json:"list,omitempty"` // where dispatchers agree on lists of replicas too
+type renewResponse struct {
+	Leader     string       `json:"leader"` // as far as the voter knows that was asked
+	Confirmed  bool         `json:"sure"`   // the voter leads, and led after the renewal had come: what follows is so
+	Lease      bool         `json:"lease"`
+	InForce    *versionInfo `json:"force,omitempty"`
+	InProgress *versionInfo `json:"open,omitempty"` // under way, to be checked
+	Cluster    uint64       `json:"cluster"`
+	Revision   uint64       `json:"stamp"`
+	Why        string       `json:"why,omitempty"`       // no lease
+	ServingMS  int64        `json:"serves_ms,omitempty"` // how long another dispatcher has served as usual
+
+	WarmRates map[string]float64 `json:"bears,omitempty"` // what others say that replicas bear, for one that does not know
+
+	List *listUpdate `json:"list,omitempty"` // where dispatchers agree on lists of replicas too
 }
 
 // listNews brings a dispatcher's list of replicas up to date.
-type listNews struct {
+type listUpdate struct {
 	membership.Part
-	Living  int    `json:"living"`          // dispatchers
-	Counted bool   `json:"counted"`         // this one is among them
-	Read    bool   `json:"read"`            // it is to read the register for all
-	Fresh   bool   `json:"fresh,omitempty"` // the register was read since the leader began, and the list holds all of it
-	Heard   uint64 `json:"heard,omitempty"` // the number of the reading that the leader has of it, if it reads
+	Dispatchers   int    `json:"living"`          // dispatchers
+	Counted       bool   `json:"counted"`         // this one is among them
+	ReadRegistry  bool   `json:"read"`            // it is to read the register for all
+	Fresh         bool   `json:"fresh,omitempty"` // the register was read since the leader began, and the list holds all of it
+	ReadingNumber uint64 `json:"heard,omitempty"` // the number of the reading that the leader has of it, if it reads
 }
 
 // news asks to be told when the record is newer than Stamp.
-type news struct {
-	Stamp uint64 `json:"stamp"`
+type changeNotice struct {
+	Revision uint64 `json:"stamp"`
 }
 
 // proposed answers an entry.
-type proposed struct {
+type proposeResponse struct {
 	Number    uint64 `json:"number,omitempty"`
 	Error     string `json:"error,omitempty"`     // final: decided against
-	Elsewhere bool   `json:"elsewhere,omitempty"` // this voter does not lead ...
+	NotLeader bool   `json:"elsewhere,omitempty"` // this voter does not lead ...
 	Leader    string `json:"leader,omitempty"`    // ... but this one, if it is known
-	Whole     bool   `json:"whole,omitempty"`     // of a reading: send the whole list
+	SendAll   bool   `json:"whole,omitempty"`     // of a reading: send the whole list
 }
 
 // Extract says which parts of the record are wanted, as a list may be long. The zero value wants all.
@@ -98,7 +98,7 @@
 )
 
 // of gives a copy of the wanted parts.
-func (x ViewFilter) of(b *agree.Record) agree.Record {
+func (x ViewFilter) copyFrom(b *agree.Record) agree.Record {
 	c := *b
 	c.Versions, c.Seats, c.RetiredDisks, c.Results, c.Changes = slices.Clone(b.Versions), slices.Clone(b.Seats), slices.Clone(b.RetiredDisks), nil, slices.Clone(b.Changes)
 	c.Orders, c.LedgerDisks = maps.Clone(b.Orders), maps.Clone(b.LedgerDisks) // the rest is replaced as a whole where it changes
@@ -120,7 +120,7 @@
 }
 
 // seat asks for a voter's seat.
-type seat struct {
+type seatRequest struct {
 	Name    string `json:"name"`
 	Disk    uint64 `json:"disk"`
 	Replace bool   `json:"replace"` // by an operator's word, the disk that sits there goes
@@ -148,7 +148,7 @@
 var errNoLeader = errors.New("no voter that leads can be reached: a majority of the voters is needed")
 
 // call speaks JSON over a link.
-func call(l *peers.Link, path string, ask, answer any, limit time.Duration) error {
+func callJSON(l *peers.Link, path string, ask, answer any, limit time.Duration) error {
 	text, err := jsoniter.Marshal(ask)
 	if err != nil {
 		return err
@@ -165,14 +165,14 @@
 	if l == nil {
 		return fmt.Errorf("%s is no other voter", name)
 	}
-	return call(l, path, ask, answer, limit)
+	return callJSON(l, path, ask, answer, limit)
 }
 
 // handle answers the calls of others.
 func (n *Node) handle(from peers.Caller, path string, body []byte) ([]byte, error) {
 	v := n.voter
 	if path == peers.RaftPath {
-		return nil, v.frames(from, body)
+		return nil, v.handleFrames(from, body)
 	}
 	var answer any
 	var err error
@@ -186,10 +186,10 @@
 		if err == nil {
 			answer, err = v.renew(r)
 		}
-	case newsCall:
-		var q news
+	case changesCall:
+		var q changeNotice
 		if err = n.decode(from, body, &q); err == nil {
-			answer = news{v.wait(q.Stamp, newsWait)}
+			answer = changeNotice{v.waitForChange(q.Revision, changeTimeout)}
 		}
 	case proposeCall:
 		var e agree.Entry
@@ -207,17 +207,17 @@
 			err = errors.New("a reading for another")
 		}
 		if err == nil {
-			answer, err = v.read(r)
+			answer, err = v.addReading(r)
 		}
 	case confirmCall:
 		answer, err = v.confirm()
 	case seatCall:
-		var s seat
+		var s seatRequest
 		if err = n.decode(from, body, &s); err == nil && s.Name != from.Name {
 			err = errors.New("a seat for another")
 		}
 		if err == nil {
-			answer, err = v.sit(s)
+			answer, err = v.takeSeat(s)
 		}
 	default:
 		if f := n.opt.Handlers[path]; f != nil {
--- a/internal/agreement/frames.go
+++ b/internal/agreement/frames.go
@@ -18,7 +18,7 @@
 )
 
 // frames takes what another voter sends: messages with their lengths before them.
-func (v *voter) frames(from peers.Caller, body []byte) error {
+func (v *voter) handleFrames(from peers.Caller, body []byte) error {
 	for len(body) > 0 {
 		size, n := binary.Uvarint(body)
 		if n <= 0 || size > uint64(len(body)-n) || size > math.MaxInt32 {
@@ -31,7 +31,7 @@
 			return err
 		}
 		body = body[n+int(size):]
-		if err := v.post(func() { v.take(from.Name, m) }); err != nil {
+		if err := v.post(func() { v.handleMessage(from.Name, m) }); err != nil {
 			return err
 		}
 	}
@@ -39,33 +39,33 @@
 }
 
 // take hands a message to the consensus, if it is from the disk that has the sender's seat, or this voter knows no seats.
-func (v *voter) take(from string, m *raftpb.Message) {
-	name, known := v.names[m.GetFrom()]
+func (v *voter) handleMessage(from string, m *raftpb.Message) {
+	name, known := v.voterNames[m.GetFrom()]
 	wrong := ""
 	switch {
 	case m.GetTo() != v.n.log.Identity().Disk:
 		wrong = fmt.Sprintf("for disk %x, which is not here", m.GetTo())
-	case slices.Contains(v.book.RetiredDisks, m.GetFrom()):
+	case slices.Contains(v.record.RetiredDisks, m.GetFrom()):
 		wrong = fmt.Sprintf("of disk %x, whose seat was given on", m.GetFrom())
 	case known && name != from:
 		wrong = fmt.Sprintf("of disk %x, which is that of %s", m.GetFrom(), name)
-	case !known && v.book.Cluster != 0:
+	case !known && v.record.Cluster != 0:
 		wrong = fmt.Sprintf("of disk %x, which has no seat", m.GetFrom())
 	}
 	if wrong != "" {
 		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+wrong)
 		return
 	}
-	v.names[m.GetFrom()] = from
+	v.voterNames[m.GetFrom()] = from
 	if err := v.rn.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
 		slog.Warn("agreement: a frame was not taken", "from", from, "error", err)
 	}
 }
 
 func (v *voter) send(m *raftpb.Message) {
-	name := v.names[m.GetTo()]
+	name := v.voterNames[m.GetTo()]
 	s := v.senders[name]
-	if s == nil || !s.put(m) {
+	if s == nil || !s.enqueue(m) {
 		v.rn.ReportUnreachable(m.GetTo())
 		if m.GetType() == raftpb.MsgSnap {
 			v.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
@@ -74,19 +74,19 @@
 }
 
 // quiet is the consensus library's logger: what matters to operators is logged here.
-type quiet struct{}
+type raftLogger struct{}
 
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Error(v ...any)          { slog.Error("agreement: consensus", "error", fmt.Sprint(v...)) }
-func (quiet) Errorf(f string, v ...any) {
+func (raftLogger) Debug(...any)            {}
+func (raftLogger) Debugf(string, ...any)   {}
+func (raftLogger) Info(...any)             {}
+func (raftLogger) Infof(string, ...any)    {}
+func (raftLogger) Warning(...any)          {}
+func (raftLogger) Warningf(string, ...any) {}
+func (raftLogger) Error(v ...any)          { slog.Error("agreement: consensus", "error", fmt.Sprint(v...)) }
+func (raftLogger) Errorf(f string, v ...any) {
 	slog.Error("agreement: consensus", "error", fmt.Sprintf(f, v...))
 }
-func (quiet) Fatal(v ...any)            { log.Panic(v...) }
-func (quiet) Fatalf(f string, v ...any) { log.Panicf(f, v...) }
-func (quiet) Panic(v ...any)            { log.Panic(v...) }
-func (quiet) Panicf(f string, v ...any) { log.Panicf(f, v...) }
+func (raftLogger) Fatal(v ...any)            { log.Panic(v...) }
+func (raftLogger) Fatalf(f string, v ...any) { log.Panicf(f, v...) }
+func (raftLogger) Panic(v ...any)            { log.Panic(v...) }
+func (raftLogger) Panicf(f string, v ...any) { log.Panicf(f, v...) }
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -19,48 +19,48 @@
 type member struct {
 	n *Node
 
-	mu     sync.Mutex
-	lease  *agree.Lease
-	holds  agree.Version // what the program acts on
-	leader string
-	heard  time.Duration // last grant
-	lost   time.Duration // when the lease ended; 0 while it runs
-	why    string        // there is none
-	said   string        // last line of the log of that kind
-	unfit  *agree.Fault
+	mu         sync.Mutex
+	lease      *agree.Lease
+	active     agree.Version // what the program acts on
+	leader     string
+	lastGrant  time.Duration // last grant
+	lostAt     time.Duration // when the lease ended; 0 while it runs
+	reason     string        // there is none
+	lastLogged string        // last line of the log of that kind
+	unfit      *agree.Fault
 
-	tookUp time.Duration // when the program took up what it acts on
+	activatedAt time.Duration // when the program took up what it acts on
 
 	// What follows belongs to run's goroutine.
-	checked uint64
-	fault   *agree.Fault
-	open    agree.Version // the version that was checked last
-	life    life
-	copied  membership.Copy // mu guards its change
-	list    membership.List // that the program acts on; mu guards its change
-	living  int
-	uses    bool                     // the share of what is summed over all
-	counted time.Duration            // since when this dispatcher is counted; 0: it is not
-	silent  map[string]time.Duration // voters that did not answer, by when
+	checked      uint64
+	fault        *agree.Fault
+	lastChecked  agree.Version // the version that was checked last
+	saved        savedState
+	listCopy     membership.Copy // mu guards its change
+	list         membership.List // that the program acts on; mu guards its change
+	dispatchers  int
+	usesShare    bool                     // the share of what is summed over all
+	countedSince time.Duration            // since when this dispatcher is counted; 0: it is not
+	unresponsive map[string]time.Duration // voters that did not answer, by when
 
-	leaves   chan chan struct{}
-	serves   atomic.Int64                       // milliseconds that another dispatcher has served as usual, by the last answer
-	bears    atomic.Pointer[map[string]float64] // what others say that replicas bear; nil before they did
-	fresh    atomic.Bool                        // the list holds what the register said since some reader's start
-	register register                           // what is read of it
+	leaveRequests   chan chan struct{}
+	othersServingMS atomic.Int64                       // milliseconds that another dispatcher has served as usual, by the last answer
+	othersWarmRates atomic.Pointer[map[string]float64] // what others say that replicas bear; nil before they did
+	listFresh       atomic.Bool                        // the list holds what the register said since some reader's start
+	registry        registryReport                     // what is read of it
 }
 
-func (m *member) target() string {
+func (m *member) knownLeader() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leader
 }
 
 // say logs a line about the lease, once until another comes.
-func (m *member) say(text string) {
+func (m *member) logNoLease(text string) {
 	m.mu.Lock()
-	again := m.said == text
-	m.said, m.why = text, text
+	again := m.lastLogged == text
+	m.lastLogged, m.reason = text, text
 	m.mu.Unlock()
 	if !again {
 		slog.Warn("agreement: out of contact or service", "why", text)
@@ -76,41 +76,41 @@
 		select {
 		case <-m.n.ctx.Done():
 			return
-		case done := <-m.leaves:
-			m.lastWord()
+		case done := <-m.leaveRequests:
+			m.sendLeave()
 			close(done)
 			return
 		case <-timer.C:
-		case <-m.n.pokes:
+		case <-m.n.wake:
 		}
 		again := m.renew()
-		m.watch()
+		m.checkLease()
 		if again {
-			m.n.poke()
+			m.n.wakeMember()
 		}
 		timer.Reset(t.Renew)
 	}
 }
 
 // watch logs the end of a lease, and a life that is long enough.
-func (m *member) watch() {
+func (m *member) checkLease() {
 	now := m.n.now()
 	m.mu.Lock()
-	over := m.holds.Number != 0 && m.heard != 0 && m.lease.Remaining(now) <= 0
-	first := over && m.lost == 0
+	over := m.active.Number != 0 && m.lastGrant != 0 && m.lease.Remaining(now) <= 0
+	first := over && m.lostAt == 0
 	if first {
-		m.lost = now
+		m.lostAt = now
 	}
-	if m.life.Young && m.heard != 0 && !over && m.lost == 0 && now-m.tookUp > agree.TrialTime {
-		m.life.Young, m.life.Crashes, m.life.Good = false, 0, m.life.Acts
+	if m.saved.Unproven && m.lastGrant != 0 && !over && m.lostAt == 0 && now-m.activatedAt > agree.TrialTime {
+		m.saved.Unproven, m.saved.Crashes, m.saved.LastGood = false, 0, m.saved.ActsOn
 		m.mu.Unlock()
-		m.remember()
+		m.save()
 		return
 	}
-	why := m.why
+	why := m.reason
 	m.mu.Unlock()
 	if first {
-		m.n.prog.LeaseLost()
+		m.n.program.LeaseLost()
 		slog.Warn("agreement: the lease is over", "version", m.lease.Number, "why", why, "alone", m.n.opt.OnLeaseLoss)
 	}
 }
@@ -118,47 +118,47 @@
 // renew asks for the lease once. It tells whether to ask again at once.
 func (m *member) renew() bool {
 	sent := m.n.now()
-	a, err := m.ask(m.renewal())
+	a, err := m.askLeader(m.renewal())
 	if err != nil {
-		m.say("no renewal: " + err.Error())
+		m.logNoLease("no renewal: " + err.Error())
 		return false
 	}
-	m.n.noteCluster(a.Cluster)
-	m.serves.Store(a.Serves)
-	if len(a.Bears) > 0 {
-		m.bears.Store(&a.Bears)
+	m.n.recordCluster(a.Cluster)
+	m.othersServingMS.Store(a.ServingMS)
+	if len(a.WarmRates) > 0 {
+		m.othersWarmRates.Store(&a.WarmRates)
 	}
-	if a.Open != nil && a.Open.Number != m.checked {
-		m.check(a.Open)
-		defer m.n.poke() // what it found is told at once
+	if a.InProgress != nil && a.InProgress.Number != m.checked {
+		m.checkVersion(a.InProgress)
+		defer m.n.wakeMember() // what it found is told at once
 	}
-	return m.granted(sent, a)
+	return m.handleResponse(sent, a)
 }
 
 func (m *member) renewal() agree.Renewal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := agree.Renewal{Name: m.n.opt.Name, Boot: m.n.boot, ActsOn: m.holds.Number, CachedVersion: m.holds.Number, Checked: m.checked, Fault: m.fault,
-		Unfit: m.unfit, Crashes: m.life.Crashes, Phase: m.n.prog.Phase(), ServingMS: m.n.prog.ServingTime().Milliseconds(), WarmRates: m.n.prog.WarmRates(), LateActs: m.lease.LateActs()}
+	r := agree.Renewal{Name: m.n.opt.Name, Boot: m.n.boot, ActsOn: m.active.Number, CachedVersion: m.active.Number, Checked: m.checked, Fault: m.fault,
+		Unfit: m.unfit, Crashes: m.saved.Crashes, Phase: m.n.program.Phase(), ServingMS: m.n.program.ServingTime().Milliseconds(), WarmRates: m.n.program.WarmRates(), LateActs: m.lease.LateActs()}
 	r.WantsWarmRates = r.WarmRates != nil && len(r.WarmRates) == 0
-	if m.lost != 0 {
-		r.WithoutLeaseMS = (m.n.now() - m.lost).Milliseconds()
+	if m.lostAt != 0 {
+		r.WithoutLeaseMS = (m.n.now() - m.lostAt).Milliseconds()
 	}
 	if m.n.opt.Lists != nil {
-		r.List, r.CanReadRegistry, r.RegistrySilent = m.copied.Cursor(), m.n.opt.Lists.CanRead, m.n.prog.RegistrySilent()
+		r.List, r.CanReadRegistry, r.RegistrySilent = m.listCopy.Cursor(), m.n.opt.Lists.CanRead, m.n.program.RegistrySilent()
 	}
-	if m.open.Number != 0 && m.open.Number > r.CachedVersion {
-		r.CachedVersion = m.open.Number // if that is in force by now its content is here
+	if m.lastChecked.Number != 0 && m.lastChecked.Number > r.CachedVersion {
+		r.CachedVersion = m.lastChecked.Number // if that is in force by now its content is here
 	}
 	return r
 }
 
 // ask finds the voter that leads and renews there.
-func (m *member) ask(r agree.Renewal) (a renewed, err error) {
+func (m *member) askLeader(r agree.Renewal) (a renewResponse, err error) {
 	n, limit := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Hooks.ExtraRenewTimeout
-	leader := m.target()
+	leader := m.knownLeader()
 	if n.voter != nil {
-		if a, err = n.voter.renew(r); err == nil && a.Sure {
+		if a, err = n.voter.renew(r); err == nil && a.Confirmed {
 			m.setLeader(n.opt.Name)
 			return a, nil
 		}
@@ -166,19 +166,19 @@
 	}
 	last := errNoLeader
 	asked := map[string]bool{}
-	for next := m.order(leader); len(next) > 0 && len(asked) < askedMost; next = next[1:] {
+	for next := m.votersToAsk(leader); len(next) > 0 && len(asked) < maxVotersAsked; next = next[1:] {
 		name := next[0]
 		if asked[name] {
 			continue
 		}
 		asked[name] = true
-		if err := call(n.links[name], renewCall, r, &a, limit); err != nil {
-			m.silent[name] = n.now()
+		if err := callJSON(n.links[name], renewCall, r, &a, limit); err != nil {
+			m.unresponsive[name] = n.now()
 			last = fmt.Errorf("%w: %w", errNoLeader, err)
 			continue
 		}
-		delete(m.silent, name)
-		if a.Sure {
+		delete(m.unresponsive, name)
+		if a.Confirmed {
 			m.setLeader(name)
 			return a, nil
 		}
@@ -193,14 +193,14 @@
 }
 
 // order gives the voters as they are to be asked: the one that is said to lead, and those that were silent of late last.
-func (m *member) order(leader string) []string {
-	names := m.n.voters(leader)
-	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(m.wasSilent(a), m.wasSilent(b)) })
+func (m *member) votersToAsk(leader string) []string {
+	names := m.n.voterNames(leader)
+	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(m.recentlyUnresponsive(a), m.recentlyUnresponsive(b)) })
 	return names
 }
 
-func (m *member) wasSilent(name string) int {
-	if at, ok := m.silent[name]; ok && m.n.now()-at < m.n.opt.Timing.AcceptFor {
+func (m *member) recentlyUnresponsive(name string) int {
+	if at, ok := m.unresponsive[name]; ok && m.n.now()-at < m.n.opt.Timing.AcceptFor {
 		return 1
 	}
 	return 0
@@ -213,11 +213,11 @@
 }
 
 // check checks a version that is under way against this dispatcher's own file and bounds.
-func (m *member) check(b *brief) {
-	fault := m.n.prog.Check(b.Content)
+func (m *member) checkVersion(b *versionInfo) {
+	fault := m.n.program.Check(b.Content)
 	m.mu.Lock()
 	m.checked, m.fault = b.Number, fault
-	m.open = agree.Version{Number: b.Number, Fingerprint: b.Print, Content: b.Content, Keys: b.Keys}
+	m.lastChecked = agree.Version{Number: b.Number, Fingerprint: b.Fingerprint, Content: b.Content, Keys: b.Keys}
 	m.mu.Unlock()
 	if fault != nil {
 		m.n.turnedDown.Add(1)
@@ -226,26 +226,26 @@
 }
 
 // granted takes an answer of the voter that leads.
-func (m *member) granted(sent time.Duration, a renewed) (again bool) {
+func (m *member) handleResponse(sent time.Duration, a renewResponse) (again bool) {
 	m.mu.Lock()
-	holds, lease := m.holds, m.lease
+	holds, lease := m.active, m.lease
 	m.mu.Unlock()
-	force := agree.Version{Number: a.Force.Number, Fingerprint: a.Force.Print, Content: a.Force.Content, Keys: a.Force.Keys}
+	force := agree.Version{Number: a.InForce.Number, Fingerprint: a.InForce.Fingerprint, Content: a.InForce.Content, Keys: a.InForce.Keys}
 	stale := holds.Number != force.Number
 	if m.n.opt.Hooks.Stale != nil {
 		stale = m.n.opt.Hooks.Stale(stale)
 	}
-	if stale && force.Content == "" && m.open.Number == force.Number {
-		force = m.open
+	if stale && force.Content == "" && m.lastChecked.Number == force.Number {
+		force = m.lastChecked
 	}
 	var listed error
 	if a.Lease {
-		listed = m.takeList(sent, a.List)
+		listed = m.applyList(sent, a.List)
 	}
 	if m.n.opt.Hooks.RenewedAt != nil {
 		sent = m.n.opt.Hooks.RenewedAt(sent, m.n.now())
 	}
-	if stale && m.holdsBack(force.Number) {
+	if stale && m.crashedTwiceOn(force.Number) {
 		if keys := agree.ConflictingKeys(holds.Keys, force.Keys); len(keys) > 0 {
 			m.setUnfit(&agree.Fault{Key: keys[0], Reason: fmt.Sprintf("version %d brought this dispatcher down twice, and the last good one, %d, contradicts it in %s",
 				force.Number, holds.Number, strings.Join(keys, ", "))})
@@ -255,7 +255,7 @@
 	}
 	if stale {
 		if force.Content == "" {
-			m.forget() // so that the whole of it is sent
+			m.forgetChecked() // so that the whole of it is sent
 			return true
 		}
 		lease = &agree.Lease{Number: force.Number, Fingerprint: force.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
@@ -265,24 +265,24 @@
 		if m.n.opt.Hooks.Lease != nil {
 			m.n.opt.Hooks.Lease(lease)
 		}
-		if !m.takeUp(force, lease) {
+		if !m.activate(force, lease) {
 			return false
 		}
 		again = !a.Lease // it was not fit before, or not up to date
 	}
 	if !a.Lease {
-		m.say("no lease: " + a.Why)
+		m.logNoLease("no lease: " + a.Why)
 		return again
 	}
 	if listed != nil {
-		m.say("no lease: " + listed.Error())
-		return again || errors.Is(listed, errPart)
+		m.logNoLease("no lease: " + listed.Error())
+		return again || errors.Is(listed, errPartialList)
 	}
 	lease.Extend(sent, m.n.opt.Timing)
 	now := m.n.now()
 	m.mu.Lock()
-	lost := m.lost
-	m.heard, m.lost, m.why, m.said = now, 0, "", ""
+	lost := m.lostAt
+	m.lastGrant, m.lostAt, m.reason, m.lastLogged = now, 0, "", ""
 	m.mu.Unlock()
 	if lost != 0 {
 		slog.Info("agreement: the lease is back", "version", force.Number, "without", (now - lost).Round(time.Millisecond))
@@ -295,33 +295,33 @@
 	m.unfit = f
 	m.mu.Unlock()
 	if f != nil {
-		m.say("out of service: " + f.Error())
+		m.logNoLease("out of service: " + f.Error())
 	}
 }
 
 // forget drops what was checked, as a number alone does not make a version.
-func (m *member) forget() {
+func (m *member) forgetChecked() {
 	m.mu.Lock()
-	m.open, m.checked, m.fault = agree.Version{}, 0, nil
+	m.lastChecked, m.checked, m.fault = agree.Version{}, 0, nil
 	m.mu.Unlock()
 }
 
 // takeUp has the program act on a version. Where it can't, this dispatcher has no lease until there is another version.
-func (m *member) takeUp(v agree.Version, lease *agree.Lease) bool {
-	fault := m.n.prog.Check(v.Content)
+func (m *member) activate(v agree.Version, lease *agree.Lease) bool {
+	fault := m.n.program.Check(v.Content)
 	if fault == nil {
 		m.mu.Lock()
-		if m.life.Acts.Number != v.Number {
-			if m.life.Crashes == 0 {
-				m.life.Good = m.life.Acts
+		if m.saved.ActsOn.Number != v.Number {
+			if m.saved.Crashes == 0 {
+				m.saved.LastGood = m.saved.ActsOn
 			}
-			m.life.Acts, m.life.Young, m.life.Crashes = v, true, 0
+			m.saved.ActsOn, m.saved.Unproven, m.saved.Crashes = v, true, 0
 		}
-		m.life.Young = true
-		m.tookUp = m.n.now()
+		m.saved.Unproven = true
+		m.activatedAt = m.n.now()
 		m.mu.Unlock()
-		m.remember()
-		if err := m.n.prog.Activate(v, lease); err != nil {
+		m.save()
+		if err := m.n.program.Activate(v, lease); err != nil {
 			fault = &agree.Fault{Reason: err.Error()}
 		}
 	}
@@ -330,42 +330,42 @@
 		return false
 	}
 	m.mu.Lock()
-	m.holds, m.lease, m.unfit = v, lease, nil
+	m.active, m.lease, m.unfit = v, lease, nil
 	m.mu.Unlock()
 	slog.Info("agreement: in force here", "version", v.Number, "print", v.Fingerprint)
 	return true
 }
 
 // listen hears of changes as they come.
-func (m *member) listen() {
+func (m *member) watchChanges() {
 	n := m.n
 	stamp := uint64(0)
 	for n.ctx.Err() == nil {
 		if n.voter != nil {
-			next := n.voter.wait(stamp, newsWait)
+			next := n.voter.waitForChange(stamp, changeTimeout)
 			if next != stamp {
 				stamp = next
-				n.poke()
+				n.wakeMember()
 			}
-			if n.voterGone() {
+			if n.voterStopped() {
 				return
 			}
 			continue
 		}
-		names := n.voters(m.target())
-		var is news
-		if len(names) == 0 || call(n.links[names[0]], newsCall, news{stamp}, &is, newsWait+n.opt.Timing.AcceptFor) != nil {
-			m.pause(n.opt.Timing.Renew)
+		names := n.voterNames(m.knownLeader())
+		var is changeNotice
+		if len(names) == 0 || callJSON(n.links[names[0]], changesCall, changeNotice{stamp}, &is, changeTimeout+n.opt.Timing.AcceptFor) != nil {
+			m.sleep(n.opt.Timing.Renew)
 			continue
 		}
-		if is.Stamp != stamp {
-			stamp = is.Stamp
-			n.poke()
+		if is.Revision != stamp {
+			stamp = is.Revision
+			n.wakeMember()
 		}
 	}
 }
 
-func (n *Node) voterGone() bool {
+func (n *Node) voterStopped() bool {
 	select {
 	case <-n.voter.done:
 		return true
@@ -374,7 +374,7 @@
 	}
 }
 
-func (m *member) pause(d time.Duration) {
+func (m *member) sleep(d time.Duration) {
 	select {
 	case <-m.n.ctx.Done():
 	case <-time.After(d):
@@ -385,18 +385,18 @@
 func (m *member) leave() {
 	done := make(chan struct{})
 	select {
-	case m.leaves <- done:
+	case m.leaveRequests <- done:
 		<-done
 	case <-time.After(m.n.opt.Timing.Within): // where nobody hears it the lease runs out
 	}
 }
 
-func (m *member) lastWord() {
+func (m *member) sendLeave() {
 	m.mu.Lock()
-	m.life.Young = false // it ends by an order
+	m.saved.Unproven = false // it ends by an order
 	m.mu.Unlock()
-	m.remember()
+	m.save()
 	r := m.renewal()
 	r.Leaving = true
-	_, _ = m.ask(r) // where nobody hears it the lease runs out
+	_, _ = m.askLeader(r) // where nobody hears it the lease runs out
 }
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -110,21 +110,21 @@
 
 // Node is a dispatcher's part.
 type Node struct {
-	opt    Options
-	log    *raftlog.Log
-	disk   LogWriter
-	voter  *voter // nil where it is none
-	server *peers.Server
-	links  map[string]*peers.Link
-	counts peers.Counts
-	prog   Program
-	start  time.Time
-	boot   uint64
-	id     atomic.Uint64 // the cluster's
-	ctx    context.Context
-	cancel context.CancelFunc
-	ended  sync.WaitGroup
-	pokes  chan struct{}
+	opt        Options
+	log        *raftlog.Log
+	logWriter  LogWriter
+	voter      *voter // nil where it is none
+	server     *peers.Server
+	links      map[string]*peers.Link
+	counts     peers.Counts
+	program    Program
+	start      time.Time
+	boot       uint64
+	clusterID  atomic.Uint64 // the cluster's
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	wake       chan struct{}
 
 	elections  atomic.Int64
 	turnedDown atomic.Int64
@@ -147,44 +147,44 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{opt: opt, log: l, disk: l, links: map[string]*peers.Link{}, start: time.Now(), boot: NewID(), pokes: make(chan struct{}, 1)}
+	n := &Node{opt: opt, log: l, logWriter: l, links: map[string]*peers.Link{}, start: time.Now(), boot: NewID(), wake: make(chan struct{}, 1)}
 	if opt.Hooks.LogWriter != nil {
-		n.disk = opt.Hooks.LogWriter(l)
+		n.logWriter = opt.Hooks.LogWriter(l)
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.id.Store(l.Identity().Cluster)
+	n.clusterID.Store(l.Identity().Cluster)
 	for name, addr := range opt.Voters {
 		if name != opt.Name {
-			n.links[name] = peers.NewLink(addr, opt.Cluster, opt.Name, n.id.Load, &n.counts)
+			n.links[name] = peers.NewLink(addr, opt.Cluster, opt.Name, n.clusterID.Load, &n.counts)
 		}
 	}
-	if err := n.member.recall(n); err != nil {
+	if err := n.member.load(n); err != nil {
 		return nil, errors.Join(err, n.Close())
 	}
 	return n, nil
 }
 
 // Known gives the last version that this dispatcher acted on, with a lease that has never begun; nil where there is none.
-func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.begin(n) }
+func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.restore(n) }
 
 // Run begins: it listens where this dispatcher is a voter, and renews the lease from now on.
 func (n *Node) Run(p Program) error {
-	n.prog = p
+	n.program = p
 	if n.opt.Listen != "" {
 		var err error
 		if n.voter, err = newVoter(n); err != nil {
 			return err
 		}
-		n.server = &peers.Server{Cluster: n.opt.Cluster, ClusterID: n.id.Load, Counts: &n.counts, Handle: n.handle, IsMember: n.opt.IsMember}
+		n.server = &peers.Server{Cluster: n.opt.Cluster, ClusterID: n.clusterID.Load, Counts: &n.counts, Handle: n.handle, IsMember: n.opt.IsMember}
 		if err := n.server.Start(n.opt.Listen, n.opt.MaxConns); err != nil {
 			return err
 		}
-		n.ended.Go(n.voter.run)
+		n.goroutines.Go(n.voter.run)
 	}
-	n.ended.Go(n.member.run)
-	n.ended.Go(n.member.listen)
+	n.goroutines.Go(n.member.run)
+	n.goroutines.Go(n.member.watchChanges)
 	if n.opt.Lists != nil {
-		n.ended.Go(n.member.tell)
+		n.goroutines.Go(n.member.reportRegistry)
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 	if n.server != nil {
 		n.server.Close()
 	}
-	n.ended.Wait()
+	n.goroutines.Wait()
 	for _, l := range n.links {
 		l.Close()
 	}
@@ -211,15 +211,15 @@
 // Now is the clock by which leases run.
 func (n *Node) Now() time.Duration { return n.now() }
 
-func (n *Node) poke() {
+func (n *Node) wakeMember() {
 	select {
-	case n.pokes <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) noteCluster(id uint64) {
-	if !n.id.CompareAndSwap(0, id) {
+func (n *Node) recordCluster(id uint64) {
+	if !n.clusterID.CompareAndSwap(0, id) {
 		return
 	}
 	if err := n.log.SetCluster(id); err != nil {
@@ -228,7 +228,7 @@
 }
 
 // voters gives the names of the others, those to try first before the rest.
-func (n *Node) voters(first ...string) []string {
+func (n *Node) voterNames(first ...string) []string {
 	var names []string
 	for _, name := range first {
 		if n.links[name] != nil && !slices.Contains(names, name) {
@@ -250,21 +250,21 @@
 }
 
 // askSeat asks the voters for this voter's seat.
-func (n *Node) askSeat(replace bool) (err error) {
+func (n *Node) requestSeat(replace bool) (err error) {
 	err = errNoLeader
-	next := n.voters(n.member.target())
+	next := n.voterNames(n.member.knownLeader())
 	for tried := 0; tried < 2*len(n.links) && len(next) > 0; tried++ {
 		name := next[0]
 		next = next[1:]
-		var p proposed
-		if e := call(n.links[name], seatCall, seat{n.opt.Name, n.log.Identity().Disk, replace}, &p, proposeWait); e != nil {
+		var p proposeResponse
+		if e := callJSON(n.links[name], seatCall, seatRequest{n.opt.Name, n.log.Identity().Disk, replace}, &p, proposeTimeout); e != nil {
 			continue
 		}
 		switch {
 		case p.Error != "":
-			n.member.say("no seat: " + p.Error)
+			n.member.logNoLease("no seat: " + p.Error)
 			return errors.New(p.Error)
-		case !p.Elsewhere:
+		case !p.NotLeader:
 			return nil
 		case n.links[p.Leader] != nil:
 			next = append([]string{p.Leader}, next...)
@@ -280,11 +280,11 @@
 	if err != nil {
 		return err
 	}
-	err = found(l, opt, content, keys, print)
+	err = bootstrapLog(l, opt, content, keys, print)
 	return errors.Join(err, l.Close())
 }
 
-func found(l *raftlog.Log, opt Options, content string, keys map[string]string, print string) error {
+func bootstrapLog(l *raftlog.Log, opt Options, content string, keys map[string]string, print string) error {
 	if l.Identity().Cluster != 0 {
 		return fmt.Errorf("%s belongs to a cluster already", LogPath(opt.Folder))
 	}
@@ -294,14 +294,14 @@
 	var book agree.Record
 	cluster, disk := NewID(), l.Identity().Disk
 	if _, err := book.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
-		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wall()}}}); err != nil {
+		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wallTime()}}}); err != nil {
 		return err
 	}
-	return begin(l, &book)
+	return writeInitialLog(l, &book)
 }
 
 // begin writes a cluster's record into the empty log of its first voter.
-func begin(l *raftlog.Log, book *agree.Record) error {
+func writeInitialLog(l *raftlog.Log, book *agree.Record) error {
 	data, err := jsoniter.Marshal(book)
 	if err != nil {
 		return err
@@ -316,7 +316,7 @@
 }
 
 // wall is the wall clock, for people alone: nothing is decided by it.
-func (o *Options) wall() string {
+func (o *Options) wallTime() string {
 	now := time.Now
 	if o.Hooks.WallClock != nil {
 		now = o.Hooks.WallClock
--- a/internal/agreement/desk.go
+++ b/internal/agreement/operator.go
@@ -12,7 +12,7 @@
 	"standpulley/internal/peers"
 )
 
-const deskWait = 10 * time.Second // for a leader to be there
+const leaderTimeout = 10 * time.Second // for a leader to be there
 
 // Own is what one dispatcher knows of itself. Times are in milliseconds.
 type Status struct {
@@ -44,17 +44,17 @@
 	m, now := &n.member, n.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	o := Status{Name: n.opt.Name, Voter: n.voter != nil, Version: m.holds.Number, LeaseMS: max(m.lease.Remaining(now), 0).Milliseconds(), Why: m.why,
-		Leader: m.leader, OnLeaseLoss: n.opt.OnLeaseLoss, LateActs: m.lease.LateActs(), Unfit: m.unfit, Crashes: m.life.Crashes, TurnedDown: m.n.turnedDown.Load(), Elected: n.elections.Load(),
+	o := Status{Name: n.opt.Name, Voter: n.voter != nil, Version: m.active.Number, LeaseMS: max(m.lease.Remaining(now), 0).Milliseconds(), Why: m.reason,
+		Leader: m.leader, OnLeaseLoss: n.opt.OnLeaseLoss, LateActs: m.lease.LateActs(), Unfit: m.unfit, Crashes: m.saved.Crashes, TurnedDown: m.n.turnedDown.Load(), Elected: n.elections.Load(),
 		Dropped: n.counts.Dropped(), Calls: [2]int64{n.counts.In.Load(), n.counts.Out.Load()},
 		Bytes: [2]int64{n.counts.BytesIn.Load(), n.counts.BytesOut.Load()},
-		Disk:  strconv.FormatUint(n.log.Identity().Disk, 16), Cluster: strconv.FormatUint(n.id.Load(), 16)}
-	o.ListVersion, o.Living = m.list.Number, m.living
-	if m.heard != 0 {
-		o.HeardMS = (now - m.heard).Milliseconds()
+		Disk:  strconv.FormatUint(n.log.Identity().Disk, 16), Cluster: strconv.FormatUint(n.clusterID.Load(), 16)}
+	o.ListVersion, o.Living = m.list.Number, m.dispatchers
+	if m.lastGrant != 0 {
+		o.HeardMS = (now - m.lastGrant).Milliseconds()
 	}
-	if m.lost != 0 {
-		o.LostMS = (now - m.lost).Milliseconds()
+	if m.lostAt != 0 {
+		o.LostMS = (now - m.lostAt).Milliseconds()
 	}
 	return o
 }
@@ -68,7 +68,7 @@
 			return false, err
 		}
 		view = &View{}
-		return false, call(link, showCall, x, view, proposeWait)
+		return false, callJSON(link, showCall, x, view, proposeTimeout)
 	})
 	return view, err
 }
@@ -76,8 +76,8 @@
 // Propose brings a version before the voters; p.ID is drawn here, so that no proposal counts twice. The number tells of an
 // entry that was decided; whether the version is in force shows later.
 func (n *Node) Propose(p agree.Propose) (uint64, error) {
-	p.ID, p.At = strconv.FormatUint(NewID(), 16), n.opt.wall()
-	return n.decide(agree.Entry{Propose: &p})
+	p.ID, p.At = strconv.FormatUint(NewID(), 16), n.opt.wallTime()
+	return n.propose(agree.Entry{Propose: &p})
 }
 
 // Ledger gives the file with which a voter last held the ledger, by the record.
@@ -92,7 +92,7 @@
 
 // SetLedger notes the file with which a voter holds the ledger from now on.
 func (n *Node) SetLedgerDisk(name string, disk uint64) error {
-	_, err := n.decide(agree.Entry{Ledger: &agree.SetLedger{Request: strconv.FormatUint(NewID(), 16), Name: name, Disk: disk}})
+	_, err := n.propose(agree.Entry{Ledger: &agree.SetLedger{Request: strconv.FormatUint(NewID(), 16), Name: name, Disk: disk}})
 	return err
 }
 
@@ -108,8 +108,8 @@
 
 // Back tells it.
 func (n *Node) RecoveryInfo() RecoveryInfo {
-	b := RecoveryInfo{Voters: len(n.opt.Voters), ServingMS: n.member.serves.Load(), ListFresh: n.member.fresh.Load()}
-	if bears := n.member.bears.Load(); bears != nil {
+	b := RecoveryInfo{Voters: len(n.opt.Voters), ServingMS: n.member.othersServingMS.Load(), ListFresh: n.member.listFresh.Load()}
+	if bears := n.member.othersWarmRates.Load(); bears != nil {
 		b.WarmRates = *bears
 	}
 	if n.voter != nil {
@@ -140,23 +140,23 @@
 
 // Withdraw takes back a version that is not in force.
 func (n *Node) Withdraw(number uint64, by string) error {
-	_, err := n.decide(agree.Entry{Withdraw: &agree.Withdraw{ID: strconv.FormatUint(NewID(), 16), Number: number, By: by}})
+	_, err := n.propose(agree.Entry{Withdraw: &agree.Withdraw{ID: strconv.FormatUint(NewID(), 16), Number: number, By: by}})
 	return err
 }
 
 // ErrUnknown says that a proposal may or may not have been decided.
 var ErrOutcomeUnknown = errors.New("no voter that leads answered in time: whether it was decided shows in the history")
 
-func (n *Node) decide(e agree.Entry) (uint64, error) {
-	var p proposed
+func (n *Node) propose(e agree.Entry) (uint64, error) {
+	var p proposeResponse
 	err := n.atLeader(func(local *voter, link *peers.Link) (elsewhere bool, err error) {
-		p = proposed{}
+		p = proposeResponse{}
 		if local != nil {
 			p, err = local.propose(e)
 		} else {
-			err = call(link, proposeCall, e, &p, proposeWait)
+			err = callJSON(link, proposeCall, e, &p, proposeTimeout)
 		}
-		return p.Elsewhere, err
+		return p.NotLeader, err
 	})
 	if err != nil {
 		return 0, fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
@@ -170,8 +170,8 @@
 // atLeader does something at the voter that leads, which may take some tries: f tells if it is not there.
 func (n *Node) atLeader(f func(local *voter, link *peers.Link) (elsewhere bool, err error)) error {
 	last := errNoLeader
-	for end := n.now() + deskWait; n.now() < end; {
-		names := n.voters(n.member.target())
+	for end := n.now() + leaderTimeout; n.now() < end; {
+		names := n.voterNames(n.member.knownLeader())
 		if n.voter != nil {
 			names = append([]string{n.opt.Name}, names...)
 		}
@@ -192,7 +192,7 @@
 				return nil
 			}
 		}
-		n.member.pause(n.opt.Timing.Renew)
+		n.member.sleep(n.opt.Timing.Renew)
 		if n.ctx.Err() != nil {
 			return n.ctx.Err()
 		}
@@ -205,7 +205,7 @@
 	if n.voter == nil {
 		return errors.New("this dispatcher is no voter")
 	}
-	return n.askSeat(true)
+	return n.requestSeat(true)
 }
 
 // Command is what operators ask for by the command line.
--- a/internal/agreement/reads.go
+++ b/internal/agreement/reads.go
@@ -9,63 +9,63 @@
 )
 
 // ask begins a round for the reads that wait. One round is under way at a time.
-func (v *voter) ask() {
-	if len(v.waiting) == 0 || v.asked != 0 {
+func (v *voter) startReadRound() {
+	if len(v.waitingReads) == 0 || v.roundInFlight != 0 {
 		return
 	}
-	if !v.leads {
-		for _, r := range v.waiting {
+	if !v.isLeader {
+		for _, r := range v.waitingReads {
 			r.then(false)
 		}
-		v.waiting = v.waiting[:0]
+		v.waitingReads = v.waitingReads[:0]
 		return
 	}
 	if v.n.opt.Hooks.SkipLeaderCheck {
-		for _, r := range v.waiting {
+		for _, r := range v.waitingReads {
 			r.then(true)
 		}
-		v.waiting = v.waiting[:0]
+		v.waitingReads = v.waitingReads[:0]
 		return
 	}
-	v.rounds++
-	v.asked, v.askedAt = v.rounds, v.n.now()
-	v.flying, v.waiting = v.waiting, nil
-	v.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, v.asked))
+	v.lastRound++
+	v.roundInFlight, v.roundStart = v.lastRound, v.n.now()
+	v.readsInFlight, v.waitingReads = v.waitingReads, nil
+	v.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, v.roundInFlight))
 }
 
-func (v *voter) found(s raft.ReadState) {
-	if len(s.RequestCtx) != 8 || binary.BigEndian.Uint64(s.RequestCtx) != v.asked {
+func (v *voter) readIndexReady(s raft.ReadState) {
+	if len(s.RequestCtx) != 8 || binary.BigEndian.Uint64(s.RequestCtx) != v.roundInFlight {
 		return // of a round that was given up
 	}
-	for i := range v.flying {
-		v.flying[i].index = max(s.Index, 1)
+	for i := range v.readsInFlight {
+		v.readsInFlight[i].index = max(s.Index, 1)
 	}
-	v.asked = 0
+	v.roundInFlight = 0
 }
 
 func (v *voter) answerReads() {
-	if v.asked != 0 || len(v.flying) == 0 || v.flying[0].index > v.applied {
+	if v.roundInFlight != 0 || len(v.readsInFlight) == 0 || v.readsInFlight[0].index > v.applied {
 		return
 	}
-	now := v.flying
-	v.flying = nil
+	now := v.readsInFlight
+	v.readsInFlight = nil
 	for _, r := range now {
-		r.then(v.leads)
+		r.then(v.isLeader)
 	}
 }
 
 func (v *voter) failReads() {
-	for _, r := range append(v.flying, v.waiting...) {
+	for _, r := range append(v.readsInFlight, v.waitingReads...) {
 		r.then(false)
 	}
-	v.flying, v.waiting, v.asked = nil, nil, 0
+	v.readsInFlight, v.waitingReads, v.roundInFlight = nil, nil, 0
 }
 
 // surely runs f on the voter's goroutine, once it is sure to lead, and waits for it.
-func (v *voter) surely(limit time.Duration, f func(sure bool)) error {
+func (v *voter) asLeader(limit time.Duration, f func(sure bool)) error {
 	finished := make(chan struct{})
 	err := v.post(func() {
-		v.waiting = append(v.waiting, read{then: func(sure bool) { f(sure); close(finished) }})
+		v.waitingReads = append(v.waitingReads, pendingRead{then: func(sure bool) { f(sure); close(finished) }})
 	})
 	if err != nil {
 		return err
@@ -76,6 +76,6 @@
 	case <-time.After(limit):
 		return errors.New("the voters take too long")
 	case <-v.done:
-		return errBusy
+		return errVoterBusy
 	}
 }
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -26,7 +26,7 @@
 	Index       uint64        `json:"index"`
 	Record      agree.Record  `json:"book"` // what the whole log makes, the entries too of which it is not known whether they were decided
 	ActsOn      agree.Version `json:"acts"` // the version that the dispatcher acted on last
-	bears       []byte
+	warmRates   []byte
 }
 
 // Newer tells whether r's log goes further than another.
@@ -56,18 +56,18 @@
 
 func (r *SurveyResult) read(l *raftlog.Log) error {
 	r.Cluster, r.Disk = l.Identity().Cluster, l.Identity().Disk
-	text, err := l.Value(lifeNote)
+	text, err := l.Value(savedStateNote)
 	if err != nil {
 		return err
 	}
 	if text != nil {
-		var was life
+		var was savedState
 		if err := jsoniter.Unmarshal(text, &was); err != nil {
 			return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
 		}
-		r.ActsOn = was.Acts
+		r.ActsOn = was.ActsOn
 	}
-	if r.bears, err = l.Value(bearsNote); err != nil {
+	if r.warmRates, err = l.Value(warmRatesNote); err != nil {
 		return err
 	}
 	store := l.Storage()
@@ -89,7 +89,7 @@
 		return err
 	}
 	for _, e := range entries {
-		change, _, err := changeOf(e)
+		change, _, err := decodeEntry(e)
 		if err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 }
 
 // changeOf gives the change of the record that an entry makes, and the change of the consensus' own members; nil for none.
-func changeOf(e *raftpb.Entry) (change *agree.Entry, seats *raftpb.ConfChangeV2, err error) {
+func decodeEntry(e *raftpb.Entry) (change *agree.Entry, seats *raftpb.ConfChangeV2, err error) {
 	data := e.GetData()
 	switch e.GetType() {
 	case raftpb.EntryConfChangeV2:
@@ -126,7 +126,7 @@
 }
 
 // bearsNote is the program's note that goes over to a new cluster, as it is about replicas.
-const bearsNote = "program.bears"
+const warmRatesNote = "program.bears"
 
 // Refound makes a new cluster out of what is left of a lost one, whose voters' logs are gone for the greater part, with this folder's voter
 // as its first. others are the folders of all dispatchers that are left; the newest log must be this one's. The old log is kept beside the
@@ -164,7 +164,7 @@
 	if opt.Hooks.Rebootstrap != nil {
 		opt.Hooks.Rebootstrap(&own.Record, &book)
 	}
-	return book, replaceLog(&own, disk, func(l *raftlog.Log) error { return begin(l, &book) })
+	return book, replaceLog(&own, disk, func(l *raftlog.Log) error { return writeInitialLog(l, &book) })
 }
 
 // Leave has a folder forget the cluster that it belongs to, so that its dispatcher can come into the one that took its place. The old log is
@@ -193,8 +193,8 @@
 		return err
 	}
 	err = fill(l)
-	if err == nil && old.bears != nil {
-		err = l.SetValue(bearsNote, old.bears)
+	if err == nil && old.warmRates != nil {
+		err = l.SetValue(warmRatesNote, old.warmRates)
 	}
 	if err = errors.Join(err, l.Close()); err != nil {
 		return err
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -16,18 +16,18 @@
 )
 
 // state is a state folder of a story.
-func state(t *testing.T) Options {
+func newStateFolder(t *testing.T) Options {
 	return Options{Name: "a", Voters: map[string]string{"a": "x", "b": "y", "c": "z"}, Folder: t.TempDir()}
 }
 
 // founded gives a folder whose log holds version 1 in force, and version 2 too if that is so.
-func founded(t *testing.T, entries ...agree.Entry) Options {
+func bootstrapped(t *testing.T, entries ...agree.Entry) Options {
 	t.Helper()
-	opt := state(t)
+	opt := newStateFolder(t)
 	if err := Bootstrap(opt, `{"limits":{"try_limit":1}}`, map[string]string{"limits.try_limit": "1"}, "p1"); err != nil {
 		t.Fatal(err)
 	}
-	writes(t, opt.Folder, func(l *raftlog.Log) error {
+	writeLog(t, opt.Folder, func(l *raftlog.Log) error {
 		for i, e := range entries {
 			data, err := jsoniter.Marshal(&e)
 			if err != nil {
@@ -43,7 +43,7 @@
 	return opt
 }
 
-func writes(t *testing.T, folder string, f func(l *raftlog.Log) error) {
+func writeLog(t *testing.T, folder string, f func(l *raftlog.Log) error) {
 	t.Helper()
 	l, err := raftlog.Open(LogPath(folder), NewID)
 	if err == nil {
@@ -54,26 +54,26 @@
 	}
 }
 
-var two = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
+var proposeAndActivate = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
 	{Activate: &agree.Activate{Number: 2}}}
 
 // Guards: the new cluster holds what the newest log holds, the entries too that were not known to be decided; what a dispatcher acted on
 // that no log has; a cluster number and a disk that are new. The log of before is kept, a try that was cut short does no harm, and all that
 // does not go together is refused by naming it.
-func TestRefoundFromWhatIsLeft(t *testing.T) {
-	opt := founded(t, two...)
+func TestRebootstrapFromSurvivingFolders(t *testing.T) {
+	opt := bootstrapped(t, proposeAndActivate...)
 	was, err := Survey(opt.Folder)
 	if err != nil || was.Record.InForceNumber != 2 || was.Term != 2 || was.Index != 3 || !was.HasVoterLog {
 		t.Fatalf("%+v, %v", was, err)
 	}
-	member := state(t) // it never voted, and acted on what no log that is left holds
-	writes(t, member.Folder, func(l *raftlog.Log) error {
-		text, err := jsoniter.Marshal(&life{Acts: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
-		return errors.Join(err, l.SetValue(lifeNote, text), l.SetCluster(was.Cluster))
+	member := newStateFolder(t) // it never voted, and acted on what no log that is left holds
+	writeLog(t, member.Folder, func(l *raftlog.Log) error {
+		text, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
+		return errors.Join(err, l.SetValue(savedStateNote, text), l.SetCluster(was.Cluster))
 	})
-	foreign := founded(t)
+	foreign := bootstrapped(t)
 	older, newer := copyOf(t, opt.Folder), copyOf(t, opt.Folder)
-	writes(t, newer, func(l *raftlog.Log) error {
+	writeLog(t, newer, func(l *raftlog.Log) error {
 		term, index := uint64(3), uint64(4)
 		return l.Save(nil, []*raftpb.Entry{{Term: &term, Index: &index}}, nil)
 	})
@@ -111,9 +111,9 @@
 }
 
 // Guards: a dispatcher that leaves a lost cluster belongs to none, has another disk, and still knows what replicas bear.
-func TestLeaveALostCluster(t *testing.T) {
-	opt := founded(t, two...)
-	writes(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(bearsNote, []byte(`{"w":3}`)) })
+func TestLeaveCluster(t *testing.T) {
+	opt := bootstrapped(t, proposeAndActivate...)
+	writeLog(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(warmRatesNote, []byte(`{"w":3}`)) })
 	was, err := Survey(opt.Folder)
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster != 0 || is.Disk == was.Disk || is.HasVoterLog || string(is.bears) != `{"w":3}` {
+	if err != nil || is.Cluster != 0 || is.Disk == was.Disk || is.HasVoterLog || string(is.warmRates) != `{"w":3}` {
 		t.Errorf("%+v, %v", is, err)
 	}
 	if _, err := Survey(t.TempDir()); !errors.Is(err, fs.ErrNotExist) {
--- /dev/null
+++ b/internal/agreement/requests.go
@@ -0,0 +1,175 @@
+package agreement
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	jsoniter "github.com/json-iterator/go"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"standpulley/internal/agree"
+)
+
+// renew books a renewal and answers it. The lease counts for its dispatcher from when it sent the renewal; all that is
+// told here was so after it had come.
+func (v *voter) renew(r agree.Renewal) (renewResponse, error) {
+	answer := make(chan renewResponse, 1)
+	err := v.asLeader(v.n.opt.Timing.AcceptFor, func(sure bool) {
+		a := renewResponse{Leader: v.leaderName(), Confirmed: sure && v.record.InForce() != nil, Cluster: v.record.Cluster, Revision: v.record.Revision}
+		if !a.Confirmed {
+			a.Why = "no leader yet"
+			answer <- a
+			return
+		}
+		a.Lease = v.leases.Renew(v.n.now(), r, &v.record)
+		a.ServingMS = v.leases.LongestServing(v.n.now(), r.Name)
+		if r.WantsWarmRates {
+			a.WarmRates = v.leases.WarmRates(v.n.now())
+		}
+		force := v.record.VersionFor(r.Name)
+		a.InForce = versionInfoOf(force, r.CachedVersion == force.Number)
+		if open := v.record.InProgress(); open != nil && open.Number != r.Checked {
+			a.InProgress = versionInfoOf(open, false)
+		}
+		switch {
+		case !v.record.Complete:
+			a.Why = fmt.Sprintf("%d of %d voters have taken their seats", len(v.record.Seats), v.record.RequiredSeats)
+		case !a.Lease && r.Unfit == nil && !r.Leaving:
+			a.Why = "a version is being put in force that this dispatcher has not checked"
+		}
+		if v.n.opt.Lists != nil {
+			a.List = v.lists.update(v, r)
+		}
+		answer <- a
+	})
+	if err != nil {
+		return renewResponse{}, err
+	}
+	return <-answer, nil
+}
+
+// propose brings an entry of a dispatcher before the voters.
+func (v *voter) propose(e agree.Entry) (proposeResponse, error) {
+	id := e.Request()
+	if p := e.Propose; p != nil {
+		if len(p.Content) > agree.MaxContent {
+			return proposeResponse{Error: fmt.Sprintf("%d bytes are too many: a version holds %d at most", len(p.Content), agree.MaxContent)}, nil
+		}
+		if fault := agree.CheckKeys(p.Keys); fault != nil {
+			return proposeResponse{Error: fault.Error()}, nil
+		}
+	}
+	if id == "" {
+		return proposeResponse{}, errors.New("no request that is brought before the voters, or without a number of its own")
+	}
+	answer := make(chan proposeResponse, 2)
+	err := v.post(func() {
+		if !v.isLeader {
+			answer <- v.notLeader()
+			return
+		}
+		v.proposals[id] = answer
+		if err := v.proposeEntry(e); err != nil {
+			delete(v.proposals, id)
+			answer <- v.notLeader()
+		}
+	})
+	if err != nil {
+		return proposeResponse{}, err
+	}
+	select {
+	case p := <-answer:
+		return p, nil
+	case <-time.After(proposeTimeout):
+		return proposeResponse{}, errors.New("the voters take too long")
+	case <-v.done:
+		return proposeResponse{}, errVoterBusy
+	}
+}
+
+// show gives the record, or parts of it, as it surely is.
+func (v *voter) show(x ViewFilter) (*View, error) {
+	answer := make(chan *View, 1)
+	err := v.asLeader(proposeTimeout, func(sure bool) {
+		if !sure {
+			answer <- nil
+			return
+		}
+		now := v.n.now()
+		view := &View{Record: x.copyFrom(&v.record), Leader: v.n.opt.Name, Term: v.term, WaitingFor: v.leases.WaitingFor(now, &v.record)}
+		v.lists.addTo(view)
+		for _, m := range v.leases.Members {
+			view.Members = append(view.Members, MemberView{m.Renewal, max(m.LeaseEnd-now, 0).Milliseconds(), (now - m.LastRenewal).Milliseconds()})
+		}
+		answer <- view
+	})
+	if err != nil {
+		return nil, err
+	}
+	if view := <-answer; view != nil {
+		return view, nil
+	}
+	return nil, errNoLeader
+}
+
+// sit lets a voter take its seat: an empty one, or by an operator's word that of a disk that is lost.
+func (v *voter) takeSeat(s seatRequest) (proposeResponse, error) {
+	answer := make(chan proposeResponse, 1)
+	err := v.asLeader(proposeTimeout, func(sure bool) {
+		if !sure {
+			answer <- v.notLeader()
+			return
+		}
+		if _, votes := v.n.opt.Voters[s.Name]; !votes {
+			answer <- proposeResponse{Error: fmt.Sprintf("%s is no voter by the file of %s", s.Name, v.n.opt.Name)}
+			return
+		}
+		disk, taken := v.record.SeatOf(s.Name)
+		var changes []*raftpb.ConfChangeSingle
+		switch {
+		case taken && disk == s.Disk:
+			answer <- proposeResponse{}
+			return
+		case taken && !s.Replace:
+			answer <- proposeResponse{Error: fmt.Sprintf("the seat of %s is that of disk %x, and this is %x: if its log is lost, an operator gives the seat on "+
+				"(standpulley settings seat)", s.Name, disk, s.Disk)}
+			return
+		case taken:
+			changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, disk))
+		}
+		changes = append(changes, confChange(raftpb.ConfChangeAddNode, s.Disk))
+		text, err := jsoniter.Marshal(agree.Entry{TakeSeat: &agree.Seat{Name: s.Name, Disk: s.Disk}})
+		if err == nil {
+			v.voterNames[s.Disk] = s.Name
+			err = v.rn.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: text})
+		}
+		if err != nil {
+			answer <- proposeResponse{Error: err.Error()}
+			return
+		}
+		answer <- proposeResponse{}
+	})
+	if err != nil {
+		return proposeResponse{}, err
+	}
+	return <-answer, nil
+}
+
+func confChange(kind raftpb.ConfChangeType, disk uint64) *raftpb.ConfChangeSingle {
+	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: &disk}
+}
+
+// wait gives the record's stamp once it is another than one that is known, or after a while.
+func (v *voter) waitForChange(known uint64, limit time.Duration) uint64 {
+	s := v.watch.Load()
+	if s.revision != known {
+		return s.revision
+	}
+	select {
+	case <-s.changed:
+	case <-time.After(limit):
+	case <-v.done:
+	}
+	return v.watch.Load().revision
+}
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -12,7 +12,7 @@
 	"standpulley/internal/peers"
 )
 
-const queueBytes = 8 << 20
+const maxQueueBytes = 8 << 20
 
 // sender carries a voter's frames to another one, in order, as many as wait in one call. What there is no room for is
 // dropped: the consensus sends it anew.
@@ -21,10 +21,10 @@
 	name string
 	link *peers.Link
 
-	mu    sync.Mutex
-	queue []byte
-	snaps []uint64 // disks to which a snapshot is in the queue
-	work  chan struct{}
+	mu        sync.Mutex
+	queue     []byte
+	snapshots []uint64 // disks to which a snapshot is in the queue
+	work      chan struct{}
 }
 
 func newSender(n *Node, name string, link *peers.Link) *sender {
@@ -34,20 +34,20 @@
 }
 
 // put takes a frame, or tells that there is no room.
-func (s *sender) put(m *raftpb.Message) bool {
+func (s *sender) enqueue(m *raftpb.Message) bool {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue)+len(text) > queueBytes {
+	if len(s.queue)+len(text) > maxQueueBytes {
 		s.n.counts.RecordDrop(peers.QueueFull, s.name, "frames wait for a voter that takes none")
 		return false
 	}
 	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(text))), text...)
 	if m.GetType() == raftpb.MsgSnap {
-		s.snaps = append(s.snaps, m.GetTo())
+		s.snapshots = append(s.snapshots, m.GetTo())
 	}
 	select {
 	case s.work <- struct{}{}:
@@ -64,8 +64,8 @@
 		case <-s.work:
 		}
 		s.mu.Lock()
-		frames, snaps := s.queue, s.snaps
-		s.queue, s.snaps = nil, nil
+		frames, snaps := s.queue, s.snapshots
+		s.queue, s.snapshots = nil, nil
 		s.mu.Unlock()
 		_, err := s.link.Call(peers.RaftPath, frames, s.n.opt.Timing.AcceptFor)
 		status := raft.SnapshotFinish
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	inboxSize    = 512
-	compactEvery = 128 // entries
-	raftBytes    = 1 << 20
-	proposeWait  = 3 * time.Second // for an entry to be applied
-	newsWait     = 5 * time.Second
-	retryTicks   = 4 // before what is due is proposed again
+	inboxSize       = 512
+	compactEvery    = 128 // entries
+	maxMessageBytes = 1 << 20
+	proposeTimeout  = 3 * time.Second // for an entry to be applied
+	changeTimeout   = 5 * time.Second
+	retryTicks      = 4 // before what is due is proposed again
 )
 
 // voter is one of those who decide. One goroutine owns the consensus, the log and the record; others post to it.
@@ -29,49 +29,49 @@
 	n     *Node
 	inbox chan func()
 	done  chan struct{}
-	state atomic.Pointer[stamped] // for who waits for news
+	watch atomic.Pointer[revisionWatch] // for who waits for news
 
 	// What follows belongs to the goroutine.
-	rn      *raft.RawNode
-	conf    *raftpb.ConfState
-	book    agree.Record
-	applied uint64
-	kept    uint64 // the index of the last snapshot
-	seated  bool   // seats have changed since: a voter takes no snapshot from before it had one
-	leads   bool
-	leader  uint64
-	term    uint64
-	tally   *agree.LeaseTable
-	waiting []read
-	flying  []read // asked with the consensus, under the number asked
-	rounds  uint64
-	asked   uint64
-	askedAt time.Duration
-	answers map[string]chan proposed // by the proposal's ID
-	dueAt   time.Duration            // what is due is not proposed again before
-	names   map[uint64]string        // of voters by their disk
-	lists   listing                  // the leader's view of the register
-	senders map[string]*sender
+	rn            *raft.RawNode
+	confState     *raftpb.ConfState
+	record        agree.Record
+	applied       uint64
+	snapshotIndex uint64 // the index of the last snapshot
+	seatsChanged  bool   // seats have changed since: a voter takes no snapshot from before it had one
+	isLeader      bool
+	leader        uint64
+	term          uint64
+	leases        *agree.LeaseTable
+	waitingReads  []pendingRead
+	readsInFlight []pendingRead // asked with the consensus, under the number asked
+	lastRound     uint64
+	roundInFlight uint64
+	roundStart    time.Duration
+	proposals     map[string]chan proposeResponse // by the proposal's ID
+	nextProposal  time.Duration                   // what is due is not proposed again before
+	voterNames    map[uint64]string               // of voters by their disk
+	lists         listLeader                      // the leader's view of the register
+	senders       map[string]*sender
 }
 
 // stamped is the record's stamp and what is closed when there is another.
-type stamped struct {
-	stamp   uint64
-	changed chan struct{}
+type revisionWatch struct {
+	revision uint64
+	changed  chan struct{}
 }
 
 // read waits until it is sure that this voter leads and has applied all that was decided before the read came.
-type read struct {
+type pendingRead struct {
 	index uint64 // to be applied first; 0 while that is not known
 	then  func(sure bool)
 }
 
-var errBusy = errors.New("the voter is busy")
+var errVoterBusy = errors.New("the voter is busy")
 
 func newVoter(n *Node) (*voter, error) {
-	v := &voter{n: n, inbox: make(chan func(), inboxSize), done: make(chan struct{}), answers: map[string]chan proposed{},
-		names: map[uint64]string{}, senders: map[string]*sender{}}
-	v.state.Store(&stamped{0, make(chan struct{})})
+	v := &voter{n: n, inbox: make(chan func(), inboxSize), done: make(chan struct{}), proposals: map[string]chan proposeResponse{},
+		voterNames: map[uint64]string{}, senders: map[string]*sender{}}
+	v.watch.Store(&revisionWatch{0, make(chan struct{})})
 	store := n.log.Storage()
 	snap, err := store.Snapshot()
 	if err != nil {
@@ -83,8 +83,8 @@
 		}
 	}
 	v.rn, err = raft.NewRawNode(&raft.Config{ID: n.log.Identity().Disk, ElectionTick: agree.ElectionTicks, HeartbeatTick: 1, Storage: store,
-		Applied: v.applied, MaxSizePerMsg: raftBytes, MaxUncommittedEntriesSize: 4 * raftBytes, MaxInflightMsgs: 64,
-		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: quiet{}})
+		Applied: v.applied, MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: 4 * maxMessageBytes, MaxInflightMsgs: 64,
+		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftLogger{}})
 	if err != nil {
 		return nil, err
 	}
@@ -99,14 +99,14 @@
 	if err := jsoniter.Unmarshal(snap.GetData(), &book); err != nil {
 		return fmt.Errorf("the snapshot of the agreement: %w", err)
 	}
-	v.book, v.applied, v.kept, v.conf = book, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
+	v.record, v.applied, v.snapshotIndex, v.confState = book, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
 	v.nameSeats()
 	return nil
 }
 
 func (v *voter) nameSeats() {
-	for _, s := range v.book.Seats {
-		v.names[s.Disk] = s.Name
+	for _, s := range v.record.Seats {
+		v.voterNames[s.Disk] = s.Name
 	}
 }
 
@@ -130,11 +130,11 @@
 			f()
 		case <-tick.C:
 			v.rn.Tick()
-			if v.asked != 0 && v.n.now()-v.askedAt > v.n.opt.Timing.Tick*agree.ElectionTicks {
+			if v.roundInFlight != 0 && v.n.now()-v.roundStart > v.n.opt.Timing.Tick*agree.ElectionTicks {
 				v.failReads()
 			}
-			if join++; join%agree.ElectionTicks == 0 && v.conf == nil {
-				go v.n.askSeat(false)
+			if join++; join%agree.ElectionTicks == 0 && v.confState == nil {
+				go v.n.requestSeat(false)
 			}
 		}
 		if err := v.step(); err != nil {
@@ -149,7 +149,7 @@
 func (v *voter) post(f func()) error {
 	select {
 	case <-v.done:
-		return errBusy
+		return errVoterBusy
 	default:
 	}
 	select {
@@ -157,20 +157,20 @@
 		return nil
 	default:
 		v.n.counts.RecordDrop(peers.QueueFull, v.n.opt.Name, "the voter's inbox is full")
-		return errBusy
+		return errVoterBusy
 	}
 }
 
 // step does what is due and carries out what the consensus wants: write, then send, then apply.
 func (v *voter) step() error {
-	v.due()
-	v.ask()
+	v.proposeDue()
+	v.startReadRound()
 	for v.rn.HasReady() {
 		rd := v.rn.Ready()
 		if rd.SoftState != nil {
-			v.lead(rd.SoftState)
+			v.setLeader(rd.SoftState)
 		}
-		if err := v.n.disk.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
+		if err := v.n.logWriter.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
 			return err
 		}
 		if rd.HardState != nil {
@@ -183,8 +183,8 @@
 			if err := v.restore(rd.Snapshot); err != nil {
 				return err
 			}
-			v.join()
-			v.change()
+			v.recordCluster()
+			v.notifyChange()
 		}
 		for _, e := range rd.CommittedEntries {
 			if err := v.apply(e); err != nil {
@@ -192,71 +192,73 @@
 			}
 		}
 		for _, s := range rd.ReadStates {
-			v.found(s)
+			v.readIndexReady(s)
 		}
 		v.rn.Advance(rd)
 		v.answerReads()
-		v.due()
-		v.ask()
+		v.proposeDue()
+		v.startReadRound()
 	}
-	if v.applied >= v.kept+compactEvery || v.seated {
-		data, err := jsoniter.Marshal(&v.book)
+	if v.applied >= v.snapshotIndex+compactEvery || v.seatsChanged {
+		data, err := jsoniter.Marshal(&v.record)
 		if err != nil {
 			return err
 		}
-		if err := v.n.log.Compact(v.applied, v.conf, data); err != nil {
+		if err := v.n.log.Compact(v.applied, v.confState, data); err != nil {
 			return err
 		}
-		v.kept, v.seated = v.applied, false
+		v.snapshotIndex, v.seatsChanged = v.applied, false
 	}
 	return nil
 }
 
 // lead notes who leads. A new leader knows nothing of the leases that others granted.
-func (v *voter) lead(s *raft.SoftState) {
-	was := v.leads
-	v.leads, v.leader = s.RaftState == raft.StateLeader, s.Lead
+func (v *voter) setLeader(s *raft.SoftState) {
+	was := v.isLeader
+	v.isLeader, v.leader = s.RaftState == raft.StateLeader, s.Lead
 	switch {
-	case v.leads && !was:
-		v.tally = agree.NewLeaseTable(v.n.now(), v.n.opt.Timing)
-		v.lists.begin(v)
+	case v.isLeader && !was:
+		v.leases = agree.NewLeaseTable(v.n.now(), v.n.opt.Timing)
+		v.lists.reset(v)
 		v.n.elections.Add(1)
 		slog.Info("agreement: this dispatcher leads the voters", "term", v.term)
-	case was && !v.leads:
-		v.tally = nil
+	case was && !v.isLeader:
+		v.leases = nil
 		v.failReads()
-		for id, c := range v.answers { // whether they were decided another voter can tell
-			c <- v.elsewhere()
-			delete(v.answers, id)
+		for id, c := range v.proposals { // whether they were decided another voter can tell
+			c <- v.notLeader()
+			delete(v.proposals, id)
 		}
 		slog.Info("agreement: this dispatcher leads no more", "term", v.term)
 	}
 }
 
 // elsewhere says that this voter does not lead.
-func (v *voter) elsewhere() proposed { return proposed{Elsewhere: true, Leader: v.leaderName()} }
+func (v *voter) notLeader() proposeResponse {
+	return proposeResponse{NotLeader: true, Leader: v.leaderName()}
+}
 
-func (v *voter) leaderName() string { return v.names[v.leader] }
+func (v *voter) leaderName() string { return v.voterNames[v.leader] }
 
 // due proposes what the record and the leases allow.
-func (v *voter) due() {
+func (v *voter) proposeDue() {
 	now := v.n.now()
-	if !v.leads || now < v.dueAt {
+	if !v.isLeader || now < v.nextProposal {
 		return
 	}
 	if v.n.opt.Hooks.Leases != nil {
-		v.n.opt.Hooks.Leases(v.tally)
+		v.n.opt.Hooks.Leases(v.leases)
 	}
-	if e := v.tally.Next(now, &v.book); e != nil {
-		v.dueAt = now + retryTicks*v.n.opt.Timing.Tick
-		if err := v.put(*e); err != nil {
+	if e := v.leases.Next(now, &v.record); e != nil {
+		v.nextProposal = now + retryTicks*v.n.opt.Timing.Tick
+		if err := v.proposeEntry(*e); err != nil {
 			slog.Warn("agreement: what is due was not proposed", "error", err)
 		}
 	}
-	v.lists.due(v, now)
+	v.lists.proposeDue(v, now)
 }
 
-func (v *voter) put(e agree.Entry) error {
+func (v *voter) proposeEntry(e agree.Entry) error {
 	data, err := jsoniter.Marshal(&e)
 	if err != nil {
 		return err
@@ -266,61 +268,61 @@
 
 func (v *voter) apply(e *raftpb.Entry) error {
 	v.applied = e.GetIndex()
-	change, seats, err := changeOf(e)
+	change, seats, err := decodeEntry(e)
 	if err != nil {
 		return err
 	}
 	if seats != nil {
 		if change != nil {
-			if _, err := v.book.Apply(*change); err != nil {
+			if _, err := v.record.Apply(*change); err != nil {
 				slog.Warn("agreement: a seat was not taken", "error", err)
-				v.conf = v.rn.ApplyConfChange(&raftpb.ConfChangeV2{}) // nothing changes
+				v.confState = v.rn.ApplyConfChange(&raftpb.ConfChangeV2{}) // nothing changes
 				return nil
 			}
 			v.nameSeats()
 			slog.Info("agreement: a voter has taken its seat", "voter", change.TakeSeat.Name, "disk", fmt.Sprintf("%x", change.TakeSeat.Disk))
 		}
-		v.conf, v.seated = v.rn.ApplyConfChange(seats), true
-		v.join()
-		v.change()
+		v.confState, v.seatsChanged = v.rn.ApplyConfChange(seats), true
+		v.recordCluster()
+		v.notifyChange()
 		return nil
 	}
 	if change == nil {
 		return nil
 	}
 	if v.n.opt.Hooks.Entry != nil {
-		v.n.opt.Hooks.Entry(&v.book, change)
+		v.n.opt.Hooks.Entry(&v.record, change)
 	}
-	number, err := v.book.Apply(*change)
-	v.dueAt = 0
+	number, err := v.record.Apply(*change)
+	v.nextProposal = 0
 	if change.Change != nil || change.Census != nil {
-		v.lists.dueAt = 0
+		v.lists.nextProposal = 0
 	}
 	id := change.Request()
-	if c := v.answers[id]; c != nil {
-		p := proposed{Number: number}
+	if c := v.proposals[id]; c != nil {
+		p := proposeResponse{Number: number}
 		if err != nil {
 			p.Error = err.Error()
 		}
 		c <- p
-		delete(v.answers, id)
+		delete(v.proposals, id)
 	}
 	if err == nil {
-		v.change()
+		v.notifyChange()
 	}
 	return nil
 }
 
 // join notes the cluster that this voter has a part in.
-func (v *voter) join() {
-	if v.book.Cluster != 0 && v.n.log.Identity().Cluster == 0 {
-		v.n.noteCluster(v.book.Cluster)
+func (v *voter) recordCluster() {
+	if v.record.Cluster != 0 && v.n.log.Identity().Cluster == 0 {
+		v.n.recordCluster(v.record.Cluster)
 	}
 }
 
 // change tells all that wait for news.
-func (v *voter) change() {
-	before := v.state.Swap(&stamped{v.book.Revision, make(chan struct{})})
+func (v *voter) notifyChange() {
+	before := v.watch.Swap(&revisionWatch{v.record.Revision, make(chan struct{})})
 	close(before.changed)
-	v.n.poke()
+	v.n.wakeMember()
 }
