--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -15,16 +15,16 @@
 // founded gives a Book with all its seats taken and version 1 in force.
 func bootstrapped(t testing.TB) *Record {
 	t.Helper()
-	b := &Record{}
-	mustApply(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 7, RequiredSeats: 3, Seat: Seat{"a", 1}, First: Propose{Content: "1", Keys: keysWith("6", "1"), Fingerprint: "p1"}}})
-	mustApply(t, b, Entry{TakeSeat: &Seat{"b", 2}})
-	mustApply(t, b, Entry{TakeSeat: &Seat{"c", 3}})
-	return b
+	rec := &Record{}
+	mustApply(t, rec, Entry{Bootstrap: &Bootstrap{Cluster: 7, RequiredSeats: 3, Seat: Seat{"a", 1}, First: Propose{Content: "1", Keys: keysWith("6", "1"), Fingerprint: "p1"}}})
+	mustApply(t, rec, Entry{TakeSeat: &Seat{"b", 2}})
+	mustApply(t, rec, Entry{TakeSeat: &Seat{"c", 3}})
+	return rec
 }
 
-func mustApply(t testing.TB, b *Record, e Entry) uint64 {
+func mustApply(t testing.TB, rec *Record, e Entry) uint64 {
 	t.Helper()
-	n, err := b.Apply(e)
+	n, err := rec.Apply(e)
 	if err != nil {
 		t.Fatalf("%+v: %v", e, err)
 	}
@@ -35,73 +35,73 @@
 	return Entry{Propose: &Propose{ID: id, Base: base, Content: id, Keys: keys, Fingerprint: "p" + id, By: "op"}}
 }
 
-func expectRefusal(t *testing.T, b *Record, e Entry, words ...string) {
+func expectRefusal(t *testing.T, rec *Record, e Entry, fragments ...string) {
 	t.Helper()
-	before := fmt.Sprintf("%+v", b.Versions)
-	_, err := b.Apply(e)
-	for _, w := range words {
-		if err == nil || !strings.Contains(err.Error(), w) {
-			t.Errorf("%+v: %v, wanted %q", e, err, w)
+	before := fmt.Sprintf("%+v", rec.Versions)
+	_, err := rec.Apply(e)
+	for _, fragment := range fragments {
+		if err == nil || !strings.Contains(err.Error(), fragment) {
+			t.Errorf("%+v: %v, wanted %q", e, err, fragment)
 		}
 	}
-	if after := fmt.Sprintf("%+v", b.Versions); after != before {
+	if after := fmt.Sprintf("%+v", rec.Versions); after != before {
 		t.Errorf("a refusal changed %s to %s", before, after)
 	}
 }
 
 func TestVersionsAreProposedFromTheOneInForce(t *testing.T) {
-	b := bootstrapped(t)
-	n := mustApply(t, b, proposal("x", 1, keysWith("5", "1")))
-	expectRefusal(t, b, proposal("y", 1, keysWith("4", "1")), "version 2", "under way", "limits.try_limit")
-	if again, err := b.Apply(proposal("x", 1, keysWith("5", "1"))); err != nil || again != n || b.LastNumber != 2 {
-		t.Errorf("the same proposal twice: %d, %v, last %d", again, err, b.LastNumber)
-	}
-	mustApply(t, b, Entry{Activate: &Activate{Number: n}})
-	expectRefusal(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
-	expectRefusal(t, b, proposal("z", 1, keysWith("4", "2")), "made from version 1, and 2 is in force", "limits.try_limit")
-	expectRefusal(t, b, proposal("same", 2, keysWith("5", "1")), "no key differs")
-	expectRefusal(t, b, Entry{TurnDown: &TurnDown{Number: 2}}, "not under way")
+	rec := bootstrapped(t)
+	n := mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
+	expectRefusal(t, rec, proposal("y", 1, keysWith("4", "1")), "version 2", "under way", "limits.try_limit")
+	if again, err := rec.Apply(proposal("x", 1, keysWith("5", "1"))); err != nil || again != n || rec.LastNumber != 2 {
+		t.Errorf("the same proposal twice: %d, %v, last %d", again, err, rec.LastNumber)
+	}
+	mustApply(t, rec, Entry{Activate: &Activate{Number: n}})
+	expectRefusal(t, rec, Entry{Activate: &Activate{Number: n}}, "not under way")
+	expectRefusal(t, rec, proposal("z", 1, keysWith("4", "2")), "made from version 1, and 2 is in force", "limits.try_limit")
+	expectRefusal(t, rec, proposal("same", 2, keysWith("5", "1")), "no key differs")
+	expectRefusal(t, rec, Entry{TurnDown: &TurnDown{Number: 2}}, "not under way")
 	// A number that was turned down is not given again, and going back is a new number.
-	n = mustApply(t, b, proposal("bad", 2, keysWith("1", "1")))
-	mustApply(t, b, Entry{TurnDown: &TurnDown{Number: n, Member: "c", Fault: Fault{"limits.try_limit", "too few"}}})
-	expectRefusal(t, b, Entry{Activate: &Activate{Number: n}}, "not under way")
+	n = mustApply(t, rec, proposal("bad", 2, keysWith("1", "1")))
+	mustApply(t, rec, Entry{TurnDown: &TurnDown{Number: n, Member: "c", Fault: Fault{"limits.try_limit", "too few"}}})
+	expectRefusal(t, rec, Entry{Activate: &Activate{Number: n}}, "not under way")
 	back := proposal("back", 2, keysWith("6", "1"))
 	back.Propose.RollbackTo = 1
-	if n := mustApply(t, b, back); n != 4 || b.Version(4).RollbackTo != 1 || b.InForceNumber != 2 {
-		t.Errorf("back as %d, in force %d", n, b.InForceNumber)
+	if n := mustApply(t, rec, back); n != 4 || rec.Version(4).RollbackTo != 1 || rec.InForceNumber != 2 {
+		t.Errorf("back as %d, in force %d", n, rec.InForceNumber)
 	}
-	mustApply(t, b, Entry{Withdraw: &Withdraw{ID: "w", Number: 4, By: "op"}})
-	if b.Version(4).State != Withdrawn || b.InProgress() != nil || b.InForce().Number != 2 || b.Decisions != 2 {
-		t.Errorf("%+v", b)
+	mustApply(t, rec, Entry{Withdraw: &Withdraw{ID: "w", Number: 4, By: "op"}})
+	if rec.Version(4).State != Withdrawn || rec.InProgress() != nil || rec.InForce().Number != 2 || rec.Decisions != 2 {
+		t.Errorf("%+v", rec)
 	}
 }
 
 func TestSeats(t *testing.T) {
-	b := bootstrapped(t)
-	expectRefusal(t, b, Entry{TakeSeat: &Seat{"d", 3}}, "has a seat")
-	mustApply(t, b, Entry{TakeSeat: &Seat{"c", 9}})
-	expectRefusal(t, b, Entry{TakeSeat: &Seat{"c", 3}}, "had a seat before")
-	if disk, ok := b.SeatOf("c"); disk != 9 || !ok || !b.Complete || !slices.Equal(b.RetiredDisks, []uint64{3}) {
-		t.Errorf("%+v", b)
-	}
-	expectRefusal(t, b, Entry{Bootstrap: &Bootstrap{Cluster: 8}}, "founded before")
+	rec := bootstrapped(t)
+	expectRefusal(t, rec, Entry{TakeSeat: &Seat{"d", 3}}, "has a seat")
+	mustApply(t, rec, Entry{TakeSeat: &Seat{"c", 9}})
+	expectRefusal(t, rec, Entry{TakeSeat: &Seat{"c", 3}}, "had a seat before")
+	if disk, ok := rec.SeatOf("c"); disk != 9 || !ok || !rec.Complete || !slices.Equal(rec.RetiredDisks, []uint64{3}) {
+		t.Errorf("%+v", rec)
+	}
+	expectRefusal(t, rec, Entry{Bootstrap: &Bootstrap{Cluster: 8}}, "founded before")
 }
 
 func TestContentsAreKeptWithinBounds(t *testing.T) {
-	b := bootstrapped(t)
+	rec := bootstrapped(t)
 	for i := range 3 * maxKeptVersions {
-		e := proposal(fmt.Sprint(i), b.InForceNumber, keysWith(fmt.Sprint(i), "1"))
+		e := proposal(fmt.Sprint(i), rec.InForceNumber, keysWith(fmt.Sprint(i), "1"))
 		e.Propose.Content = strings.Repeat("x", 40<<10)
-		mustApply(t, b, Entry{Activate: &Activate{Number: mustApply(t, b, e)}})
+		mustApply(t, rec, Entry{Activate: &Activate{Number: mustApply(t, rec, e)}})
 	}
 	bytes := 0
-	for _, v := range b.Versions {
+	for _, v := range rec.Versions {
 		bytes += len(v.Content)
 	}
-	if bytes > maxKeptBytes+40<<10 || len(b.Results) > maxKeptResults || b.InForce() == nil || b.LastNumber != 3*maxKeptVersions+1 {
-		t.Errorf("%d bytes, %d answers, last %d", bytes, len(b.Results), b.LastNumber)
+	if bytes > maxKeptBytes+40<<10 || len(rec.Results) > maxKeptResults || rec.InForce() == nil || rec.LastNumber != 3*maxKeptVersions+1 {
+		t.Errorf("%d bytes, %d answers, last %d", bytes, len(rec.Results), rec.LastNumber)
 	}
-	expectRefusal(t, b, proposal("old", 1, keysWith("9", "1")), "no longer kept")
+	expectRefusal(t, rec, proposal("old", 1, keysWith("9", "1")), "no longer kept")
 }
 
 func TestKeys(t *testing.T) {
@@ -173,31 +173,31 @@
 }
 
 func TestLeaseTable(t *testing.T) {
-	b, timing := bootstrapped(t), TimingOf(time.Second)
-	tally := NewLeaseTable(0, timing)
+	rec, timing := bootstrapped(t), TimingOf(time.Second)
+	leases := NewLeaseTable(0, timing)
 	now := 10 * time.Second // leases that another leader granted are over
 	renew := func(name string, checked uint64, f *Fault) bool {
-		return tally.Renew(now, Renewal{Name: name, Checked: checked, Fault: f}, b)
+		return leases.Renew(now, Renewal{Name: name, Checked: checked, Fault: f}, rec)
 	}
 	if !renew("a", 0, nil) || !renew("b", 0, nil) {
 		t.Fatal("no lease")
 	}
-	n := mustApply(t, b, proposal("x", 1, keysWith("5", "1")))
+	n := mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
 	renew("a", n, nil)
-	if e := tally.Next(now, b); e != nil {
+	if e := leases.Next(now, rec); e != nil {
 		t.Fatalf("b may be acting and has not checked: %+v", e)
 	}
-	if got := tally.WaitingFor(now, b); !slices.Equal(got, []string{"b"}) {
+	if got := leases.WaitingFor(now, rec); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("waits for %v", got)
 	}
 	now += timing.MaxLease / 2
 	renew("a", n, nil)
-	if e := tally.Next(now+timing.MaxLease/2-1, b); e != nil {
+	if e := leases.Next(now+timing.MaxLease/2-1, rec); e != nil {
 		t.Errorf("b's lease may run: %+v", e)
 	}
 	now += timing.MaxLease / 2
 	renew("a", n, nil)
-	if e := tally.Next(now, b); e == nil || e.Activate == nil || e.Activate.Number != n {
+	if e := leases.Next(now, rec); e == nil || e.Activate == nil || e.Activate.Number != n {
 		t.Fatalf("b's lease is over: %+v", e)
 	}
 	if renew("d", 0, nil) || renew("b", 0, nil) {
@@ -206,27 +206,27 @@
 	if !renew("b", n, nil) {
 		t.Error("no lease for who has")
 	}
-	mustApply(t, b, Entry{Activate: &Activate{Number: n}})
+	mustApply(t, rec, Entry{Activate: &Activate{Number: n}})
 	if !renew("d", 0, nil) {
 		t.Error("no lease for a newcomer")
 	}
 	// One that turns it down, one that leaves, one that is not fit.
-	n = mustApply(t, b, proposal("y", 2, keysWith("4", "1")))
+	n = mustApply(t, rec, proposal("y", 2, keysWith("4", "1")))
 	renew("a", n, nil)
 	renew("b", n, &Fault{"k", "no"})
-	if e := tally.Next(now, b); e == nil || e.TurnDown == nil || e.TurnDown.Member != "b" {
+	if e := leases.Next(now, rec); e == nil || e.TurnDown == nil || e.TurnDown.Member != "b" {
 		t.Errorf("%+v", e)
 	}
-	tally.Renew(now, Renewal{Name: "b", Leaving: true}, b)
-	tally.Renew(now, Renewal{Name: "d", Leaving: true}, b)
-	if e := tally.Next(now, b); e == nil || e.Activate == nil {
+	leases.Renew(now, Renewal{Name: "b", Leaving: true}, rec)
+	leases.Renew(now, Renewal{Name: "d", Leaving: true}, rec)
+	if e := leases.Next(now, rec); e == nil || e.Activate == nil {
 		t.Errorf("b has left: %+v", e)
 	}
-	if tally.Renew(now, Renewal{Name: "u", Checked: n, Unfit: &Fault{"k", "no"}}, b) {
+	if leases.Renew(now, Renewal{Name: "u", Checked: n, Unfit: &Fault{"k", "no"}}, rec) {
 		t.Error("a lease for who can't act on the version in force")
 	}
 	// A new leader waits for leases that it knows nothing of.
-	if e := NewLeaseTable(now, timing).Next(now+timing.MaxLease-1, b); e != nil {
+	if e := NewLeaseTable(now, timing).Next(now+timing.MaxLease-1, rec); e != nil {
 		t.Errorf("%+v", e)
 	}
 }
@@ -234,36 +234,36 @@
 func TestCanary(t *testing.T) {
 	timing := TimingOf(time.Second)
 	start := func() (*Record, *LeaseTable, uint64) {
-		b := bootstrapped(t)
-		harm := proposal("h", 1, keysWith("5", "1"))
-		harm.Propose.CanaryMember = "a"
-		expectRefusal(t, b, harm, "alone may not", "limits.try_limit")
-		free := proposal("f", 1, keysWith("6", "2"))
-		free.Propose.CanaryMember = "a"
-		n := mustApply(t, b, free)
-		tally := NewLeaseTable(0, timing)
+		rec := bootstrapped(t)
+		harmful := proposal("h", 1, keysWith("5", "1"))
+		harmful.Propose.CanaryMember = "a"
+		expectRefusal(t, rec, harmful, "alone may not", "limits.try_limit")
+		harmless := proposal("f", 1, keysWith("6", "2"))
+		harmless.Propose.CanaryMember = "a"
+		n := mustApply(t, rec, harmless)
+		leases := NewLeaseTable(0, timing)
 		now := 10 * time.Second
-		tally.Renew(now, Renewal{Name: "a", Boot: 1, Checked: n}, b)
-		tally.Renew(now, Renewal{Name: "b", Checked: n}, b)
-		e := tally.Next(now, b)
+		leases.Renew(now, Renewal{Name: "a", Boot: 1, Checked: n}, rec)
+		leases.Renew(now, Renewal{Name: "b", Checked: n}, rec)
+		e := leases.Next(now, rec)
 		if e == nil || e.Activate == nil || !e.Activate.Canary {
 			t.Fatalf("%+v", e)
 		}
-		mustApply(t, b, *e)
-		if b.VersionFor("a").Number != n || b.VersionFor("b").Number != 1 || b.InForceNumber != 1 {
-			t.Fatalf("a %d, b %d", b.VersionFor("a").Number, b.VersionFor("b").Number)
+		mustApply(t, rec, *e)
+		if rec.VersionFor("a").Number != n || rec.VersionFor("b").Number != 1 || rec.InForceNumber != 1 {
+			t.Fatalf("a %d, b %d", rec.VersionFor("a").Number, rec.VersionFor("b").Number)
 		}
-		return b, tally, n
+		return rec, leases, n
 	}
-	run := func(b *Record, tally *LeaseTable, n uint64, reboot bool) *Entry {
+	run := func(rec *Record, leases *LeaseTable, n uint64, reboot bool) *Entry {
 		for now := 10 * time.Second; now < 25*time.Second; now += 100 * time.Millisecond {
 			boot := uint64(1)
 			if reboot && now > 15*time.Second {
 				boot = 2
 			}
-			tally.Renew(now, Renewal{Name: "a", Boot: boot, ActsOn: n, Checked: n}, b)
-			tally.Renew(now, Renewal{Name: "b", ActsOn: 1, Checked: n}, b)
-			if e := tally.Next(now, b); e != nil {
+			leases.Renew(now, Renewal{Name: "a", Boot: boot, ActsOn: n, Checked: n}, rec)
+			leases.Renew(now, Renewal{Name: "b", ActsOn: 1, Checked: n}, rec)
+			if e := leases.Next(now, rec); e != nil {
 				if e.Activate != nil && now < 20*time.Second {
 					t.Errorf("the others follow at %v", now)
 				}
@@ -272,17 +272,17 @@
 		}
 		return nil
 	}
-	b, tally, n := start()
-	if e := run(b, tally, n, false); e == nil || e.Activate == nil || e.Activate.Canary {
+	rec, leases, n := start()
+	if e := run(rec, leases, n, false); e == nil || e.Activate == nil || e.Activate.Canary {
 		t.Errorf("proven: %+v", e)
 	}
-	b, tally, n = start()
-	e := run(b, tally, n, true)
+	rec, leases, n = start()
+	e := run(rec, leases, n, true)
 	if e == nil || e.Withdraw == nil {
 		t.Fatalf("it went down: %+v", e)
 	}
-	mustApply(t, b, *e)
-	if b.VersionFor("a").Number != 1 || b.Version(n).State != Withdrawn {
-		t.Errorf("%+v", b)
+	mustApply(t, rec, *e)
+	if rec.VersionFor("a").Number != 1 || rec.Version(n).State != Withdrawn {
+		t.Errorf("%+v", rec)
 	}
 }
--- a/internal/agree/keys.go
+++ b/internal/agree/keys.go
@@ -131,10 +131,10 @@
 // nearest names the key that was most likely meant: the one with the same end.
 func suggestion(key string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
-	best, most := "", 3
+	best, longest := "", 3
 	for _, k := range Keys {
-		if n := commonLetters(last, k.Path[strings.LastIndexByte(k.Path, '.')+1:]); n > most {
-			best, most = k.Path, n
+		if n := commonLetters(last, k.Path[strings.LastIndexByte(k.Path, '.')+1:]); n > longest {
+			best, longest = k.Path, n
 		}
 	}
 	if best == "" {
--- a/internal/agree/lease.go
+++ b/internal/agree/lease.go
@@ -97,13 +97,13 @@
 func (l *Lease) LateActs() int64 { return l.lateActs.Load() }
 
 // MayTake says whether a new request may be taken; once is that its class must not run twice.
-func (l *Lease) MayAccept(now time.Duration, once bool) error {
-	return l.allow(now < time.Duration(l.acceptEnd.Load()), once)
+func (l *Lease) MayAccept(now time.Duration, atMostOnce bool) error {
+	return l.allow(now < time.Duration(l.acceptEnd.Load()), atMostOnce)
 }
 
 // MaySend says whether an attempt may leave now. Again is that an earlier attempt of the request may have run.
-func (l *Lease) MaySend(now time.Duration, once, again bool) error {
-	return l.allow(now < time.Duration(l.sendEnd.Load()), once || again)
+func (l *Lease) MaySend(now time.Duration, atMostOnce, retry bool) error {
+	return l.allow(now < time.Duration(l.sendEnd.Load()), atMostOnce || retry)
 }
 
 func (l *Lease) allow(leased, harmful bool) error {
--- a/internal/agree/leasetable.go
+++ b/internal/agree/leasetable.go
@@ -69,7 +69,7 @@
 
 // Renew books a renewal that came at a time and tells whether the lease is granted. The grant counts only if the leader
 // is found to be the leader still after that time.
-func (t *LeaseTable) Renew(now time.Duration, r Renewal, b *Record) bool {
+func (t *LeaseTable) Renew(now time.Duration, r Renewal, rec *Record) bool {
 	m := t.Members[r.Name]
 	if m == nil {
 		m = &Member{}
@@ -80,10 +80,10 @@
 		m.LeaseEnd = now // its word that it acts no more
 		return false
 	}
-	if !b.Complete || b.InForce() == nil || r.Unfit != nil {
+	if !rec.Complete || rec.InForce() == nil || r.Unfit != nil {
 		return false
 	}
-	if open := b.InProgress(); open != nil && open.Number == t.activating && r.Checked != open.Number {
+	if candidate := rec.InProgress(); candidate != nil && candidate.Number == t.activating && r.Checked != candidate.Number {
 		return false
 	}
 	m.LeaseEnd = now + t.timing.MaxLease
@@ -91,40 +91,40 @@
 }
 
 // Serves is how long another dispatcher that holds a lease has served as usual, in milliseconds, the longest.
-func (t *LeaseTable) LongestServing(now time.Duration, than string) (most int64) {
+func (t *LeaseTable) LongestServing(now time.Duration, except string) (longest int64) {
 	for name, m := range t.Members {
-		if name != than && now < m.LeaseEnd {
-			most = max(most, m.ServingMS)
+		if name != except && now < m.LeaseEnd {
+			longest = max(longest, m.ServingMS)
 		}
 	}
-	return most
+	return longest
 }
 
 // Bears is what replicas of each kind bear of one dispatcher's requests a second, for one that does not know: the lower median of what
 // others say that may be acting, so that one that lies moves little, and nothing alone. Those who know share it with those who do not: it counts in their part.
 func (t *LeaseTable) WarmRates(now time.Duration) map[string]float64 {
-	said, know, living := map[string][]float64{}, 0.0, 0.0
+	reported, informed, holders := map[string][]float64{}, 0.0, 0.0
 	for _, m := range t.Members {
 		if now >= m.LeaseEnd {
 			continue
 		}
-		living++
+		holders++
 		if len(m.WarmRates) > 0 {
-			know++
+			informed++
 		}
-		for kind, x := range m.WarmRates {
-			said[kind] = append(said[kind], x)
+		for kind, rate := range m.WarmRates {
+			reported[kind] = append(reported[kind], rate)
 		}
 	}
-	bears := map[string]float64{}
-	for kind, all := range said {
+	rates := map[string]float64{}
+	for kind, all := range reported {
 		if len(all) < 2 {
 			continue // one alone may lie
 		}
 		slices.Sort(all)
-		bears[kind] = all[(len(all)-1)/2] * know / living
+		rates[kind] = all[(len(all)-1)/2] * informed / holders
 	}
-	return bears
+	return rates
 }
 
 // sweep forgets, once in a while, who has not been heard for long.
@@ -142,43 +142,43 @@
 
 // Next gives the entry that is due: a version that somebody turned down is turned down, one that all have checked who
 // may be acting is put in force. Nil where nothing is due.
-func (t *LeaseTable) Next(now time.Duration, b *Record) *Entry {
+func (t *LeaseTable) Next(now time.Duration, rec *Record) *Entry {
 	t.sweep(now)
-	open := b.InProgress()
-	if open == nil || !b.Complete {
+	candidate := rec.InProgress()
+	if candidate == nil || !rec.Complete {
 		return nil
 	}
-	all, down := true, ""
+	allChecked, rejectedBy := true, ""
 	for name, m := range t.Members {
 		switch {
-		case m.Checked != open.Number:
-			all = all && now >= m.LeaseEnd
-		case m.Fault != nil && t.activating != open.Number && (down == "" || name < down):
-			down = name
+		case m.Checked != candidate.Number:
+			allChecked = allChecked && now >= m.LeaseEnd
+		case m.Fault != nil && t.activating != candidate.Number && (rejectedBy == "" || name < rejectedBy):
+			rejectedBy = name
 		}
 	}
-	if down != "" {
-		fault := t.Members[down].Fault
-		if open.State == Canary {
-			return withdrawal(open, down+": "+fault.Error())
+	if rejectedBy != "" {
+		fault := t.Members[rejectedBy].Fault
+		if candidate.State == Canary {
+			return withdrawal(candidate, rejectedBy+": "+fault.Error())
 		}
-		return &Entry{TurnDown: &TurnDown{Number: open.Number, Member: down, Fault: *fault}}
+		return &Entry{TurnDown: &TurnDown{Number: candidate.Number, Member: rejectedBy, Fault: *fault}}
 	}
-	if !all || now < t.AllLeasesKnown {
+	if !allChecked || now < t.AllLeasesKnown {
 		return nil
 	}
-	if open.CanaryMember != "" && open.State == Pending {
-		return &Entry{Activate: &Activate{Number: open.Number, Canary: true}}
+	if candidate.CanaryMember != "" && candidate.State == Pending {
+		return &Entry{Activate: &Activate{Number: candidate.Number, Canary: true}}
 	}
-	if open.CanaryMember != "" {
-		if failed, proven := t.checkCanary(now, open); failed != "" {
-			return withdrawal(open, failed)
+	if candidate.CanaryMember != "" {
+		if failed, proven := t.checkCanary(now, candidate); failed != "" {
+			return withdrawal(candidate, failed)
 		} else if !proven {
 			return nil
 		}
 	}
-	t.activating = open.Number
-	return &Entry{Activate: &Activate{Number: open.Number}}
+	t.activating = candidate.Number
+	return &Entry{Activate: &Activate{Number: candidate.Number}}
 }
 
 func withdrawal(v *Version, by string) *Entry {
@@ -201,21 +201,21 @@
 }
 
 // For gives the version that a dispatcher is to act on: the one in force, or the one that it tries first.
-func (b *Record) VersionFor(name string) *Version {
-	if open := b.InProgress(); open != nil && open.State == Canary && open.CanaryMember == name {
-		return open
+func (rec *Record) VersionFor(name string) *Version {
+	if candidate := rec.InProgress(); candidate != nil && candidate.State == Canary && candidate.CanaryMember == name {
+		return candidate
 	}
-	return b.InForce()
+	return rec.InForce()
 }
 
 // Blocks names the dispatchers that a version under way waits for.
-func (t *LeaseTable) WaitingFor(now time.Duration, b *Record) (names []string) {
-	open := b.InProgress()
-	if open == nil {
+func (t *LeaseTable) WaitingFor(now time.Duration, rec *Record) (names []string) {
+	candidate := rec.InProgress()
+	if candidate == nil {
 		return nil
 	}
 	for name, m := range t.Members {
-		if now < m.LeaseEnd && m.Checked != open.Number {
+		if now < m.LeaseEnd && m.Checked != candidate.Number {
 			names = append(names, name)
 		}
 	}
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -27,34 +27,34 @@
 	maxKeptChangeEntries = 4096 // of all of them together, but for the last
 )
 
-func (b *Record) applyChange(c membership.Change) error {
-	if err := b.List.Apply(c); err != nil {
+func (rec *Record) applyChange(c membership.Change) error {
+	if err := rec.List.Apply(c); err != nil {
 		return err
 	}
-	b.Changes = append(b.Changes, c)
-	entries, from := 0, len(b.Changes)
-	for from > 0 && len(b.Changes)-from < maxKeptChanges {
-		entries += len(b.Changes[from-1].Entries)
-		if entries > maxKeptChangeEntries && from < len(b.Changes) {
+	rec.Changes = append(rec.Changes, c)
+	entries, from := 0, len(rec.Changes)
+	for from > 0 && len(rec.Changes)-from < maxKeptChanges {
+		entries += len(rec.Changes[from-1].Entries)
+		if entries > maxKeptChangeEntries && from < len(rec.Changes) {
 			break
 		}
 		from--
 	}
 	if from > 0 {
-		b.Changes = slices.Clone(b.Changes[from:])
+		rec.Changes = slices.Clone(rec.Changes[from:])
 	}
 	return nil
 }
 
 // Part gives what brings a copy of the list nearer to the present one.
-func (b *Record) Part(at membership.Cursor, pager *membership.Pager) membership.Part {
-	p := membership.Part{Number: b.List.Number}
-	changes, kept := b.changesSince(at.Number)
-	if !kept || at.After != "" {
+func (rec *Record) Part(cursor membership.Cursor, pager *membership.Pager) membership.Part {
+	p := membership.Part{Number: rec.List.Number}
+	changes, kept := rec.changesSince(cursor.Number)
+	if !kept || cursor.After != "" {
 		if !kept {
-			at.After = ""
+			cursor.After = ""
 		}
-		p.Page = pager.PageAfter(&b.List, at.After)
+		p.Page = pager.PageAfter(&rec.List, cursor.After)
 		return p
 	}
 	entries := 0
@@ -68,51 +68,51 @@
 }
 
 // since gives the changes that lead from a version of the list to the present one; false where not all are kept.
-func (b *Record) changesSince(number uint64) ([]membership.Change, bool) {
-	if number == b.List.Number {
+func (rec *Record) changesSince(number uint64) ([]membership.Change, bool) {
+	if number == rec.List.Number {
 		return nil, true
 	}
-	for i, c := range b.Changes {
+	for i, c := range rec.Changes {
 		if c.Number == number+1 {
-			return b.Changes[i:], true
+			return rec.Changes[i:], true
 		}
 	}
 	return nil, false
 }
 
-func (b *Record) placeOrder(o membership.Order) error {
-	if err := b.Orders.Check(o, &b.List); err != nil {
+func (rec *Record) placeOrder(o membership.Order) error {
+	if err := rec.Orders.Check(o, &rec.List); err != nil {
 		return err
 	}
-	if b.Orders == nil {
-		b.Orders = membership.Orders{}
+	if rec.Orders == nil {
+		rec.Orders = membership.Orders{}
 	}
-	b.Orders[o.ID] = o
-	if e := b.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
+	rec.Orders[o.ID] = o
+	if e := rec.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
 		e.State = membership.Terminating
-		return b.applyChange(membership.Change{Number: b.List.Number + 1, RegistryVersion: b.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
+		return rec.applyChange(membership.Change{Number: rec.List.Number + 1, RegistryVersion: rec.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
 	return nil
 }
 
-func (b *Record) liftOrder(l *LiftOrder) error {
-	had, ok := b.Orders[l.ID]
+func (rec *Record) liftOrder(lift *LiftOrder) error {
+	order, ok := rec.Orders[lift.ID]
 	switch {
 	case !ok:
-		return fmt.Errorf("%s has no order", l.ID)
-	case l.Owner != "" && had.Owner != l.Owner:
-		return fmt.Errorf("the order on %s is by %s (%s: %s)", l.ID, had.Owner, had.Do, had.Why)
-	case l.Owner != "" && l.Version != b.List.Number:
-		return fmt.Errorf("seen was version %d of the list, and %d is in force", l.Version, b.List.Number)
+		return fmt.Errorf("%s has no order", lift.ID)
+	case lift.Owner != "" && order.Owner != lift.Owner:
+		return fmt.Errorf("the order on %s is by %s (%s: %s)", lift.ID, order.Owner, order.Do, order.Why)
+	case lift.Owner != "" && lift.Version != rec.List.Number:
+		return fmt.Errorf("seen was version %d of the list, and %d is in force", lift.Version, rec.List.Number)
 	}
-	delete(b.Orders, l.ID)
+	delete(rec.Orders, lift.ID)
 	return nil
 }
 
-func (b *Record) applyCensus(c membership.Census) error {
-	if c.Number != b.Census.Number+1 {
-		return fmt.Errorf("census %d does not follow %d", c.Number, b.Census.Number)
+func (rec *Record) applyCensus(c membership.Census) error {
+	if c.Number != rec.Census.Number+1 {
+		return fmt.Errorf("census %d does not follow %d", c.Number, rec.Census.Number)
 	}
-	b.Census = c
+	rec.Census = c
 	return nil
 }
--- a/internal/agree/lists_test.go
+++ b/internal/agree/lists_test.go
@@ -14,20 +14,20 @@
 // the list that is agreed on, whatever it had before.
 func TestPartsConvergeToTheList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var b Record
+		var rec Record
 		var pager membership.Pager
 		var c membership.Copy
 		change := func(most int) {
 			n := rapid.IntRange(1, most).Draw(rt, "entries")
-			change := membership.Change{Number: b.List.Number + 1}
+			change := membership.Change{Number: rec.List.Number + 1}
 			for range n {
-				e := membership.Entry{ID: fmt.Sprint("s", rapid.IntRange(0, 1500).Draw(rt, "id")), Weight: float64(b.List.Number), State: membership.InService}
+				e := membership.Entry{ID: fmt.Sprint("s", rapid.IntRange(0, 1500).Draw(rt, "id")), Weight: float64(rec.List.Number), State: membership.InService}
 				if rapid.IntRange(0, 3).Draw(rt, "ends") == 0 {
 					e.State = membership.Terminated
 				}
 				change.Entries = append(change.Entries, e)
 			}
-			if err := b.applyChange(change); err != nil {
+			if err := rec.applyChange(change); err != nil {
 				rt.Fatal(err)
 			}
 		}
@@ -35,14 +35,14 @@
 		for i := range rapid.IntRange(0, 1500).Draw(rt, "first") {
 			first.Entries = append(first.Entries, membership.Entry{ID: fmt.Sprint("s", i), State: membership.InService})
 		}
-		if err := b.applyChange(first); err != nil {
+		if err := rec.applyChange(first); err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(1, 30).Draw(rt, "answers") {
 			for range rapid.SampledFrom([]int{0, 0, 1, 2, 300}).Draw(rt, "changes") {
 				change(5)
 			}
-			part := b.Part(c.Cursor(), &pager)
+			part := rec.Part(c.Cursor(), &pager)
 			if n := len(part.Changes); n > 1 {
 				entries := 0
 				for _, x := range part.Changes {
@@ -62,12 +62,12 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if whole && (c.List.Number != b.List.Number || !maps.Equal(c.List.Entries, b.List.Entries)) {
-				rt.Fatalf("version %d with %d entries, agreed is %d with %d", c.List.Number, len(c.List.Entries), b.List.Number, len(b.List.Entries))
+			if whole && (c.List.Number != rec.List.Number || !maps.Equal(c.List.Entries, rec.List.Entries)) {
+				rt.Fatalf("version %d with %d entries, agreed is %d with %d", c.List.Number, len(c.List.Entries), rec.List.Number, len(rec.List.Entries))
 			}
 		}
 		for range 12 {
-			if whole, err := c.Apply(b.Part(c.Cursor(), &pager)); err != nil {
+			if whole, err := c.Apply(rec.Part(c.Cursor(), &pager)); err != nil {
 				rt.Fatal(err)
 			} else if whole {
 				return
@@ -79,37 +79,37 @@
 
 // A gap, or a page that does not follow, is noticed, and the copy begins anew and comes to the list.
 func TestCopyRestartsAfterAGap(t *testing.T) {
-	var b Record
+	var rec Record
 	var pager membership.Pager
 	var c membership.Copy
 	for i := range 3 {
-		if err := b.applyChange(membership.Change{Number: uint64(i + 1), Entries: []membership.Entry{{ID: fmt.Sprint("s", i), State: membership.InService}}}); err != nil {
+		if err := rec.applyChange(membership.Change{Number: uint64(i + 1), Entries: []membership.Entry{{ID: fmt.Sprint("s", i), State: membership.InService}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, bad := range []membership.Part{{Number: 3, Changes: b.Changes[1:]}, {Number: 3, Page: &membership.Page{Number: 3, After: "s1"}}} {
+	for _, bad := range []membership.Part{{Number: 3, Changes: rec.Changes[1:]}, {Number: 3, Page: &membership.Page{Number: 3, After: "s1"}}} {
 		if _, err := c.Apply(bad); err == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
-	if whole, err := c.Apply(b.Part(c.Cursor(), &pager)); err != nil || !whole || len(c.List.Entries) != 3 {
+	if whole, err := c.Apply(rec.Part(c.Cursor(), &pager)); err != nil || !whole || len(c.List.Entries) != 3 {
 		t.Errorf("%v %v %+v", whole, err, c.List)
 	}
 }
 
 // What is kept of changes is bounded by their entries.
 func TestKeptChangesAreBounded(t *testing.T) {
-	var b Record
+	var rec Record
 	for n := range 40 {
 		c := membership.Change{Number: uint64(n + 1)}
 		for i := range 500 {
 			c.Entries = append(c.Entries, membership.Entry{ID: fmt.Sprint("s", i), Weight: float64(n), State: membership.InService})
 		}
-		if err := b.applyChange(c); err != nil {
+		if err := rec.applyChange(c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(b.Changes); n != maxKeptChangeEntries/500 || b.Changes[n-1].Number != 40 {
+	if n := len(rec.Changes); n != maxKeptChangeEntries/500 || rec.Changes[n-1].Number != 40 {
 		t.Errorf("%d changes are kept", n)
 	}
 }
--- a/internal/agree/promise_test.go
+++ b/internal/agree/promise_test.go
@@ -86,21 +86,21 @@
 				return
 			}
 			granted := s.leases.Renew(s.now, r, &s.record)
-			force, open := *s.record.VersionFor(n.name), s.record.InProgress()
+			inForce, open := *s.record.VersionFor(n.name), s.record.InProgress()
 			var next uint64
 			var keys map[string]string
 			if open != nil {
 				next, keys = open.Number, open.Keys
 			}
 			s.proposeDue()
-			s.send(n, func() { s.handleResponse(n, sent, granted, force, next, keys) })
+			s.send(n, func() { s.handleResponse(n, sent, granted, inForce, next, keys) })
 		})
 	})
 }
 
-func (s *sim) handleResponse(n *simNode, sent time.Duration, granted bool, force Version, open uint64, keys map[string]string) {
+func (s *sim) handleResponse(n *simNode, sent time.Duration, granted bool, inForce Version, open uint64, keys map[string]string) {
 	if s.now < n.pausedUntil {
-		s.after(n.pausedUntil-s.now, func() { s.handleResponse(n, sent, granted, force, open, keys) })
+		s.after(n.pausedUntil-s.now, func() { s.handleResponse(n, sent, granted, inForce, open, keys) })
 		return
 	}
 	if open != 0 && open != n.checked {
@@ -112,10 +112,10 @@
 	if !granted {
 		return
 	}
-	if n.lease == nil || n.lease.Number < force.Number {
-		n.lease = &Lease{Number: force.Number, OnLeaseLoss: Stop}
+	if n.lease == nil || n.lease.Number < inForce.Number {
+		n.lease = &Lease{Number: inForce.Number, OnLeaseLoss: Stop}
 	}
-	if n.lease.Number != force.Number {
+	if n.lease.Number != inForce.Number {
 		return // an older answer that came later
 	}
 	n.lease.Extend(sent, s.timing)
@@ -202,7 +202,7 @@
 // The promise, over 300 dispatchers: once a version is decided, nobody may act on one that it contradicts after Within.
 // go test ./internal/agree -run TestPromise -v -rapid.checks=1000 plays a thousand seeds and prints how near they come.
 func TestPromise(t *testing.T) {
-	bins := make([]int, 11)
+	histogram := make([]int, 11)
 	decisions := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -228,9 +228,9 @@
 				decisions++
 			}
 		}
-		bins[min(max(int(10*s.longestOverlap/within), 0), 10)]++
+		histogram[min(max(int(10*s.longestOverlap/within), 0), 10)]++
 	})
-	t.Logf("%d decisions; seeds by the longest contradiction in tenths of Within: %v", decisions, bins)
+	t.Logf("%d decisions; seeds by the longest contradiction in tenths of Within: %v", decisions, histogram)
 	if decisions == 0 {
 		t.Error("nothing was decided, so nothing is shown")
 	}
--- a/internal/agree/readers.go
+++ b/internal/agree/readers.go
@@ -16,20 +16,20 @@
 }
 
 // Pick gives the readers at a time, at most so many.
-func (r *RegistryReaders) Pick(now time.Duration, t *LeaseTable, most int) map[string]bool {
-	able := map[string]bool{}
+func (r *RegistryReaders) Pick(now time.Duration, t *LeaseTable, limit int) map[string]bool {
+	eligible := map[string]bool{}
 	for name, m := range t.Members {
 		if m.CanReadRegistry && !m.Leaving && !m.RegistrySilent && now < m.LeaseEnd {
-			able[name] = true
+			eligible[name] = true
 		}
 	}
 	next := map[string]bool{}
 	for name := range r.current {
-		if able[name] {
+		if eligible[name] {
 			next[name] = true
 		}
 	}
-	order := slices.SortedFunc(maps.Keys(able), func(a, b string) int {
+	order := slices.SortedFunc(maps.Keys(eligible), func(a, b string) int {
 		x, y := nameHash(a), nameHash(b)
 		switch {
 		case x < y:
@@ -40,7 +40,7 @@
 		return 0
 	})
 	for _, name := range order {
-		if len(next) >= most {
+		if len(next) >= limit {
 			break
 		}
 		next[name] = true
@@ -57,18 +57,18 @@
 
 // Living gives the next census where who holds a lease is no longer who is counted; nil where it is. Who may be acting, as its
 // lease can still run, is counted; and while a new leader does not know who may be, nobody is counted out.
-func (t *LeaseTable) NextCensus(now time.Duration, b *Record) *membership.Census {
-	names := map[string]bool{}
+func (t *LeaseTable) NextCensus(now time.Duration, rec *Record) *membership.Census {
+	living := map[string]bool{}
 	for name, m := range t.Members {
 		if now < m.LeaseEnd {
-			names[name] = true
+			living[name] = true
 		}
 	}
 	if now < t.AllLeasesKnown {
-		maps.Copy(names, b.Census.Names)
+		maps.Copy(living, rec.Census.Names)
 	}
-	if len(names) == 0 || maps.Equal(names, b.Census.Names) {
+	if len(living) == 0 || maps.Equal(living, rec.Census.Names) {
 		return nil
 	}
-	return &membership.Census{Number: b.Census.Number + 1, Names: names}
+	return &membership.Census{Number: rec.Census.Number + 1, Names: living}
 }
--- a/internal/agree/rebootstrap_test.go
+++ b/internal/agree/rebootstrap_test.go
@@ -5,11 +5,11 @@
 // Guards: a cluster that is founded anew from what is left never goes back behind what any disk knows, uses no number twice, puts nothing
 // in force that was under way, and has no seat for a disk of before.
 func TestRebootstrap(t *testing.T) {
-	b := bootstrapped(t)
-	mustApply(t, b, proposal("x", 1, keysWith("5", "1")))
-	mustApply(t, b, Entry{Activate: &Activate{Number: 2}})
-	mustApply(t, b, proposal("y", 2, keysWith("4", "1")))
-	four := Version{Number: 4, Fingerprint: "p4", Content: "4", Keys: keysWith("3", "1")}
+	rec := bootstrapped(t)
+	mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
+	mustApply(t, rec, Entry{Activate: &Activate{Number: 2}})
+	mustApply(t, rec, proposal("y", 2, keysWith("4", "1")))
+	version4 := Version{Number: 4, Fingerprint: "p4", Content: "4", Keys: keysWith("3", "1")}
 	for name, x := range map[string]struct {
 		acted []Version
 		force uint64
@@ -17,10 +17,10 @@
 	}{
 		"nobody knows more":      {[]Version{{}, {Number: 1, Fingerprint: "p1"}, {Number: 2, Fingerprint: "px"}}, 2, Withdrawn},
 		"what was under way was": {[]Version{{Number: 3, Fingerprint: "py"}}, 3, InForce},
-		"a later one was":        {[]Version{four, {Number: 2, Fingerprint: "px"}}, 4, Withdrawn},
-		"both":                   {[]Version{four, {Number: 3, Fingerprint: "py"}}, 4, Superseded},
+		"a later one was":        {[]Version{version4, {Number: 2, Fingerprint: "px"}}, 4, Withdrawn},
+		"both":                   {[]Version{version4, {Number: 3, Fingerprint: "py"}}, 4, Superseded},
 	} {
-		n, err := b.Rebootstrap(8, 3, Seat{"c", 9}, x.acted, "op")
+		n, err := rec.Rebootstrap(8, 3, Seat{"c", 9}, x.acted, "op")
 		if err != nil || n.InForceNumber != x.force || n.InForce().State != InForce || n.Version(3).State != x.three || n.InProgress() != nil {
 			t.Errorf("%s: %v, in force %d, the open one %s", name, err, n.InForceNumber, n.Version(3).State)
 		}
@@ -30,19 +30,19 @@
 				inForce++
 			}
 		}
-		if inForce != 1 || n.LastNumber <= max(b.LastNumber, 4)+50 || n.Cluster != 8 || n.Complete {
+		if inForce != 1 || n.LastNumber <= max(rec.LastNumber, 4)+50 || n.Cluster != 8 || n.Complete {
 			t.Errorf("%s: %d in force, last %d, %+v", name, inForce, n.LastNumber, n.Seats)
 		}
-		for _, s := range b.Seats {
+		for _, s := range rec.Seats {
 			if err := n.takeSeat(s); err == nil {
 				t.Errorf("%s: the disk of %s is back", name, s.Name)
 			}
 		}
 	}
-	if b.InForceNumber != 2 || b.InProgress() == nil || len(b.RetiredDisks) != 0 {
+	if rec.InForceNumber != 2 || rec.InProgress() == nil || len(rec.RetiredDisks) != 0 {
 		t.Error("the record of before was changed")
 	}
-	if _, err := b.Rebootstrap(8, 3, Seat{"c", 9}, []Version{{Number: 2, Fingerprint: "other"}}, "op"); err == nil {
+	if _, err := rec.Rebootstrap(8, 3, Seat{"c", 9}, []Version{{Number: 2, Fingerprint: "other"}}, "op"); err == nil {
 		t.Error("another cluster's version is taken")
 	}
 	if _, err := (&Record{}).Rebootstrap(8, 3, Seat{"c", 9}, nil, "op"); err == nil {
--- a/internal/agree/record.go
+++ b/internal/agree/record.go
@@ -103,31 +103,31 @@
 )
 
 // At gives a version, nil if it is not known any more or never was.
-func (b *Record) Version(number uint64) *Version {
-	for i := range b.Versions {
-		if b.Versions[i].Number == number {
-			return &b.Versions[i]
+func (rec *Record) Version(number uint64) *Version {
+	for i := range rec.Versions {
+		if rec.Versions[i].Number == number {
+			return &rec.Versions[i]
 		}
 	}
 	return nil
 }
 
 // InForce gives the version in force, nil before the first.
-func (b *Record) InForce() *Version { return b.Version(b.InForceNumber) }
+func (rec *Record) InForce() *Version { return rec.Version(rec.InForceNumber) }
 
 // Open gives the version that is under way, if any.
-func (b *Record) InProgress() *Version {
-	for i := range b.Versions {
-		if s := b.Versions[i].State; s == Pending || s == Canary {
-			return &b.Versions[i]
+func (rec *Record) InProgress() *Version {
+	for i := range rec.Versions {
+		if s := rec.Versions[i].State; s == Pending || s == Canary {
+			return &rec.Versions[i]
 		}
 	}
 	return nil
 }
 
 // SeatOf gives the disk that sits in a voter's seat.
-func (b *Record) SeatOf(name string) (disk uint64, taken bool) {
-	for _, s := range b.Seats {
+func (rec *Record) SeatOf(name string) (disk uint64, taken bool) {
+	for _, s := range rec.Seats {
 		if s.Name == name {
 			return s.Disk, true
 		}
@@ -136,46 +136,46 @@
 }
 
 // Apply makes one change. An entry that does not fit the Book as it is by now changes nothing, and the error says why.
-func (b *Record) Apply(e Entry) (number uint64, err error) {
+func (rec *Record) Apply(e Entry) (number uint64, err error) {
 	switch {
 	case e.Bootstrap != nil:
-		err = b.bootstrap(e.Bootstrap)
+		err = rec.bootstrap(e.Bootstrap)
 	case e.Propose != nil:
-		return b.applyOnce(e.Propose.ID, func() (uint64, error) { return b.propose(e.Propose) })
+		return rec.applyOnce(e.Propose.ID, func() (uint64, error) { return rec.propose(e.Propose) })
 	case e.Withdraw != nil:
-		return b.applyOnce(e.Withdraw.ID, func() (uint64, error) { return e.Withdraw.Number, b.withdraw(e.Withdraw) })
+		return rec.applyOnce(e.Withdraw.ID, func() (uint64, error) { return e.Withdraw.Number, rec.withdraw(e.Withdraw) })
 	case e.TurnDown != nil:
-		number, err = e.TurnDown.Number, b.turnDown(e.TurnDown)
+		number, err = e.TurnDown.Number, rec.turnDown(e.TurnDown)
 	case e.Activate != nil:
-		number, err = e.Activate.Number, b.activate(e.Activate)
+		number, err = e.Activate.Number, rec.activate(e.Activate)
 	case e.TakeSeat != nil:
-		err = b.takeSeat(*e.TakeSeat)
+		err = rec.takeSeat(*e.TakeSeat)
 	case e.Order != nil:
-		return b.applyOnce(e.Order.Request, func() (uint64, error) { return b.List.Number, b.placeOrder(e.Order.Order) })
+		return rec.applyOnce(e.Order.Request, func() (uint64, error) { return rec.List.Number, rec.placeOrder(e.Order.Order) })
 	case e.Lift != nil:
-		return b.applyOnce(e.Lift.Request, func() (uint64, error) { return b.List.Number, b.liftOrder(e.Lift) })
+		return rec.applyOnce(e.Lift.Request, func() (uint64, error) { return rec.List.Number, rec.liftOrder(e.Lift) })
 	case e.Ledger != nil:
-		return b.applyOnce(e.Ledger.Request, func() (uint64, error) {
-			if b.LedgerDisks == nil {
-				b.LedgerDisks = map[string]uint64{}
+		return rec.applyOnce(e.Ledger.Request, func() (uint64, error) {
+			if rec.LedgerDisks == nil {
+				rec.LedgerDisks = map[string]uint64{}
 			}
-			b.LedgerDisks[e.Ledger.Name] = e.Ledger.Disk
+			rec.LedgerDisks[e.Ledger.Name] = e.Ledger.Disk
 			return 0, nil
 		})
 	case e.Change != nil:
-		number, err = e.Change.Number, b.applyChange(*e.Change)
+		number, err = e.Change.Number, rec.applyChange(*e.Change)
 	case e.Census != nil:
-		err = b.applyCensus(*e.Census)
+		err = rec.applyCensus(*e.Census)
 	}
 	if err == nil {
-		b.Revision++
+		rec.Revision++
 	}
 	return number, err
 }
 
 // answer makes a change once for each ID and repeats what was answered before.
-func (b *Record) applyOnce(id string, change func() (uint64, error)) (uint64, error) {
-	for _, d := range b.Results {
+func (rec *Record) applyOnce(id string, change func() (uint64, error)) (uint64, error) {
+	for _, d := range rec.Results {
 		if d.ID == id {
 			if d.Error != "" {
 				return d.Number, fmt.Errorf("%s", d.Error)
@@ -188,72 +188,72 @@
 	if err != nil {
 		d.Error = err.Error()
 	} else {
-		b.Revision++
+		rec.Revision++
 	}
-	b.Results = append(b.Results, d)
-	if len(b.Results) > maxKeptResults {
-		b.Results = slices.Clone(b.Results[len(b.Results)-maxKeptResults:])
+	rec.Results = append(rec.Results, d)
+	if len(rec.Results) > maxKeptResults {
+		rec.Results = slices.Clone(rec.Results[len(rec.Results)-maxKeptResults:])
 	}
 	return n, err
 }
 
-func (b *Record) bootstrap(f *Bootstrap) error {
-	if b.Cluster != 0 {
+func (rec *Record) bootstrap(f *Bootstrap) error {
+	if rec.Cluster != 0 {
 		return fmt.Errorf("the cluster was founded before")
 	}
-	b.Cluster, b.RequiredSeats, b.Seats = f.Cluster, f.RequiredSeats, []Seat{f.Seat}
-	b.addVersion(&f.First)
-	b.putInForce(1)
-	b.Complete = len(b.Seats) >= b.RequiredSeats
+	rec.Cluster, rec.RequiredSeats, rec.Seats = f.Cluster, f.RequiredSeats, []Seat{f.Seat}
+	rec.addVersion(&f.First)
+	rec.putInForce(1)
+	rec.Complete = len(rec.Seats) >= rec.RequiredSeats
 	return nil
 }
 
-func (b *Record) addVersion(p *Propose) uint64 {
-	b.LastNumber++
-	b.Versions = append(b.Versions, Version{Number: b.LastNumber, Base: p.Base, State: Pending, Content: p.Content, Keys: p.Keys,
+func (rec *Record) addVersion(p *Propose) uint64 {
+	rec.LastNumber++
+	rec.Versions = append(rec.Versions, Version{Number: rec.LastNumber, Base: p.Base, State: Pending, Content: p.Content, Keys: p.Keys,
 		Fingerprint: p.Fingerprint, By: p.By, Why: p.Why, At: p.At, CanaryMember: p.CanaryMember, RollbackTo: p.RollbackTo})
-	for i := 0; i < len(b.Versions) && b.overKeptLimits(); {
-		if s := b.Versions[i].State; s == InForce || s == Pending || s == Canary {
+	for i := 0; i < len(rec.Versions) && rec.overKeptLimits(); {
+		if s := rec.Versions[i].State; s == InForce || s == Pending || s == Canary {
 			i++
 			continue
 		}
-		b.Versions = slices.Delete(b.Versions, i, i+1)
+		rec.Versions = slices.Delete(rec.Versions, i, i+1)
 	}
-	return b.LastNumber
+	return rec.LastNumber
 }
 
 // tooMuch tells whether the contents hold more than is kept.
-func (b *Record) overKeptLimits() bool {
+func (rec *Record) overKeptLimits() bool {
 	bytes := 0
-	for _, v := range b.Versions {
+	for _, v := range rec.Versions {
 		bytes += len(v.Content)
 	}
-	return len(b.Versions) > maxKeptVersions || bytes > maxKeptBytes
+	return len(rec.Versions) > maxKeptVersions || bytes > maxKeptBytes
 }
 
 // propose enters a version for all to check. It must be made from the newest one.
-func (b *Record) propose(p *Propose) (uint64, error) {
-	if open := b.InProgress(); open != nil {
-		return 0, fmt.Errorf("version %d by %s is under way; keys that it moves: %s", open.Number, open.By,
-			changedKeys(b.keysOf(open.Base), open.Keys))
+func (rec *Record) propose(p *Propose) (uint64, error) {
+	if candidate := rec.InProgress(); candidate != nil {
+		return 0, fmt.Errorf("version %d by %s is under way; keys that it moves: %s", candidate.Number, candidate.By,
+			changedKeys(rec.keysOf(candidate.Base), candidate.Keys))
 	}
-	if p.Base != b.InForceNumber {
-		return 0, fmt.Errorf("made from version %d, and %d is in force since; keys that moved: %s", p.Base, b.InForceNumber,
-			changedKeys(b.keysOf(p.Base), b.keysOf(b.InForceNumber)))
+	if p.Base != rec.InForceNumber {
+		return 0, fmt.Errorf("made from version %d, and %d is in force since; keys that moved: %s", p.Base, rec.InForceNumber,
+			changedKeys(rec.keysOf(p.Base), rec.keysOf(rec.InForceNumber)))
 	}
-	if len(DifferingKeys(b.keysOf(b.InForceNumber), p.Keys)) == 0 {
-		return 0, fmt.Errorf("no key differs from version %d, which is in force", b.InForceNumber)
+	if len(DifferingKeys(rec.keysOf(rec.InForceNumber), p.Keys)) == 0 {
+		return 0, fmt.Errorf("no key differs from version %d, which is in force", rec.InForceNumber)
 	}
 	if p.CanaryMember != "" {
-		if keys := ConflictingKeys(b.keysOf(b.InForceNumber), p.Keys); len(keys) > 0 {
-			return 0, fmt.Errorf("%s alone may not act on it: it contradicts version %d in %s", p.CanaryMember, b.InForceNumber, strings.Join(keys, ", "))
+		if conflicts := ConflictingKeys(rec.keysOf(rec.InForceNumber), p.Keys); len(conflicts) > 0 {
+			return 0, fmt.Errorf("%s alone may not act on it: it contradicts version %d in %s", p.CanaryMember, rec.InForceNumber, strings.Join(conflicts, ", "))
 		}
 	}
-	return b.addVersion(p), nil
+	return rec.addVersion(p), nil
 }
 
-func (b *Record) keysOf(number uint64) map[string]string {
-	if v := b.Version(number); v != nil {
+func (rec *Record) keysOf(number uint64) map[string]string {
+	if v := rec.Version(number); v != nil {
 		return v.Keys
 	}
 	return nil
@@ -265,23 +265,23 @@
 	if from == nil {
 		return "not known, the version is no longer kept"
 	}
-	keys := DifferingKeys(from, to)
-	if len(keys) > maxListedKeys {
-		return fmt.Sprintf("%s and %d more", strings.Join(keys[:maxListedKeys], ", "), len(keys)-maxListedKeys)
+	changed := DifferingKeys(from, to)
+	if len(changed) > maxListedKeys {
+		return fmt.Sprintf("%s and %d more", strings.Join(changed[:maxListedKeys], ", "), len(changed)-maxListedKeys)
 	}
-	return strings.Join(keys, ", ")
+	return strings.Join(changed, ", ")
 }
 
-func (b *Record) checkInProgress(number uint64) (*Version, error) {
-	v := b.InProgress()
+func (rec *Record) checkInProgress(number uint64) (*Version, error) {
+	v := rec.InProgress()
 	if v == nil || v.Number != number {
 		return nil, fmt.Errorf("version %d is not under way", number)
 	}
 	return v, nil
 }
 
-func (b *Record) turnDown(t *TurnDown) error {
-	v, err := b.checkInProgress(t.Number)
+func (rec *Record) turnDown(t *TurnDown) error {
+	v, err := rec.checkInProgress(t.Number)
 	if err != nil {
 		return err
 	}
@@ -289,8 +289,8 @@
 	return nil
 }
 
-func (b *Record) withdraw(w *Withdraw) error {
-	v, err := b.checkInProgress(w.Number)
+func (rec *Record) withdraw(w *Withdraw) error {
+	v, err := rec.checkInProgress(w.Number)
 	if err != nil {
 		return err
 	}
@@ -298,8 +298,8 @@
 	return nil
 }
 
-func (b *Record) activate(a *Activate) error {
-	v, err := b.checkInProgress(a.Number)
+func (rec *Record) activate(a *Activate) error {
+	v, err := rec.checkInProgress(a.Number)
 	if err != nil {
 		return err
 	}
@@ -310,37 +310,37 @@
 		v.State = Canary
 		return nil
 	}
-	b.putInForce(v.Number)
+	rec.putInForce(v.Number)
 	return nil
 }
 
-func (b *Record) putInForce(number uint64) {
-	if before := b.InForce(); before != nil {
-		before.State = Superseded
+func (rec *Record) putInForce(number uint64) {
+	if previous := rec.InForce(); previous != nil {
+		previous.State = Superseded
 	}
-	b.Version(number).State = InForce
-	b.InForceNumber = number
-	b.Decisions++
+	rec.Version(number).State = InForce
+	rec.InForceNumber = number
+	rec.Decisions++
 }
 
 // sit gives a disk the seat of a voter. The disk that sat there never comes back.
-func (b *Record) takeSeat(s Seat) error {
-	if slices.Contains(b.RetiredDisks, s.Disk) {
+func (rec *Record) takeSeat(s Seat) error {
+	if slices.Contains(rec.RetiredDisks, s.Disk) {
 		return fmt.Errorf("the disk of %s had a seat before and lost it", s.Name)
 	}
-	for i := range b.Seats {
-		if b.Seats[i].Disk == s.Disk {
+	for i := range rec.Seats {
+		if rec.Seats[i].Disk == s.Disk {
 			return fmt.Errorf("the disk of %s has a seat", s.Name)
 		}
 	}
-	for i := range b.Seats {
-		if b.Seats[i].Name == s.Name {
-			b.RetiredDisks = append(b.RetiredDisks, b.Seats[i].Disk)
-			b.Seats[i] = s
+	for i := range rec.Seats {
+		if rec.Seats[i].Name == s.Name {
+			rec.RetiredDisks = append(rec.RetiredDisks, rec.Seats[i].Disk)
+			rec.Seats[i] = s
 			return nil
 		}
 	}
-	b.Seats = append(b.Seats, s)
-	b.Complete = b.Complete || len(b.Seats) >= b.RequiredSeats
+	rec.Seats = append(rec.Seats, s)
+	rec.Complete = rec.Complete || len(rec.Seats) >= rec.RequiredSeats
 	return nil
 }
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -33,15 +33,15 @@
 	Keys        map[string]string `json:"keys,omitempty"`
 }
 
-func versionInfoOf(v *agree.Version, has bool) *versionInfo {
+func versionInfoOf(v *agree.Version, cached bool) *versionInfo {
 	if v == nil {
 		return nil
 	}
-	b := &versionInfo{Number: v.Number, Fingerprint: v.Fingerprint}
-	if !has {
-		b.Content, b.Keys = v.Content, v.Keys
+	info := &versionInfo{Number: v.Number, Fingerprint: v.Fingerprint}
+	if !cached {
+		info.Content, info.Keys = v.Content, v.Keys
 	}
-	return b
+	return info
 }
 
 // renewed answers a renewal.
@@ -148,24 +148,24 @@
 var errNoLeader = errors.New("no voter that leads can be reached: a majority of the voters is needed")
 
 // call speaks JSON over a link.
-func callJSON(l *peers.Link, path string, ask, answer any, limit time.Duration) error {
-	text, err := jsoniter.Marshal(ask)
+func callJSON(l *peers.Link, path string, request, response any, timeout time.Duration) error {
+	text, err := jsoniter.Marshal(request)
 	if err != nil {
 		return err
 	}
-	if text, err = l.Call(path, text, limit); err != nil {
+	if text, err = l.Call(path, text, timeout); err != nil {
 		return err
 	}
-	return jsoniter.Unmarshal(text, answer)
+	return jsoniter.Unmarshal(text, response)
 }
 
 // Speak makes a call of another part to a voter.
-func (n *Node) Call(name, path string, ask, answer any, limit time.Duration) error {
+func (n *Node) Call(name, path string, request, response any, timeout time.Duration) error {
 	l := n.links[name]
 	if l == nil {
 		return fmt.Errorf("%s is no other voter", name)
 	}
-	return callJSON(l, path, ask, answer, limit)
+	return callJSON(l, path, request, response, timeout)
 }
 
 // handle answers the calls of others.
--- a/internal/agreement/frames.go
+++ b/internal/agreement/frames.go
@@ -40,20 +40,20 @@
 
 // take hands a message to the consensus, if it is from the disk that has the sender's seat, or this voter knows no seats.
 func (v *voter) handleMessage(from string, m *raftpb.Message) {
-	name, known := v.voterNames[m.GetFrom()]
-	wrong := ""
+	name, seated := v.voterNames[m.GetFrom()]
+	problem := ""
 	switch {
 	case m.GetTo() != v.n.log.Identity().Disk:
-		wrong = fmt.Sprintf("for disk %x, which is not here", m.GetTo())
+		problem = fmt.Sprintf("for disk %x, which is not here", m.GetTo())
 	case slices.Contains(v.record.RetiredDisks, m.GetFrom()):
-		wrong = fmt.Sprintf("of disk %x, whose seat was given on", m.GetFrom())
-	case known && name != from:
-		wrong = fmt.Sprintf("of disk %x, which is that of %s", m.GetFrom(), name)
-	case !known && v.record.Cluster != 0:
-		wrong = fmt.Sprintf("of disk %x, which has no seat", m.GetFrom())
+		problem = fmt.Sprintf("of disk %x, whose seat was given on", m.GetFrom())
+	case seated && name != from:
+		problem = fmt.Sprintf("of disk %x, which is that of %s", m.GetFrom(), name)
+	case !seated && v.record.Cluster != 0:
+		problem = fmt.Sprintf("of disk %x, which has no seat", m.GetFrom())
 	}
-	if wrong != "" {
-		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+wrong)
+	if problem != "" {
+		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+problem)
 		return
 	}
 	v.voterNames[m.GetFrom()] = from
--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -98,12 +98,12 @@
 			l.merger.RemoveReader(name)
 		}
 	}
-	read := uint64(0)
+	number := uint64(0)
 	if r.CanReadRegistry && !r.RegistrySilent && l.activeReaders[r.Name] {
-		read = l.merger.Refresh(v.n.now(), r.Name, r.Boot)
+		number = l.merger.Refresh(v.n.now(), r.Name, r.Boot)
 	}
 	return &listUpdate{Part: v.record.Part(r.List, &l.pager), Dispatchers: len(v.record.Census.Names), Counted: v.record.Census.Names[r.Name], ReadRegistry: l.activeReaders[r.Name],
-		Fresh: l.merger.Settled(), ReadingNumber: read}
+		Fresh: l.merger.Settled(), ReadingNumber: number}
 }
 
 // show adds what operators see.
@@ -153,9 +153,9 @@
 // confirm lets the change pass that is held.
 func (v *voter) confirm() (proposeResponse, error) {
 	answer := make(chan proposeResponse, 1)
-	err := v.asLeader(proposeTimeout, func(sure bool) {
+	err := v.asLeader(proposeTimeout, func(confirmed bool) {
 		p := v.notLeader()
-		if sure && v.lists.merger != nil {
+		if confirmed && v.lists.merger != nil {
 			p = proposeResponse{}
 			if err := v.lists.merger.Confirm(); err != nil {
 				p.Error = err.Error()
@@ -278,31 +278,31 @@
 	}
 	m.registry.notify() // a new leader knows nothing of it yet
 	m.mu.Lock()
-	whole, err := m.listCopy.Apply(l.Part)
+	complete, err := m.listCopy.Apply(l.Part)
 	m.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	if !whole {
+	if !complete {
 		return errPartialList
 	}
-	next := m.listCopy.List
+	list := m.listCopy.List
 	now := m.n.now()
 	if !l.Counted {
 		m.countedSince = 0
 	} else if m.countedSince == 0 {
 		m.countedSince = now
 	}
-	uses := membership.Share(l.Dispatchers, l.Counted, m.countedSince, now, m.n.opt.Timing.Within) > 0
-	if next.Number != m.list.Number || l.Dispatchers != m.dispatchers || uses != m.usesShare {
-		if err := m.n.program.ApplyList(next, l.Dispatchers, uses); err != nil {
+	usesShare := membership.Share(l.Dispatchers, l.Counted, m.countedSince, now, m.n.opt.Timing.Within) > 0
+	if list.Number != m.list.Number || l.Dispatchers != m.dispatchers || usesShare != m.usesShare {
+		if err := m.n.program.ApplyList(list, l.Dispatchers, usesShare); err != nil {
 			return err
 		}
 		m.mu.Lock()
-		m.list, m.dispatchers, m.usesShare = next, l.Dispatchers, uses
+		m.list, m.dispatchers, m.usesShare = list, l.Dispatchers, usesShare
 		m.mu.Unlock()
 	}
-	if next.Number == 0 {
+	if list.Number == 0 {
 		return errNoList
 	}
 	if l.Fresh {
@@ -326,7 +326,7 @@
 // Confirm lets the change pass that is held, by an operator's word.
 func (n *Node) Confirm() error {
 	var p proposeResponse
-	err := n.atLeader(func(local *voter, link *peers.Link) (elsewhere bool, err error) {
+	err := n.atLeader(func(local *voter, link *peers.Link) (notLeader bool, err error) {
 		p = proposeResponse{}
 		if local != nil {
 			p, err = local.confirm()
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -96,12 +96,12 @@
 func (m *member) checkLease() {
 	now := m.n.now()
 	m.mu.Lock()
-	over := m.active.Number != 0 && m.lastGrant != 0 && m.lease.Remaining(now) <= 0
-	first := over && m.lostAt == 0
+	expired := m.active.Number != 0 && m.lastGrant != 0 && m.lease.Remaining(now) <= 0
+	first := expired && m.lostAt == 0
 	if first {
 		m.lostAt = now
 	}
-	if m.saved.Unproven && m.lastGrant != 0 && !over && m.lostAt == 0 && now-m.activatedAt > agree.TrialTime {
+	if m.saved.Unproven && m.lastGrant != 0 && !expired && m.lostAt == 0 && now-m.activatedAt > agree.TrialTime {
 		m.saved.Unproven, m.saved.Crashes, m.saved.LastGood = false, 0, m.saved.ActsOn
 		m.mu.Unlock()
 		m.save()
@@ -155,7 +155,7 @@
 
 // ask finds the voter that leads and renews there.
 func (m *member) askLeader(r agree.Renewal) (a renewResponse, err error) {
-	n, limit := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Hooks.ExtraRenewTimeout
+	n, timeout := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Hooks.ExtraRenewTimeout
 	leader := m.knownLeader()
 	if n.voter != nil {
 		if a, err = n.voter.renew(r); err == nil && a.Confirmed {
@@ -164,7 +164,7 @@
 		}
 		leader = a.Leader
 	}
-	last := errNoLeader
+	lastErr := errNoLeader
 	asked := map[string]bool{}
 	for next := m.votersToAsk(leader); len(next) > 0 && len(asked) < maxVotersAsked; next = next[1:] {
 		name := next[0]
@@ -172,9 +172,9 @@
 			continue
 		}
 		asked[name] = true
-		if err := callJSON(n.links[name], renewCall, r, &a, limit); err != nil {
+		if err := callJSON(n.links[name], renewCall, r, &a, timeout); err != nil {
 			m.unresponsive[name] = n.now()
-			last = fmt.Errorf("%w: %w", errNoLeader, err)
+			lastErr = fmt.Errorf("%w: %w", errNoLeader, err)
 			continue
 		}
 		delete(m.unresponsive, name)
@@ -185,11 +185,11 @@
 		if n.links[a.Leader] != nil {
 			next = append([]string{name, a.Leader}, next[1:]...)
 		} else {
-			last = fmt.Errorf("%w: %s: %s", errNoLeader, name, a.Why)
+			lastErr = fmt.Errorf("%w: %s: %s", errNoLeader, name, a.Why)
 		}
 	}
 	m.setLeader("")
-	return a, last
+	return a, lastErr
 }
 
 // order gives the voters as they are to be asked: the one that is said to lead, and those that were silent of late last.
@@ -213,59 +213,59 @@
 }
 
 // check checks a version that is under way against this dispatcher's own file and bounds.
-func (m *member) checkVersion(b *versionInfo) {
-	fault := m.n.program.Check(b.Content)
+func (m *member) checkVersion(info *versionInfo) {
+	fault := m.n.program.Check(info.Content)
 	m.mu.Lock()
-	m.checked, m.fault = b.Number, fault
-	m.lastChecked = agree.Version{Number: b.Number, Fingerprint: b.Fingerprint, Content: b.Content, Keys: b.Keys}
+	m.checked, m.fault = info.Number, fault
+	m.lastChecked = agree.Version{Number: info.Number, Fingerprint: info.Fingerprint, Content: info.Content, Keys: info.Keys}
 	m.mu.Unlock()
 	if fault != nil {
 		m.n.turnedDown.Add(1)
-		slog.Warn("agreement: a version is turned down", "version", b.Number, "key", fault.Key, "reason", fault.Reason)
+		slog.Warn("agreement: a version is turned down", "version", info.Number, "key", fault.Key, "reason", fault.Reason)
 	}
 }
 
 // granted takes an answer of the voter that leads.
 func (m *member) handleResponse(sent time.Duration, a renewResponse) (again bool) {
 	m.mu.Lock()
-	holds, lease := m.active, m.lease
+	active, lease := m.active, m.lease
 	m.mu.Unlock()
-	force := agree.Version{Number: a.InForce.Number, Fingerprint: a.InForce.Fingerprint, Content: a.InForce.Content, Keys: a.InForce.Keys}
-	stale := holds.Number != force.Number
+	inForce := agree.Version{Number: a.InForce.Number, Fingerprint: a.InForce.Fingerprint, Content: a.InForce.Content, Keys: a.InForce.Keys}
+	stale := active.Number != inForce.Number
 	if m.n.opt.Hooks.Stale != nil {
 		stale = m.n.opt.Hooks.Stale(stale)
 	}
-	if stale && force.Content == "" && m.lastChecked.Number == force.Number {
-		force = m.lastChecked
+	if stale && inForce.Content == "" && m.lastChecked.Number == inForce.Number {
+		inForce = m.lastChecked
 	}
-	var listed error
+	var listErr error
 	if a.Lease {
-		listed = m.applyList(sent, a.List)
+		listErr = m.applyList(sent, a.List)
 	}
 	if m.n.opt.Hooks.RenewedAt != nil {
 		sent = m.n.opt.Hooks.RenewedAt(sent, m.n.now())
 	}
-	if stale && m.crashedTwiceOn(force.Number) {
-		if keys := agree.ConflictingKeys(holds.Keys, force.Keys); len(keys) > 0 {
+	if stale && m.crashedTwiceOn(inForce.Number) {
+		if keys := agree.ConflictingKeys(active.Keys, inForce.Keys); len(keys) > 0 {
 			m.setUnfit(&agree.Fault{Key: keys[0], Reason: fmt.Sprintf("version %d brought this dispatcher down twice, and the last good one, %d, contradicts it in %s",
-				force.Number, holds.Number, strings.Join(keys, ", "))})
+				inForce.Number, active.Number, strings.Join(keys, ", "))})
 			return false
 		}
 		stale = false // no key of it does harm: it goes on by the last good one
 	}
 	if stale {
-		if force.Content == "" {
+		if inForce.Content == "" {
 			m.forgetChecked() // so that the whole of it is sent
 			return true
 		}
-		lease = &agree.Lease{Number: force.Number, Fingerprint: force.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
-		if a.Lease && listed == nil {
+		lease = &agree.Lease{Number: inForce.Number, Fingerprint: inForce.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
+		if a.Lease && listErr == nil {
 			lease.Extend(sent, m.n.opt.Timing)
 		}
 		if m.n.opt.Hooks.Lease != nil {
 			m.n.opt.Hooks.Lease(lease)
 		}
-		if !m.activate(force, lease) {
+		if !m.activate(inForce, lease) {
 			return false
 		}
 		again = !a.Lease // it was not fit before, or not up to date
@@ -274,18 +274,18 @@
 		m.logNoLease("no lease: " + a.Why)
 		return again
 	}
-	if listed != nil {
-		m.logNoLease("no lease: " + listed.Error())
-		return again || errors.Is(listed, errPartialList)
+	if listErr != nil {
+		m.logNoLease("no lease: " + listErr.Error())
+		return again || errors.Is(listErr, errPartialList)
 	}
 	lease.Extend(sent, m.n.opt.Timing)
 	now := m.n.now()
 	m.mu.Lock()
-	lost := m.lostAt
+	lostAt := m.lostAt
 	m.lastGrant, m.lostAt, m.reason, m.lastLogged = now, 0, "", ""
 	m.mu.Unlock()
-	if lost != 0 {
-		slog.Info("agreement: the lease is back", "version", force.Number, "without", (now - lost).Round(time.Millisecond))
+	if lostAt != 0 {
+		slog.Info("agreement: the lease is back", "version", inForce.Number, "without", (now - lostAt).Round(time.Millisecond))
 	}
 	return again
 }
@@ -339,12 +339,12 @@
 // listen hears of changes as they come.
 func (m *member) watchChanges() {
 	n := m.n
-	stamp := uint64(0)
+	revision := uint64(0)
 	for n.ctx.Err() == nil {
 		if n.voter != nil {
-			next := n.voter.waitForChange(stamp, changeTimeout)
-			if next != stamp {
-				stamp = next
+			next := n.voter.waitForChange(revision, changeTimeout)
+			if next != revision {
+				revision = next
 				n.wakeMember()
 			}
 			if n.voterStopped() {
@@ -353,13 +353,13 @@
 			continue
 		}
 		names := n.voterNames(m.knownLeader())
-		var is changeNotice
-		if len(names) == 0 || callJSON(n.links[names[0]], changesCall, changeNotice{stamp}, &is, changeTimeout+n.opt.Timing.AcceptFor) != nil {
+		var notice changeNotice
+		if len(names) == 0 || callJSON(n.links[names[0]], changesCall, changeNotice{revision}, &notice, changeTimeout+n.opt.Timing.AcceptFor) != nil {
 			m.sleep(n.opt.Timing.Renew)
 			continue
 		}
-		if is.Revision != stamp {
-			stamp = is.Revision
+		if notice.Revision != revision {
+			revision = notice.Revision
 			n.wakeMember()
 		}
 	}
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -291,28 +291,28 @@
 	if fault := agree.CheckKeys(keys); fault != nil {
 		return fault
 	}
-	var book agree.Record
+	var record agree.Record
 	cluster, disk := NewID(), l.Identity().Disk
-	if _, err := book.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
+	if _, err := record.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
 		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wallTime()}}}); err != nil {
 		return err
 	}
-	return writeInitialLog(l, &book)
+	return writeInitialLog(l, &record)
 }
 
 // begin writes a cluster's record into the empty log of its first voter.
-func writeInitialLog(l *raftlog.Log, book *agree.Record) error {
-	data, err := jsoniter.Marshal(book)
+func writeInitialLog(l *raftlog.Log, record *agree.Record) error {
+	data, err := jsoniter.Marshal(record)
 	if err != nil {
 		return err
 	}
 	one := uint64(1)
 	err = l.Save(&raftpb.HardState{Term: &one, Commit: &one}, nil, &raftpb.Snapshot{Data: data,
-		Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: []uint64{book.Seats[0].Disk}}}})
+		Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: []uint64{record.Seats[0].Disk}}}})
 	if err != nil {
 		return err
 	}
-	return l.SetCluster(book.Cluster)
+	return l.SetCluster(record.Cluster)
 }
 
 // wall is the wall clock, for people alone: nothing is decided by it.
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -62,7 +62,7 @@
 // View asks the voters for the record, or parts of it, as it surely is now.
 func (n *Node) View(x ViewFilter) (*View, error) {
 	var view *View
-	err := n.atLeader(func(local *voter, link *peers.Link) (elsewhere bool, err error) {
+	err := n.atLeader(func(local *voter, link *peers.Link) (notLeader bool, err error) {
 		if local != nil {
 			view, err = local.show(x)
 			return false, err
@@ -149,7 +149,7 @@
 
 func (n *Node) propose(e agree.Entry) (uint64, error) {
 	var p proposeResponse
-	err := n.atLeader(func(local *voter, link *peers.Link) (elsewhere bool, err error) {
+	err := n.atLeader(func(local *voter, link *peers.Link) (notLeader bool, err error) {
 		p = proposeResponse{}
 		if local != nil {
 			p, err = local.propose(e)
@@ -168,26 +168,26 @@
 }
 
 // atLeader does something at the voter that leads, which may take some tries: f tells if it is not there.
-func (n *Node) atLeader(f func(local *voter, link *peers.Link) (elsewhere bool, err error)) error {
-	last := errNoLeader
-	for end := n.now() + leaderTimeout; n.now() < end; {
+func (n *Node) atLeader(f func(local *voter, link *peers.Link) (notLeader bool, err error)) error {
+	lastErr := errNoLeader
+	for deadline := n.now() + leaderTimeout; n.now() < deadline; {
 		names := n.voterNames(n.member.knownLeader())
 		if n.voter != nil {
 			names = append([]string{n.opt.Name}, names...)
 		}
 		for _, name := range names {
-			var elsewhere bool
+			var notLeader bool
 			var err error
 			if name == n.opt.Name {
-				elsewhere, err = f(n.voter, nil)
+				notLeader, err = f(n.voter, nil)
 			} else {
-				elsewhere, err = f(nil, n.links[name])
+				notLeader, err = f(nil, n.links[name])
 			}
 			switch {
 			case err != nil:
-				last = err
-			case elsewhere:
-				last = errNoLeader
+				lastErr = err
+			case notLeader:
+				lastErr = errNoLeader
 			default:
 				return nil
 			}
@@ -197,7 +197,7 @@
 			return n.ctx.Err()
 		}
 	}
-	return last
+	return lastErr
 }
 
 // Seat gives the seat of this voter to the disk that it has now, by an operator's word.
--- a/internal/agreement/reads.go
+++ b/internal/agreement/reads.go
@@ -62,10 +62,10 @@
 }
 
 // surely runs f on the voter's goroutine, once it is sure to lead, and waits for it.
-func (v *voter) asLeader(limit time.Duration, f func(sure bool)) error {
+func (v *voter) asLeader(timeout time.Duration, f func(confirmed bool)) error {
 	finished := make(chan struct{})
 	err := v.post(func() {
-		v.waitingReads = append(v.waitingReads, pendingRead{then: func(sure bool) { f(sure); close(finished) }})
+		v.waitingReads = append(v.waitingReads, pendingRead{then: func(confirmed bool) { f(confirmed); close(finished) }})
 	})
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	select {
 	case <-finished:
 		return nil
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		return errors.New("the voters take too long")
 	case <-v.done:
 		return errVoterBusy
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -61,17 +61,17 @@
 		return err
 	}
 	if text != nil {
-		var was savedState
-		if err := jsoniter.Unmarshal(text, &was); err != nil {
+		var saved savedState
+		if err := jsoniter.Unmarshal(text, &saved); err != nil {
 			return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
 		}
-		r.ActsOn = was.ActsOn
+		r.ActsOn = saved.ActsOn
 	}
 	if r.warmRates, err = l.Value(warmRatesNote); err != nil {
 		return err
 	}
-	store := l.Storage()
-	snap, err := store.Snapshot()
+	storage := l.Storage()
+	snap, err := storage.Snapshot()
 	if err != nil || raft.IsEmptySnap(snap) {
 		return err // it has never voted
 	}
@@ -80,11 +80,11 @@
 	if err := jsoniter.Unmarshal(snap.GetData(), &r.Record); err != nil {
 		return fmt.Errorf("the snapshot of the agreement: %w", err)
 	}
-	last, err := store.LastIndex()
+	last, err := storage.LastIndex()
 	if err != nil || last <= r.Index {
 		return err
 	}
-	entries, err := store.Entries(r.Index+1, last+1, ^uint64(0))
+	entries, err := storage.Entries(r.Index+1, last+1, ^uint64(0))
 	if err != nil {
 		return err
 	}
@@ -102,27 +102,27 @@
 }
 
 // changeOf gives the change of the record that an entry makes, and the change of the consensus' own members; nil for none.
-func decodeEntry(e *raftpb.Entry) (change *agree.Entry, seats *raftpb.ConfChangeV2, err error) {
+func decodeEntry(e *raftpb.Entry) (change *agree.Entry, conf *raftpb.ConfChangeV2, err error) {
 	data := e.GetData()
 	switch e.GetType() {
 	case raftpb.EntryConfChangeV2:
-		seats = &raftpb.ConfChangeV2{}
-		if err := proto.Unmarshal(data, seats); err != nil {
+		conf = &raftpb.ConfChangeV2{}
+		if err := proto.Unmarshal(data, conf); err != nil {
 			return nil, nil, err
 		}
-		data = seats.GetContext()
+		data = conf.GetContext()
 	case raftpb.EntryNormal:
 	default:
 		return nil, nil, fmt.Errorf("an entry of a kind that this version does not write: %v", e.GetType())
 	}
 	if len(data) == 0 {
-		return nil, seats, nil
+		return nil, conf, nil
 	}
 	change = &agree.Entry{}
 	if err := jsoniter.Unmarshal(data, change); err != nil {
 		return nil, nil, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
-	return change, seats, nil
+	return change, conf, nil
 }
 
 // bearsNote is the program's note that goes over to a new cluster, as it is about replicas.
@@ -131,7 +131,7 @@
 // Refound makes a new cluster out of what is left of a lost one, whose voters' logs are gone for the greater part, with this folder's voter
 // as its first. others are the folders of all dispatchers that are left; the newest log must be this one's. The old log is kept beside the
 // new one.
-func Rebootstrap(opt Options, lost uint64, others []string, by string) (agree.Record, error) {
+func Rebootstrap(opt Options, lostCluster uint64, folders []string, by string) (agree.Record, error) {
 	own, err := Survey(opt.Folder)
 	if err != nil {
 		return agree.Record{}, err
@@ -139,17 +139,17 @@
 	if !own.HasVoterLog {
 		return agree.Record{}, fmt.Errorf("%s holds no voter's log", LogPath(opt.Folder))
 	}
-	if own.Cluster != lost {
-		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lost)
+	if own.Cluster != lostCluster {
+		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lostCluster)
 	}
 	acted := []agree.Version{own.ActsOn}
-	for _, folder := range others {
+	for _, folder := range folders {
 		r, err := Survey(folder)
 		switch {
 		case err != nil:
 			return agree.Record{}, err
-		case r.Cluster != 0 && r.Cluster != lost:
-			return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lost)
+		case r.Cluster != 0 && r.Cluster != lostCluster:
+			return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lostCluster)
 		case r.HasVoterLog && r.Newer(&own):
 			return agree.Record{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
 				folder, r.Term, r.Index, own.Term, own.Index)
@@ -157,14 +157,14 @@
 		acted = append(acted, r.ActsOn)
 	}
 	cluster, disk := NewID(), NewID()
-	book, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, acted, by)
+	record, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, acted, by)
 	if err != nil {
-		return book, err
+		return record, err
 	}
 	if opt.Hooks.Rebootstrap != nil {
-		opt.Hooks.Rebootstrap(&own.Record, &book)
+		opt.Hooks.Rebootstrap(&own.Record, &record)
 	}
-	return book, replaceLog(&own, disk, func(l *raftlog.Log) error { return writeInitialLog(l, &book) })
+	return record, replaceLog(&own, disk, func(l *raftlog.Log) error { return writeInitialLog(l, &record) })
 }
 
 // Leave has a folder forget the cluster that it belongs to, so that its dispatcher can come into the one that took its place. The old log is
@@ -184,7 +184,7 @@
 // known of replicas goes over. Whatever cuts it short, one of the two is in place.
 func replaceLog(old *SurveyResult, disk uint64, fill func(*raftlog.Log) error) error {
 	path := LogPath(old.Folder)
-	next, kept := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
+	next, backup := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
 	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that was cut short
 		return err
 	}
@@ -199,7 +199,7 @@
 	if err = errors.Join(err, l.Close()); err != nil {
 		return err
 	}
-	if err := os.Link(path, kept); err != nil && !errors.Is(err, fs.ErrExist) {
+	if err := os.Link(path, backup); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
 	if err := os.Rename(next, path); err != nil {
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -62,14 +62,14 @@
 // does not go together is refused by naming it.
 func TestRebootstrapFromSurvivingFolders(t *testing.T) {
 	opt := bootstrapped(t, proposeAndActivate...)
-	was, err := Survey(opt.Folder)
-	if err != nil || was.Record.InForceNumber != 2 || was.Term != 2 || was.Index != 3 || !was.HasVoterLog {
-		t.Fatalf("%+v, %v", was, err)
+	before, err := Survey(opt.Folder)
+	if err != nil || before.Record.InForceNumber != 2 || before.Term != 2 || before.Index != 3 || !before.HasVoterLog {
+		t.Fatalf("%+v, %v", before, err)
 	}
 	member := newStateFolder(t) // it never voted, and acted on what no log that is left holds
 	writeLog(t, member.Folder, func(l *raftlog.Log) error {
 		text, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
-		return errors.Join(err, l.SetValue(savedStateNote, text), l.SetCluster(was.Cluster))
+		return errors.Join(err, l.SetValue(savedStateNote, text), l.SetCluster(before.Cluster))
 	})
 	foreign := bootstrapped(t)
 	older, newer := copyOf(t, opt.Folder), copyOf(t, opt.Folder)
@@ -82,27 +82,27 @@
 		others []string
 		word   string
 	}{
-		"another cluster's number": {was.Cluster + 1, nil, "not to"},
-		"another cluster's folder": {was.Cluster, []string{foreign.Folder}, "belongs to cluster"},
-		"a newer log elsewhere":    {was.Cluster, []string{older, newer}, newer},
-		"no log there":             {was.Cluster, []string{t.TempDir()}, "no such file"},
+		"another cluster's number": {before.Cluster + 1, nil, "not to"},
+		"another cluster's folder": {before.Cluster, []string{foreign.Folder}, "belongs to cluster"},
+		"a newer log elsewhere":    {before.Cluster, []string{older, newer}, newer},
+		"no log there":             {before.Cluster, []string{t.TempDir()}, "no such file"},
 	} {
 		if _, err := Rebootstrap(opt, x.lost, x.others, "op"); err == nil || !strings.Contains(err.Error(), x.word) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Rebootstrap(member, was.Cluster, nil, "op"); err == nil {
+	if _, err := Rebootstrap(member, before.Cluster, nil, "op"); err == nil {
 		t.Error("made from a folder without a voter's log")
 	}
 	if err := os.WriteFile(LogPath(opt.Folder)+".new", []byte("cut short"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Rebootstrap(opt, was.Cluster, []string{older, member.Folder}, "op"); err != nil {
+	if _, err := Rebootstrap(opt, before.Cluster, []string{older, member.Folder}, "op"); err != nil {
 		t.Fatal(err)
 	}
-	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster == was.Cluster || is.Disk == was.Disk || is.Record.InForceNumber != 5 || is.Record.Version(2).State != agree.Superseded || is.Record.Complete {
-		t.Errorf("%+v, %v", is, err)
+	after, err := Survey(opt.Folder)
+	if err != nil || after.Cluster == before.Cluster || after.Disk == before.Disk || after.Record.InForceNumber != 5 || after.Record.Version(2).State != agree.Superseded || after.Record.Complete {
+		t.Errorf("%+v, %v", after, err)
 	}
 	kept, err := filepath.Glob(LogPath(opt.Folder) + ".*")
 	if err != nil || len(kept) != 1 {
@@ -114,19 +114,19 @@
 func TestLeaveCluster(t *testing.T) {
 	opt := bootstrapped(t, proposeAndActivate...)
 	writeLog(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(warmRatesNote, []byte(`{"w":3}`)) })
-	was, err := Survey(opt.Folder)
+	before, err := Survey(opt.Folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := LeaveCluster(opt.Folder, was.Cluster+1); err == nil {
+	if err := LeaveCluster(opt.Folder, before.Cluster+1); err == nil {
 		t.Error("it left a cluster that is not its own")
 	}
-	if err := LeaveCluster(opt.Folder, was.Cluster); err != nil {
+	if err := LeaveCluster(opt.Folder, before.Cluster); err != nil {
 		t.Fatal(err)
 	}
-	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster != 0 || is.Disk == was.Disk || is.HasVoterLog || string(is.warmRates) != `{"w":3}` {
-		t.Errorf("%+v, %v", is, err)
+	after, err := Survey(opt.Folder)
+	if err != nil || after.Cluster != 0 || after.Disk == before.Disk || after.HasVoterLog || string(after.warmRates) != `{"w":3}` {
+		t.Errorf("%+v, %v", after, err)
 	}
 	if _, err := Survey(t.TempDir()); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("an empty folder: %v", err)
--- a/internal/agreement/requests.go
+++ b/internal/agreement/requests.go
@@ -15,8 +15,8 @@
 // told here was so after it had come.
 func (v *voter) renew(r agree.Renewal) (renewResponse, error) {
 	answer := make(chan renewResponse, 1)
-	err := v.asLeader(v.n.opt.Timing.AcceptFor, func(sure bool) {
-		a := renewResponse{Leader: v.leaderName(), Confirmed: sure && v.record.InForce() != nil, Cluster: v.record.Cluster, Revision: v.record.Revision}
+	err := v.asLeader(v.n.opt.Timing.AcceptFor, func(confirmed bool) {
+		a := renewResponse{Leader: v.leaderName(), Confirmed: confirmed && v.record.InForce() != nil, Cluster: v.record.Cluster, Revision: v.record.Revision}
 		if !a.Confirmed {
 			a.Why = "no leader yet"
 			answer <- a
@@ -27,10 +27,10 @@
 		if r.WantsWarmRates {
 			a.WarmRates = v.leases.WarmRates(v.n.now())
 		}
-		force := v.record.VersionFor(r.Name)
-		a.InForce = versionInfoOf(force, r.CachedVersion == force.Number)
-		if open := v.record.InProgress(); open != nil && open.Number != r.Checked {
-			a.InProgress = versionInfoOf(open, false)
+		inForce := v.record.VersionFor(r.Name)
+		a.InForce = versionInfoOf(inForce, r.CachedVersion == inForce.Number)
+		if candidate := v.record.InProgress(); candidate != nil && candidate.Number != r.Checked {
+			a.InProgress = versionInfoOf(candidate, false)
 		}
 		switch {
 		case !v.record.Complete:
@@ -91,8 +91,8 @@
 // show gives the record, or parts of it, as it surely is.
 func (v *voter) show(x ViewFilter) (*View, error) {
 	answer := make(chan *View, 1)
-	err := v.asLeader(proposeTimeout, func(sure bool) {
-		if !sure {
+	err := v.asLeader(proposeTimeout, func(confirmed bool) {
+		if !confirmed {
 			answer <- nil
 			return
 		}
@@ -116,8 +116,8 @@
 // sit lets a voter take its seat: an empty one, or by an operator's word that of a disk that is lost.
 func (v *voter) takeSeat(s seatRequest) (proposeResponse, error) {
 	answer := make(chan proposeResponse, 1)
-	err := v.asLeader(proposeTimeout, func(sure bool) {
-		if !sure {
+	err := v.asLeader(proposeTimeout, func(confirmed bool) {
+		if !confirmed {
 			answer <- v.notLeader()
 			return
 		}
@@ -161,14 +161,14 @@
 }
 
 // wait gives the record's stamp once it is another than one that is known, or after a while.
-func (v *voter) waitForChange(known uint64, limit time.Duration) uint64 {
+func (v *voter) waitForChange(known uint64, timeout time.Duration) uint64 {
 	s := v.watch.Load()
 	if s.revision != known {
 		return s.revision
 	}
 	select {
 	case <-s.changed:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	case <-v.done:
 	}
 	return v.watch.Load().revision
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -72,8 +72,8 @@
 	v := &voter{n: n, inbox: make(chan func(), inboxSize), done: make(chan struct{}), proposals: map[string]chan proposeResponse{},
 		voterNames: map[uint64]string{}, senders: map[string]*sender{}}
 	v.watch.Store(&revisionWatch{0, make(chan struct{})})
-	store := n.log.Storage()
-	snap, err := store.Snapshot()
+	storage := n.log.Storage()
+	snap, err := storage.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 			return nil, err
 		}
 	}
-	v.rn, err = raft.NewRawNode(&raft.Config{ID: n.log.Identity().Disk, ElectionTick: agree.ElectionTicks, HeartbeatTick: 1, Storage: store,
+	v.rn, err = raft.NewRawNode(&raft.Config{ID: n.log.Identity().Disk, ElectionTick: agree.ElectionTicks, HeartbeatTick: 1, Storage: storage,
 		Applied: v.applied, MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: 4 * maxMessageBytes, MaxInflightMsgs: 64,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftLogger{}})
 	if err != nil {
@@ -95,11 +95,11 @@
 }
 
 func (v *voter) restore(snap *raftpb.Snapshot) error {
-	var book agree.Record
-	if err := jsoniter.Unmarshal(snap.GetData(), &book); err != nil {
+	var record agree.Record
+	if err := jsoniter.Unmarshal(snap.GetData(), &record); err != nil {
 		return fmt.Errorf("the snapshot of the agreement: %w", err)
 	}
-	v.record, v.applied, v.snapshotIndex, v.confState = book, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
+	v.record, v.applied, v.snapshotIndex, v.confState = record, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
 	v.nameSeats()
 	return nil
 }
@@ -121,7 +121,7 @@
 			slog.Error("agreement: this log contradicts what the voters hold, so this voter stops; its dispatcher goes on", "why", r)
 		}
 	}()
-	join := 0
+	ticks := 0
 	for {
 		select {
 		case <-v.n.ctx.Done():
@@ -133,7 +133,7 @@
 			if v.roundInFlight != 0 && v.n.now()-v.roundStart > v.n.opt.Timing.Tick*agree.ElectionTicks {
 				v.failReads()
 			}
-			if join++; join%agree.ElectionTicks == 0 && v.confState == nil {
+			if ticks++; ticks%agree.ElectionTicks == 0 && v.confState == nil {
 				go v.n.requestSeat(false)
 			}
 		}
@@ -214,15 +214,15 @@
 
 // lead notes who leads. A new leader knows nothing of the leases that others granted.
 func (v *voter) setLeader(s *raft.SoftState) {
-	was := v.isLeader
+	wasLeader := v.isLeader
 	v.isLeader, v.leader = s.RaftState == raft.StateLeader, s.Lead
 	switch {
-	case v.isLeader && !was:
+	case v.isLeader && !wasLeader:
 		v.leases = agree.NewLeaseTable(v.n.now(), v.n.opt.Timing)
 		v.lists.reset(v)
 		v.n.elections.Add(1)
 		slog.Info("agreement: this dispatcher leads the voters", "term", v.term)
-	case was && !v.isLeader:
+	case wasLeader && !v.isLeader:
 		v.leases = nil
 		v.failReads()
 		for id, c := range v.proposals { // whether they were decided another voter can tell
@@ -268,11 +268,11 @@
 
 func (v *voter) apply(e *raftpb.Entry) error {
 	v.applied = e.GetIndex()
-	change, seats, err := decodeEntry(e)
+	change, conf, err := decodeEntry(e)
 	if err != nil {
 		return err
 	}
-	if seats != nil {
+	if conf != nil {
 		if change != nil {
 			if _, err := v.record.Apply(*change); err != nil {
 				slog.Warn("agreement: a seat was not taken", "error", err)
@@ -282,7 +282,7 @@
 			v.nameSeats()
 			slog.Info("agreement: a voter has taken its seat", "voter", change.TakeSeat.Name, "disk", fmt.Sprintf("%x", change.TakeSeat.Disk))
 		}
-		v.confState, v.seatsChanged = v.rn.ApplyConfChange(seats), true
+		v.confState, v.seatsChanged = v.rn.ApplyConfChange(conf), true
 		v.recordCluster()
 		v.notifyChange()
 		return nil
