--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -12,7 +12,7 @@
 	return map[string]string{"siblings": "3", "limits.try_limit": limit, "services.0.credit": credit}
 }
 
-// founded gives a Book with all its seats taken and version 1 in force.
+// bootstrapped returns a record with all seats taken and version 1 in force.
 func bootstrapped(t testing.TB) *Record {
 	t.Helper()
 	rec := &Record{}
@@ -45,7 +45,7 @@
 		}
 	}
 	if after := fmt.Sprintf("%+v", rec.Versions); after != before {
-		t.Errorf("a refusal changed %s to %s", before, after)
+		t.Errorf("a refused entry changed the versions from %s to %s", before, after)
 	}
 }
 
@@ -54,21 +54,21 @@
 	n := mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
 	expectRefusal(t, rec, proposal("y", 1, keysWith("4", "1")), "version 2", "under way", "limits.try_limit")
 	if again, err := rec.Apply(proposal("x", 1, keysWith("5", "1"))); err != nil || again != n || rec.LastNumber != 2 {
-		t.Errorf("the same proposal twice: %d, %v, last %d", again, err, rec.LastNumber)
+		t.Errorf("repeated proposal: number %d, error %v, last number %d", again, err, rec.LastNumber)
 	}
 	mustApply(t, rec, Entry{Activate: &Activate{Number: n}})
 	expectRefusal(t, rec, Entry{Activate: &Activate{Number: n}}, "not under way")
 	expectRefusal(t, rec, proposal("z", 1, keysWith("4", "2")), "made from version 1, and 2 is in force", "limits.try_limit")
 	expectRefusal(t, rec, proposal("same", 2, keysWith("5", "1")), "no key differs")
 	expectRefusal(t, rec, Entry{TurnDown: &TurnDown{Number: 2}}, "not under way")
-	// A number that was turned down is not given again, and going back is a new number.
+	// The number of a version that was turned down is not reused, and a rollback gets a new number.
 	n = mustApply(t, rec, proposal("bad", 2, keysWith("1", "1")))
 	mustApply(t, rec, Entry{TurnDown: &TurnDown{Number: n, Member: "c", Fault: Fault{"limits.try_limit", "too few"}}})
 	expectRefusal(t, rec, Entry{Activate: &Activate{Number: n}}, "not under way")
 	back := proposal("back", 2, keysWith("6", "1"))
 	back.Propose.RollbackTo = 1
 	if n := mustApply(t, rec, back); n != 4 || rec.Version(4).RollbackTo != 1 || rec.InForceNumber != 2 {
-		t.Errorf("back as %d, in force %d", n, rec.InForceNumber)
+		t.Errorf("rollback is version %d, in force is %d", n, rec.InForceNumber)
 	}
 	mustApply(t, rec, Entry{Withdraw: &Withdraw{ID: "w", Number: 4, By: "op"}})
 	if rec.Version(4).State != Withdrawn || rec.InProgress() != nil || rec.InForce().Number != 2 || rec.Decisions != 2 {
@@ -99,7 +99,7 @@
 		bytes += len(v.Content)
 	}
 	if bytes > maxKeptBytes+40<<10 || len(rec.Results) > maxKeptResults || rec.InForce() == nil || rec.LastNumber != 3*maxKeptVersions+1 {
-		t.Errorf("%d bytes, %d answers, last %d", bytes, len(rec.Results), rec.LastNumber)
+		t.Errorf("%d bytes of content, %d results, last number %d", bytes, len(rec.Results), rec.LastNumber)
 	}
 	expectRefusal(t, rec, proposal("old", 1, keysWith("9", "1")), "no longer kept")
 }
@@ -113,10 +113,10 @@
 	}
 	a, b := keysWith("6", "1"), keysWith("5", "2")
 	if got := ConflictingKeys(a, b); !slices.Equal(got, []string{"limits.try_limit"}) {
-		t.Errorf("contradicts: %v", got)
+		t.Errorf("ConflictingKeys: %v", got)
 	}
 	if got := DifferingKeys(a, b); len(got) != 2 {
-		t.Errorf("differs: %v", got)
+		t.Errorf("DifferingKeys: %v", got)
 	}
 	if f := CheckKeys(map[string]string{"limits.try_limt": "1"}); f == nil || !strings.Contains(f.Error(), "is limits.try_limit meant") {
 		t.Errorf("%v", f)
@@ -126,15 +126,16 @@
 	}
 }
 
-// Guards: a lease counts from when its renewal was sent, ends by its own clock, and is asked about repeats where it is over.
+// TestLease checks that a lease counts from when its renewal was sent, that a late answer to an older
+// renewal does not shorten it, and what each policy permits after its end.
 func TestLease(t *testing.T) {
 	timing := TimingOf(2 * time.Second)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, x := range []struct {
 		alone       LeaseLossPolicy
 		at          time.Duration
-		take, send  bool // of a class that must not run twice
-		safe, again bool // of another: a first attempt, a further one
+		take, send  bool // requests of a class that must not run twice
+		safe, again bool // requests of other classes: a first attempt, a retry
 		once, ready bool
 	}{
 		{Stop, ms(1100), true, true, true, true, false, true},
@@ -146,16 +147,16 @@
 	} {
 		l := &Lease{Number: 3, Fingerprint: "0123456789", OnLeaseLoss: x.alone}
 		l.Extend(ms(100), timing)
-		l.Extend(ms(50), timing) // an older answer that came later moves nothing back
+		l.Extend(ms(50), timing) // the answer to an older renewal arrives later and shortens nothing
 		got := []bool{l.MayAccept(x.at, true) == nil, l.MaySend(x.at, true, false) == nil, l.MaySend(x.at, false, false) == nil, l.MaySend(x.at, false, true) == nil,
 			l.AtMostOnce(x.at), l.Ready(x.at)}
 		if want := []bool{x.take, x.send, x.safe, x.again, x.once, x.ready}; !slices.Equal(got, want) {
 			t.Errorf("%s at %v: %v, wanted %v", x.alone, x.at, got, want)
 		}
 	}
-	for _, alone := range []LeaseLossPolicy{Stop, Safe, Hold} { // that never held a version
+	for _, alone := range []LeaseLossPolicy{Stop, Safe, Hold} { // without any version
 		if l := (&Lease{OnLeaseLoss: alone}); l.MayAccept(0, false) == nil || l.Ready(0) {
-			t.Errorf("%s takes what nobody agreed on", alone)
+			t.Errorf("%s: a lease without a version accepts requests", alone)
 		}
 	}
 	if l := (&Lease{Number: 3, Fingerprint: "0123456789"}); l.SettingsVersion() != "3-01234567" {
@@ -166,7 +167,7 @@
 			t.Errorf("%v: %v", within, !good)
 		}
 	}
-	// No lease lasts as long as the promise allows, by any clock within the drift.
+	// Every lease ends within Within, by any clock within the drift.
 	if timing.MaxLease >= timing.Within || timing.AcceptFor >= timing.SendFor || timing.SendFor+timing.SendFor/DriftDivisor >= timing.MaxLease {
 		t.Errorf("%+v", timing)
 	}
@@ -175,42 +176,42 @@
 func TestLeaseTable(t *testing.T) {
 	rec, timing := bootstrapped(t), TimingOf(time.Second)
 	leases := NewLeaseTable(0, timing)
-	now := 10 * time.Second // leases that another leader granted are over
+	now := 10 * time.Second // leases granted by an earlier leader have expired
 	renew := func(name string, checked uint64, f *Fault) bool {
 		return leases.Renew(now, Renewal{Name: name, Checked: checked, Fault: f}, rec)
 	}
 	if !renew("a", 0, nil) || !renew("b", 0, nil) {
-		t.Fatal("no lease")
+		t.Fatal("renewals were not granted")
 	}
 	n := mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
 	renew("a", n, nil)
 	if e := leases.Next(now, rec); e != nil {
-		t.Fatalf("b may be acting and has not checked: %+v", e)
+		t.Fatalf("b holds a lease and has not checked the version, but got %+v", e)
 	}
 	if got := leases.WaitingFor(now, rec); !slices.Equal(got, []string{"b"}) {
-		t.Errorf("waits for %v", got)
+		t.Errorf("WaitingFor: %v", got)
 	}
 	now += timing.MaxLease / 2
 	renew("a", n, nil)
 	if e := leases.Next(now+timing.MaxLease/2-1, rec); e != nil {
-		t.Errorf("b's lease may run: %+v", e)
+		t.Errorf("b's lease may still run, but got %+v", e)
 	}
 	now += timing.MaxLease / 2
 	renew("a", n, nil)
 	if e := leases.Next(now, rec); e == nil || e.Activate == nil || e.Activate.Number != n {
-		t.Fatalf("b's lease is over: %+v", e)
+		t.Fatalf("b's lease has expired, but got %+v", e)
 	}
 	if renew("d", 0, nil) || renew("b", 0, nil) {
-		t.Error("a lease for who has not checked what is being put in force")
+		t.Error("lease granted to a dispatcher that has not checked the version being put in force")
 	}
 	if !renew("b", n, nil) {
-		t.Error("no lease for who has")
+		t.Error("no lease for a dispatcher that has checked the version")
 	}
 	mustApply(t, rec, Entry{Activate: &Activate{Number: n}})
 	if !renew("d", 0, nil) {
-		t.Error("no lease for a newcomer")
+		t.Error("no lease for a new member")
 	}
-	// One that turns it down, one that leaves, one that is not fit.
+	// One dispatcher turns the version down, one leaves, one can't act on the version in force.
 	n = mustApply(t, rec, proposal("y", 2, keysWith("4", "1")))
 	renew("a", n, nil)
 	renew("b", n, &Fault{"k", "no"})
@@ -220,12 +221,12 @@
 	leases.Renew(now, Renewal{Name: "b", Leaving: true}, rec)
 	leases.Renew(now, Renewal{Name: "d", Leaving: true}, rec)
 	if e := leases.Next(now, rec); e == nil || e.Activate == nil {
-		t.Errorf("b has left: %+v", e)
+		t.Errorf("after b left: %+v", e)
 	}
 	if leases.Renew(now, Renewal{Name: "u", Checked: n, Unfit: &Fault{"k", "no"}}, rec) {
-		t.Error("a lease for who can't act on the version in force")
+		t.Error("lease granted to a dispatcher that can't act on the version in force")
 	}
-	// A new leader waits for leases that it knows nothing of.
+	// A new leader waits until the leases that it does not know have expired.
 	if e := NewLeaseTable(now, timing).Next(now+timing.MaxLease-1, rec); e != nil {
 		t.Errorf("%+v", e)
 	}
@@ -251,7 +252,7 @@
 		}
 		mustApply(t, rec, *e)
 		if rec.VersionFor("a").Number != n || rec.VersionFor("b").Number != 1 || rec.InForceNumber != 1 {
-			t.Fatalf("a %d, b %d", rec.VersionFor("a").Number, rec.VersionFor("b").Number)
+			t.Fatalf("version for a is %d, for b %d", rec.VersionFor("a").Number, rec.VersionFor("b").Number)
 		}
 		return rec, leases, n
 	}
@@ -265,7 +266,7 @@
 			leases.Renew(now, Renewal{Name: "b", ActsOn: 1, Checked: n}, rec)
 			if e := leases.Next(now, rec); e != nil {
 				if e.Activate != nil && now < 20*time.Second {
-					t.Errorf("the others follow at %v", now)
+					t.Errorf("the other dispatchers follow at %v, before the end of the trial", now)
 				}
 				return e
 			}
@@ -274,12 +275,12 @@
 	}
 	rec, leases, n := start()
 	if e := run(rec, leases, n, false); e == nil || e.Activate == nil || e.Activate.Canary {
-		t.Errorf("proven: %+v", e)
+		t.Errorf("after the trial: %+v", e)
 	}
 	rec, leases, n = start()
 	e := run(rec, leases, n, true)
 	if e == nil || e.Withdraw == nil {
-		t.Fatalf("it went down: %+v", e)
+		t.Fatalf("after a restart of the canary dispatcher: %+v", e)
 	}
 	mustApply(t, rec, *e)
 	if rec.VersionFor("a").Number != 1 || rec.Version(n).State != Withdrawn {
--- a/internal/agree/entry.go
+++ b/internal/agree/entry.go
@@ -2,7 +2,7 @@
 
 import "standpulley/internal/membership"
 
-// Entry is one change of the Book. Exactly one of its fields is set.
+// Entry is one change of the Record, as stored in the consensus log. Exactly one field is set.
 type Entry struct {
 	Bootstrap *Bootstrap         `json:"found,omitempty"`
 	Propose   *Propose           `json:"propose,omitempty"`
@@ -10,14 +10,15 @@
 	Activate  *Activate          `json:"activate,omitempty"`
 	Withdraw  *Withdraw          `json:"withdraw,omitempty"`
 	Change    *membership.Change `json:"change,omitempty"` // of the list of replicas
-	Order     *PlaceOrder        `json:"order,omitempty"`  // an operator's override
-	Lift      *LiftOrder         `json:"lift,omitempty"`   // ends one
+	Order     *PlaceOrder        `json:"order,omitempty"`  // sets an operator's override of a replica
+	Lift      *LiftOrder         `json:"lift,omitempty"`   // ends an override
 	Census    *membership.Census `json:"census,omitempty"`
-	Ledger    *SetLedger         `json:"ledger,omitempty"` // notes the file with which a voter holds the ledger
-	TakeSeat  *Seat              `json:"sit,omitempty"`    // takes an empty seat, or that of the voter that Sit replaces
+	Ledger    *SetLedger         `json:"ledger,omitempty"` // records which ledger file a voter uses
+	TakeSeat  *Seat              `json:"sit,omitempty"`    // takes an empty seat, or replaces the disk that holds the seat
 }
 
-// Request is the number that a proposer drew for its entry, by which it is answered; empty where nobody waits for it.
+// Request returns the ID that the proposer chose for its entry and under which it is answered. It is
+// empty for an entry whose proposer does not wait for an answer.
 func (e *Entry) Request() string {
 	switch {
 	case e.Propose != nil:
@@ -34,14 +35,14 @@
 	return ""
 }
 
-// Ledger is the file with which a voter holds the ledger.
+// SetLedger records which ledger file a voter uses. Disk is the random number stored in that file.
 type SetLedger struct {
 	Request string `json:"request"`
 	Name    string `json:"name"`
 	Disk    uint64 `json:"disk"`
 }
 
-// Found begins a cluster with its first voter and version.
+// Bootstrap creates a cluster with its first voter and its first version.
 type Bootstrap struct {
 	Cluster       uint64  `json:"cluster"`
 	RequiredSeats int     `json:"wanted"`
@@ -49,9 +50,9 @@
 	First         Propose `json:"first"`
 }
 
-// Propose asks for a new version.
+// Propose proposes a new version.
 type Propose struct {
-	ID           string            `json:"id"` // drawn by the proposer: the same proposal twice is one
+	ID           string            `json:"id"` // chosen by the proposer, so that a repeated proposal counts once
 	Base         uint64            `json:"base"`
 	Content      string            `json:"content"`
 	Keys         map[string]string `json:"keys"`
@@ -63,20 +64,20 @@
 	RollbackTo   uint64            `json:"back,omitempty"`
 }
 
-// TurnDown says that a dispatcher can't act on a version.
+// TurnDown ends a version because a dispatcher can't act on it.
 type TurnDown struct {
 	Number uint64 `json:"number"`
 	Member string `json:"member"`
 	Fault  Fault  `json:"fault"`
 }
 
-// Activate puts a version in force, at one dispatcher first where that was asked for.
+// Activate puts a version in force, or with Canary set, only at its canary dispatcher.
 type Activate struct {
 	Number uint64 `json:"number"`
 	Canary bool   `json:"canary,omitempty"`
 }
 
-// Withdraw takes back a version that is not in force.
+// Withdraw takes back a version that is not yet in force.
 type Withdraw struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number"`
--- a/internal/agree/keys.go
+++ b/internal/agree/keys.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Effect says what happens where two dispatchers act on different values of one key.
+// Effect is the effect of two dispatchers acting on different values of one key.
 type Effect uint8
 
 // The effects.
 const (
 	Unknown  Effect = iota // the key is not one of the settings
-	Local                  // it is each dispatcher's own and never agreed on
-	Harmless               // it may differ for a while: it changes what is gained, not what is allowed
-	Harmful                // acting on both does harm: the values contradict each other
+	Local                  // the key belongs to each dispatcher alone and is never agreed on
+	Harmless               // values may differ for a while: they change what answers earn, not what is allowed
+	Harmful                // dispatchers must not act on both values at once: they conflict
 )
 
-// Key is one line of the table of keys: a path in which * stands for one part.
+// Key is one row of the table of keys. In Path, * matches one part.
 type Key struct {
 	Path   string
 	Effect Effect
 	Why    string
 }
 
-// Keys is the table of all keys that settings may hold. What it lacks is not known and is turned down.
+// Keys lists all keys that settings may hold. A version with any other key is turned down.
 var Keys = []Key{
 	{"zone", Local, "where this dispatcher stands"},
 
@@ -66,7 +66,7 @@
 	{"tenants.*.quota_rps", Harmful, "shares are summed over the fleet"},
 }
 
-// EffectOf looks a key up in the table.
+// EffectOf returns the effect of a key by the table, with the reason.
 func EffectOf(path string) (Effect, string) {
 	for _, k := range Keys {
 		if matches(k.Path, path) {
@@ -90,7 +90,8 @@
 	}
 }
 
-// Differs lists the keys whose values differ, in order; one that is missing counts as empty.
+// DifferingKeys returns the sorted keys whose values differ. A key that only b has counts as empty
+// in a.
 func DifferingKeys(a, b map[string]string) []string {
 	var keys []string
 	for k, v := range a {
@@ -107,7 +108,8 @@
 	return keys
 }
 
-// Contradicts lists the keys of two contents on which it does harm to act by both.
+// ConflictingKeys returns the keys whose values differ and on which no two dispatchers may act
+// differently. An unknown key conflicts.
 func ConflictingKeys(a, b map[string]string) []string {
 	return slices.DeleteFunc(DifferingKeys(a, b), func(key string) bool {
 		effect, _ := EffectOf(key)
@@ -115,7 +117,8 @@
 	})
 }
 
-// Check names the first key that may not be part of a version, with the known key that it is nearest to.
+// CheckKeys returns a fault for the first key that may not be part of a version, nil if there is
+// none. For an unknown key, the fault suggests the most similar known one.
 func CheckKeys(keys map[string]string) *Fault {
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		switch effect, why := EffectOf(key); effect {
@@ -128,7 +131,8 @@
 	return nil
 }
 
-// nearest names the key that was most likely meant: the one with the same end.
+// suggestion returns the end of an error text that names the known key whose last part is most
+// similar, or nothing where fewer than four letters agree.
 func suggestion(key string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
 	best, longest := "", 3
@@ -143,7 +147,7 @@
 	return "; is " + best + " meant?"
 }
 
-// common counts the letters that two words begin and end with alike.
+// commonLetters returns the combined length of the common prefix and suffix of two words.
 func commonLetters(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
--- a/internal/agree/lease.go
+++ b/internal/agree/lease.go
@@ -7,32 +7,36 @@
 	"time"
 )
 
-// Limits of Within, the time after which nobody acts on a version that another one has taken the place of.
+// Limits of Within, the time after which no dispatcher acts on a version that a conflicting one
+// has replaced.
 const (
 	MinWithin     = 500 * time.Millisecond
 	MaxWithin     = 30 * time.Second
 	DefaultWithin = 2 * time.Second
 )
 
-// Timing is all that follows from Within.
+// Timing holds the intervals that are derived from Within.
 type Timing struct {
 	Within    time.Duration
-	Tick      time.Duration // of the consensus, which beats once a tick
-	Renew     time.Duration // between renewals of a lease, and the time that one may take
-	AcceptFor time.Duration // since a renewal was sent, new work is taken for so long ...
-	SendFor   time.Duration // ... and work that was taken is sent on for so long
-	MaxLease  time.Duration // by any clock within the drift, no lease lasts longer than this
+	Tick      time.Duration // of the consensus; the leader sends a heartbeat each tick
+	Renew     time.Duration // between renewals of a lease, and the time that a renewal may take
+	AcceptFor time.Duration // how long new requests are accepted, counted from when a renewal was sent
+	SendFor   time.Duration // how long attempts of accepted requests are sent, counted in the same way
+	MaxLease  time.Duration // no lease lasts longer than this, by any clock within the drift
 }
 
 const (
-	// ElectionTicks without a word from the leader, and a voter stands for election: at most twice as many.
+	// ElectionTicks without a message from the leader make a voter start an election. The actual
+	// number is random, up to twice as many.
 	ElectionTicks = 8
-	// Drift bounds how much faster or slower a dispatcher's monotonic clock may run: one part in so many.
+	// DriftDivisor bounds the drift of a dispatcher's monotonic clock: it may run faster or slower
+	// by one part in so many.
 	DriftDivisor = 200
 )
 
-// TimingOf derives the times. A lease must outlive the loss of a leader: a renewal, the longest election and the renewals
-// that fail meanwhile come to 0.1 + 0.4 + 0.1 of Within, less than the 0.65 for which work is taken.
+// TimingOf derives the intervals. A lease must outlive the loss of the leader: a renewal, the longest
+// election and the renewals that fail meanwhile take 0.1 + 0.4 + 0.1 of Within, less than the 0.65
+// for which new requests are accepted.
 func TimingOf(within time.Duration) Timing {
 	t := Timing{Within: within, Tick: within / 40, Renew: within / 10, AcceptFor: within * 65 / 100, SendFor: within * 8 / 10}
 	t.AcceptFor -= t.AcceptFor / DriftDivisor
@@ -41,7 +45,7 @@
 	return t
 }
 
-// Check refuses times that leases and heartbeats can't keep.
+// Check returns an error if Within is outside the limits that leases and heartbeats can keep to.
 func (t Timing) Check() error {
 	if t.Within < MinWithin || t.Within > MaxWithin {
 		return fmt.Errorf("%v is not between %v and %v", t.Within, MinWithin, MaxWithin)
@@ -49,34 +53,36 @@
 	return nil
 }
 
-// Alone is what a dispatcher does whose lease is over.
+// LeaseLossPolicy selects what a dispatcher does after its lease has expired.
 type LeaseLossPolicy string
 
-// The choices.
+// The policies.
 const (
-	Stop LeaseLossPolicy = "stop" // take and send nothing
-	Safe LeaseLossPolicy = "safe" // refuse what must not run twice, send the rest once, by the last version
-	Hold LeaseLossPolicy = "hold" // go on by the last version; the promise does not cover it
+	Stop LeaseLossPolicy = "stop" // accept and send nothing
+	Safe LeaseLossPolicy = "safe" // refuse requests that must not run twice, send others once, by the last version
+	Hold LeaseLossPolicy = "hold" // go on by the last version; the bound of Within does not hold then
 )
 
-// Valid tells whether the word is one of the choices.
+// Valid reports whether the policy is a known one.
 func (a LeaseLossPolicy) Valid() bool { return a == Stop || a == Safe || a == Hold }
 
-// ErrOver says that a dispatcher has lost its lease.
+// ErrLeaseExpired is returned for requests and attempts of a dispatcher whose lease has expired.
 var ErrLeaseExpired = errors.New("this dispatcher has lost contact and can't know the settings in force")
 
-// Lease is a dispatcher's leave to act on one version. Its ends are times of the dispatcher's own monotonic clock, since
-// the start of the process, counted from when a renewal was sent. It may be read from any goroutine.
+// Lease permits a dispatcher to act on one version for a limited time. Its ends are times of the
+// dispatcher's own monotonic clock since the start of the process, counted from when a renewal was
+// sent. It is safe for concurrent use.
 type Lease struct {
 	Number      uint64
 	Fingerprint string
 	OnLeaseLoss LeaseLossPolicy
 
-	acceptEnd, sendEnd atomic.Int64 // ends
-	lateActs           atomic.Int64 // acts after the end, by choice (Hold, Safe)
+	acceptEnd, sendEnd atomic.Int64 // ends of accepting requests and of sending attempts
+	lateActs           atomic.Int64 // acts after the end, permitted by OnLeaseLoss (Hold, Safe)
 }
 
-// Renewed moves the ends on by a renewal that was sent at a time and named this version as the one in force.
+// Extend moves the ends forward for a renewal that was sent at the given time and answered with
+// this version as the one in force.
 func (l *Lease) Extend(sent time.Duration, t Timing) {
 	for _, x := range []struct {
 		end *atomic.Int64
@@ -88,20 +94,24 @@
 	}
 }
 
-// Left is how long work may still be taken; none or less once the lease is over.
+// Remaining returns how long new requests may still be accepted; it is not positive once the lease
+// has expired.
 func (l *Lease) Remaining(now time.Duration) time.Duration {
 	return time.Duration(l.acceptEnd.Load()) - now
 }
 
-// Late counts acts after the end of the lease that Alone allowed: the promise does not cover them.
+// LateActs returns the number of acts after the end of the lease that OnLeaseLoss permitted. The
+// bound of Within does not hold for them.
 func (l *Lease) LateActs() int64 { return l.lateActs.Load() }
 
-// MayTake says whether a new request may be taken; once is that its class must not run twice.
+// MayAccept returns an error if a new request may not be accepted. atMostOnce is set if its class
+// must not run twice.
 func (l *Lease) MayAccept(now time.Duration, atMostOnce bool) error {
 	return l.allow(now < time.Duration(l.acceptEnd.Load()), atMostOnce)
 }
 
-// MaySend says whether an attempt may leave now. Again is that an earlier attempt of the request may have run.
+// MaySend returns an error if an attempt may not be sent now. retry is set if an earlier attempt of
+// the request may have run.
 func (l *Lease) MaySend(now time.Duration, atMostOnce, retry bool) error {
 	return l.allow(now < time.Duration(l.sendEnd.Load()), atMostOnce || retry)
 }
@@ -117,15 +127,15 @@
 	return ErrLeaseExpired
 }
 
-// Ready tells whether clients may come.
+// Ready reports whether the dispatcher may serve clients.
 func (l *Lease) Ready(now time.Duration) bool {
 	return l.Remaining(now) > 0 || l.OnLeaseLoss == Hold && l.Number > 0 || l.OnLeaseLoss == Safe && l.sendEnd.Load() > 0
 }
 
-// Once tells whether every class must be treated as one that may run only once.
+// AtMostOnce reports whether requests of every class must be sent at most once.
 func (l *Lease) AtMostOnce(now time.Duration) bool {
 	return l.OnLeaseLoss == Safe && l.Remaining(now) <= 0
 }
 
-// Mark names the version in what leaves the dispatcher.
+// SettingsVersion returns the label of the version in messages that leave the dispatcher.
 func (l *Lease) SettingsVersion() string { return fmt.Sprintf("%d-%.8s", l.Number, l.Fingerprint) }
--- a/internal/agree/leasetable.go
+++ b/internal/agree/leasetable.go
@@ -8,67 +8,69 @@
 	"standpulley/internal/membership"
 )
 
-// Renewal is what a dispatcher says of itself when it asks for its lease to be renewed.
+// Renewal is a dispatcher's request to renew its lease, with its state.
 type Renewal struct {
 	Name            string            `json:"name"`
-	Boot            uint64            `json:"boot"`                // drawn at its start
-	ActsOn          uint64            `json:"holds"`               // the version that it acts on, 0 for none
-	Checked         uint64            `json:"checked"`             // the version that it has checked last ...
-	Fault           *Fault            `json:"fault,omitempty"`     // ... and turned down for this
+	Boot            uint64            `json:"boot"`                // random, chosen at the start of the process
+	ActsOn          uint64            `json:"holds"`               // number of the version that it acts on, 0 for none
+	Checked         uint64            `json:"checked"`             // number of the version that it has checked last
+	Fault           *Fault            `json:"fault,omitempty"`     // why it turned that version down
 	Unfit           *Fault            `json:"unfit,omitempty"`     // why it can't act on the version in force
-	Leaving         bool              `json:"leaves,omitempty"`    // it acts no more: this is its last word
-	Crashes         int               `json:"crashes,omitempty"`   // shortly after the activation of what it holds back from
-	CachedVersion   uint64            `json:"version,omitempty"`   // a content that it has, and needs not be sent
-	Phase           string            `json:"phase,omitempty"`     // for people
-	LateActs        int64             `json:"late_by,omitempty"`   // acts that its choice for being alone allowed, for people
-	WithoutLeaseMS  int64             `json:"since_ms,omitempty"`  // how long it was without a lease before, for people
-	List            membership.Cursor `json:"list"`                // how far its copy of the list of replicas is
-	CanReadRegistry bool              `json:"reads,omitempty"`     // it could read the register
-	ServingMS       int64             `json:"serves_ms,omitempty"` // how long it has served as usual
-	RegistrySilent  bool              `json:"deaf,omitempty"`      // it reads, and the register says nothing
-
-	WantsWarmRates bool               `json:"learns,omitempty"` // it knows nothing of what follows, and wants to
-	WarmRates      map[string]float64 `json:"bears,omitempty"`  // what a replica of a kind bears of its requests a second, as it knows from before
+	Leaving         bool              `json:"leaves,omitempty"`    // it has stopped acting; its last renewal
+	Crashes         int               `json:"crashes,omitempty"`   // crashes shortly after it activated a version
+	CachedVersion   uint64            `json:"version,omitempty"`   // version whose content it has, so that it need not be sent
+	Phase           string            `json:"phase,omitempty"`     // for display only
+	LateActs        int64             `json:"late_by,omitempty"`   // acts after the end of a lease; for display only
+	WithoutLeaseMS  int64             `json:"since_ms,omitempty"`  // how long it has been without a lease; for display only
+	List            membership.Cursor `json:"list"`                // position of its copy of the list of replicas
+	CanReadRegistry bool              `json:"reads,omitempty"`     // it is able to read the registry
+	ServingMS       int64             `json:"serves_ms,omitempty"` // how long it has served normally
+	RegistrySilent  bool              `json:"deaf,omitempty"`      // it reads the registry and gets no answers
+
+	WantsWarmRates bool               `json:"learns,omitempty"` // it asks for WarmRates, as it knows none
+	WarmRates      map[string]float64 `json:"bears,omitempty"`  // by kind of replica, the requests per second of this dispatcher that a replica can take, as it learned earlier
 }
 
-// Member is a dispatcher as the leader sees it.
+// Member is the leader's view of a dispatcher. Times are of the leader's monotonic clock.
 type Member struct {
 	Renewal
-	LeaseEnd    time.Duration // by then its lease is over, whatever its clock does
-	LastRenewal time.Duration // when it was heard last
+	LeaseEnd    time.Duration // its lease has expired by then, by any clock within the drift
+	LastRenewal time.Duration // when its last renewal arrived
 }
 
-// Tally is the leader's view of who may be acting on what. A new leader begins a new one: leases that others granted may
-// run until Known.
+// LeaseTable is the leader's view of the leases of all dispatchers. A new leader starts with an empty
+// one: leases granted by earlier leaders may run until AllLeasesKnown.
 type LeaseTable struct {
 	timing         Timing
 	Members        map[string]*Member
 	AllLeasesKnown time.Duration
-	activating     uint64 // the version whose activation was proposed: leases are only for who has checked it
+	activating     uint64 // version whose activation was proposed: only dispatchers that have checked it get leases
 	lastSweep      time.Duration
-	canary         canaryTrial // of the dispatcher that goes first
+	canary         canaryTrial // the progress of the canary dispatcher
 }
 
-// trial is how the dispatcher that goes first fares.
+// canaryTrial tracks the canary dispatcher: the version, the boot ID of the process, and since when
+// it has acted on the version.
 type canaryTrial struct {
 	number, boot uint64
 	since        time.Duration
 }
 
-// TrialTime is how long the dispatcher that goes first acts on a version before the others follow, and how soon after an
-// activation an end of the process counts as a crash by it.
+// TrialTime is how long the canary dispatcher acts on a version before the others follow. It is also
+// the time after an activation within which an end of the process counts as a crash by that version.
 const TrialTime = 10 * time.Second
 
-// keepMember is how long a dispatcher that is not heard stays in view, in leases.
+// keepMemberFactor is how long a dispatcher without renewals stays in the table, in multiples of
+// Within.
 const keepMemberFactor = 30
 
-// NewTally begins at a time of the leader's monotonic clock.
+// NewLeaseTable returns an empty table for a leader that begins now, by its monotonic clock.
 func NewLeaseTable(now time.Duration, timing Timing) *LeaseTable {
 	return &LeaseTable{timing: timing, Members: map[string]*Member{}, AllLeasesKnown: now + timing.MaxLease}
 }
 
-// Renew books a renewal that came at a time and tells whether the lease is granted. The grant counts only if the leader
-// is found to be the leader still after that time.
+// Renew records a renewal that arrived now and reports whether the lease is granted. The caller may
+// use the grant only once it has confirmed that it was still the leader after that time.
 func (t *LeaseTable) Renew(now time.Duration, r Renewal, rec *Record) bool {
 	m := t.Members[r.Name]
 	if m == nil {
@@ -77,7 +79,7 @@
 	}
 	m.Renewal, m.LastRenewal = r, now
 	if r.Leaving {
-		m.LeaseEnd = now // its word that it acts no more
+		m.LeaseEnd = now // the dispatcher has stopped acting
 		return false
 	}
 	if !rec.Complete || rec.InForce() == nil || r.Unfit != nil {
@@ -90,7 +92,8 @@
 	return true
 }
 
-// Serves is how long another dispatcher that holds a lease has served as usual, in milliseconds, the longest.
+// LongestServing returns how long a dispatcher has served normally, in milliseconds: the longest of
+// all that hold a lease, but for the excepted one.
 func (t *LeaseTable) LongestServing(now time.Duration, except string) (longest int64) {
 	for name, m := range t.Members {
 		if name != except && now < m.LeaseEnd {
@@ -100,8 +103,10 @@
 	return longest
 }
 
-// Bears is what replicas of each kind bear of one dispatcher's requests a second, for one that does not know: the lower median of what
-// others say that may be acting, so that one that lies moves little, and nothing alone. Those who know share it with those who do not: it counts in their part.
+// WarmRates returns, by kind of replica, the requests per second of one dispatcher that a replica
+// can take, for a dispatcher that does not know. It is the lower median of the rates that dispatchers
+// with a lease report, so that a wrong report moves it little, and a single report is not used. As
+// the informed dispatchers share the replicas with the others, the rate is scaled by their fraction.
 func (t *LeaseTable) WarmRates(now time.Duration) map[string]float64 {
 	reported, informed, holders := map[string][]float64{}, 0.0, 0.0
 	for _, m := range t.Members {
@@ -119,7 +124,7 @@
 	rates := map[string]float64{}
 	for kind, all := range reported {
 		if len(all) < 2 {
-			continue // one alone may lie
+			continue // a single report may be wrong
 		}
 		slices.Sort(all)
 		rates[kind] = all[(len(all)-1)/2] * informed / holders
@@ -127,7 +132,7 @@
 	return rates
 }
 
-// sweep forgets, once in a while, who has not been heard for long.
+// sweep removes, at most once per Within, dispatchers that have not renewed for long.
 func (t *LeaseTable) sweep(now time.Duration) {
 	if now < t.lastSweep+t.timing.Within {
 		return
@@ -140,8 +145,10 @@
 	}
 }
 
-// Next gives the entry that is due: a version that somebody turned down is turned down, one that all have checked who
-// may be acting is put in force. Nil where nothing is due.
+// Next returns the entry that the leader should propose now, nil if there is none. A version that
+// a dispatcher has rejected is turned down, or withdrawn while it is canary. A version that all
+// dispatchers that may hold a lease have checked is put in force, first at the canary dispatcher if
+// it has one.
 func (t *LeaseTable) Next(now time.Duration, rec *Record) *Entry {
 	t.sweep(now)
 	candidate := rec.InProgress()
@@ -185,7 +192,8 @@
 	return &Entry{Withdraw: &Withdraw{ID: fmt.Sprintf("trial-%d", v.Number), Number: v.Number, By: by}}
 }
 
-// try follows the dispatcher that goes first. It has proven the version once it has acted on it for TrialTime in one life.
+// checkCanary follows the canary dispatcher. The version is proven once that dispatcher has acted on
+// it for TrialTime without a restart of its process.
 func (t *LeaseTable) checkCanary(now time.Duration, v *Version) (failed string, proven bool) {
 	m := t.Members[v.CanaryMember]
 	if m == nil || m.ActsOn != v.Number {
@@ -200,7 +208,8 @@
 	return "", now-t.canary.since >= TrialTime && now < m.LeaseEnd
 }
 
-// For gives the version that a dispatcher is to act on: the one in force, or the one that it tries first.
+// VersionFor returns the version that a dispatcher is to act on: the one in force, or the canary
+// version at its canary dispatcher.
 func (rec *Record) VersionFor(name string) *Version {
 	if candidate := rec.InProgress(); candidate != nil && candidate.State == Canary && candidate.CanaryMember == name {
 		return candidate
@@ -208,7 +217,7 @@
 	return rec.InForce()
 }
 
-// Blocks names the dispatchers that a version under way waits for.
+// WaitingFor returns the names of the dispatchers whose check the version in progress waits for.
 func (t *LeaseTable) WaitingFor(now time.Duration, rec *Record) (names []string) {
 	candidate := rec.InProgress()
 	if candidate == nil {
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -7,24 +7,25 @@
 	"standpulley/internal/membership"
 )
 
-// Ordered is an operator's override of a replica, with a number of its own, so that asking twice makes one.
+// PlaceOrder sets an operator's override of a replica. Request is an ID, so that a repeated request
+// counts once.
 type PlaceOrder struct {
 	Request string           `json:"request"`
 	Order   membership.Order `json:"order"`
 }
 
-// Lifted ends an override: by its owner, or because it ran out.
+// LiftOrder ends an override, at the request of its owner or because it has expired.
 type LiftOrder struct {
 	Request string `json:"request"`
 	ID      string `json:"id"`
-	Owner   string `json:"owner"`             // empty where it ran out
-	Version uint64 `json:"version,omitempty"` // the list version that its owner saw
+	Owner   string `json:"owner"`             // empty if the override has expired
+	Version uint64 `json:"version,omitempty"` // the version of the list that the owner saw
 }
 
-// Changes are kept for who has missed no more; others get the whole list.
+// Bounds of the kept changes. A dispatcher that has missed more than these gets the whole list.
 const (
 	maxKeptChanges       = 256
-	maxKeptChangeEntries = 4096 // of all of them together, but for the last
+	maxKeptChangeEntries = 4096 // in all kept changes together; the latest change is kept whatever its size
 )
 
 func (rec *Record) applyChange(c membership.Change) error {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// Part gives what brings a copy of the list nearer to the present one.
+// Part returns the changes or the page that brings a copy of the list closer to the present version.
 func (rec *Record) Part(cursor membership.Cursor, pager *membership.Pager) membership.Part {
 	p := membership.Part{Number: rec.List.Number}
 	changes, kept := rec.changesSince(cursor.Number)
@@ -67,7 +68,8 @@
 	return p
 }
 
-// since gives the changes that lead from a version of the list to the present one; false where not all are kept.
+// changesSince returns the changes from a version of the list to the present one, and false if not
+// all of them are kept.
 func (rec *Record) changesSince(number uint64) ([]membership.Change, bool) {
 	if number == rec.List.Number {
 		return nil, true
@@ -88,7 +90,7 @@
 		rec.Orders = membership.Orders{}
 	}
 	rec.Orders[o.ID] = o
-	if e := rec.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
+	if e := rec.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // takes effect together with the order
 		e.State = membership.Terminating
 		return rec.applyChange(membership.Change{Number: rec.List.Number + 1, RegistryVersion: rec.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
--- a/internal/agree/lists_test.go
+++ b/internal/agree/lists_test.go
@@ -10,8 +10,8 @@
 	"standpulley/internal/membership"
 )
 
-// A copy that is brought up to date in bounded parts, while the list goes on changing and some answers are lost, comes to
-// the list that is agreed on, whatever it had before.
+// A copy that is updated in bounded parts reaches the agreed list from any earlier state, while the
+// list goes on changing and some answers are lost.
 func TestPartsConvergeToTheList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var rec Record
@@ -49,11 +49,11 @@
 					entries += len(x.Entries)
 				}
 				if entries > membership.MaxPartEntries {
-					rt.Fatalf("%d entries in one answer", entries)
+					rt.Fatalf("%d entries in one part", entries)
 				}
 			}
 			if part.Page != nil && len(part.Page.Entries) > membership.MaxPartEntries {
-				rt.Fatalf("%d entries on a page", len(part.Page.Entries))
+				rt.Fatalf("%d entries in one page", len(part.Page.Entries))
 			}
 			if rapid.IntRange(0, 5).Draw(rt, "lost") == 0 {
 				continue
@@ -63,7 +63,7 @@
 				rt.Fatal(err)
 			}
 			if whole && (c.List.Number != rec.List.Number || !maps.Equal(c.List.Entries, rec.List.Entries)) {
-				rt.Fatalf("version %d with %d entries, agreed is %d with %d", c.List.Number, len(c.List.Entries), rec.List.Number, len(rec.List.Entries))
+				rt.Fatalf("copy has version %d with %d entries, agreed is %d with %d", c.List.Number, len(c.List.Entries), rec.List.Number, len(rec.List.Entries))
 			}
 		}
 		for range 12 {
@@ -73,11 +73,12 @@
 				return
 			}
 		}
-		rt.Fatal("it never has the whole list")
+		rt.Fatal("the copy does not reach the agreed list")
 	})
 }
 
-// A gap, or a page that does not follow, is noticed, and the copy begins anew and comes to the list.
+// A copy rejects changes with a gap and a page that does not continue it. It then starts again and
+// reaches the agreed list.
 func TestCopyRestartsAfterAGap(t *testing.T) {
 	var rec Record
 	var pager membership.Pager
@@ -89,7 +90,7 @@
 	}
 	for _, bad := range []membership.Part{{Number: 3, Changes: rec.Changes[1:]}, {Number: 3, Page: &membership.Page{Number: 3, After: "s1"}}} {
 		if _, err := c.Apply(bad); err == nil {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("accepted: %+v", bad)
 		}
 	}
 	if whole, err := c.Apply(rec.Part(c.Cursor(), &pager)); err != nil || !whole || len(c.List.Entries) != 3 {
@@ -97,7 +98,7 @@
 	}
 }
 
-// What is kept of changes is bounded by their entries.
+// The number of kept changes is bounded by the number of their entries.
 func TestKeptChangesAreBounded(t *testing.T) {
 	var rec Record
 	for n := range 40 {
@@ -110,6 +111,6 @@
 		}
 	}
 	if n := len(rec.Changes); n != maxKeptChangeEntries/500 || rec.Changes[n-1].Number != 40 {
-		t.Errorf("%d changes are kept", n)
+		t.Errorf("%d changes are kept after 40 large ones", n)
 	}
 }
--- a/internal/agree/race_test.go
+++ b/internal/agree/race_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestMain draws fewer seeds under the race detector, which finds nothing in decisions on one goroutine and takes ten times as
-// long: the seeds that matter are played without it (docs/agreement.md). A number that is asked for is kept to.
+// TestMain runs fewer seeds under the race detector, which makes the simulation ten times slower and
+// can find nothing in code that runs on one goroutine. The full number of seeds is run without it
+// (docs/agreement.md). A number given with -rapid.checks is used as it is.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	asked := false
--- a/internal/agree/readers.go
+++ b/internal/agree/readers.go
@@ -9,13 +9,14 @@
 	"standpulley/internal/membership"
 )
 
-// Readers picks those who read the register for all. Who reads goes on for as long as it is heard and hears the register; its
-// place is taken by the next one of an order that is drawn from names, so that the load is not always on the same.
+// RegistryReaders picks the dispatchers that read the registry on behalf of all. A reader stays
+// picked while it holds a lease and gets answers from the registry. It is replaced by the next
+// dispatcher in the order of hashed names, so that the first names do not always carry the load.
 type RegistryReaders struct {
 	current map[string]bool
 }
 
-// Pick gives the readers at a time, at most so many.
+// Pick returns the readers at the given time, at most limit of them.
 func (r *RegistryReaders) Pick(now time.Duration, t *LeaseTable, limit int) map[string]bool {
 	eligible := map[string]bool{}
 	for name, m := range t.Members {
@@ -55,8 +56,9 @@
 	return h.Sum64()
 }
 
-// Living gives the next census where who holds a lease is no longer who is counted; nil where it is. Who may be acting, as its
-// lease can still run, is counted; and while a new leader does not know who may be, nobody is counted out.
+// NextCensus returns the next census if the dispatchers that may hold a lease are not those of the
+// present census, else nil. A dispatcher whose lease can still run is counted. While a new leader
+// does not yet know all leases, no dispatcher is removed from the census.
 func (t *LeaseTable) NextCensus(now time.Duration, rec *Record) *membership.Census {
 	living := map[string]bool{}
 	for name, m := range t.Members {
--- a/internal/agree/rebootstrap.go
+++ b/internal/agree/rebootstrap.go
@@ -6,17 +6,19 @@
 	"slices"
 )
 
-// lostNumbers are left out where a cluster is founded anew: the logs that are lost may have given out some, and no number is used twice.
+// skippedNumbers is how many numbers a rebootstrapped cluster skips: the lost logs may have given
+// out numbers that this record does not know, and no number may be used twice.
 const skippedNumbers = 100
 
-// Refound gives the record of a new cluster that takes the place of one whose logs are lost but for this record. acted are versions that
-// dispatchers are known to have acted on: what is newer than the record was in force, and is again. A version that was under way is
-// withdrawn, as what became of it is lost. Who had a seat has none any more; wanted are the seats of the new cluster.
+// Rebootstrap returns the record of a new cluster that replaces one of which only this record is
+// left. actedOn are versions that dispatchers are known to have acted on: one that is newer than the
+// record was in force, and is put in force again. A version in progress is withdrawn, as its outcome
+// is lost. All voters lose their seats; wanted is the number of seats of the new cluster.
 func (rec *Record) Rebootstrap(cluster uint64, wanted int, seat Seat, actedOn []Version, by string) (Record, error) {
 	next := *rec
 	next.Versions, next.RetiredDisks = slices.Clone(rec.Versions), slices.Clone(rec.RetiredDisks)
 	if rec.Cluster == 0 || rec.InForce() == nil {
-		return next, fmt.Errorf("it holds no version in force")
+		return next, fmt.Errorf("the record holds no version in force")
 	}
 	actedOn = slices.Clone(actedOn)
 	slices.SortFunc(actedOn, func(x, y Version) int { return cmp.Compare(x.Number, y.Number) })
@@ -24,9 +26,9 @@
 		known := next.Version(v.Number)
 		switch {
 		case v.Number == 0 || known == nil && v.Number <= rec.InForceNumber:
-			continue // it is not kept any more
+			continue // older than the record keeps, or none
 		case known != nil && known.Fingerprint != v.Fingerprint:
-			return next, fmt.Errorf("version %d stands for %s and for %s: these are not of one cluster", v.Number, known.Fingerprint, v.Fingerprint)
+			return next, fmt.Errorf("version %d has the fingerprints %s and %s: these records belong to different clusters", v.Number, known.Fingerprint, v.Fingerprint)
 		case v.Number <= next.InForceNumber:
 			continue
 		case known == nil:
--- a/internal/agree/rebootstrap_test.go
+++ b/internal/agree/rebootstrap_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards: a cluster that is founded anew from what is left never goes back behind what any disk knows, uses no number twice, puts nothing
-// in force that was under way, and has no seat for a disk of before.
+// A rebootstrapped cluster has in force the newest version that any folder knows to have been in
+// force, reuses no number, withdraws a version that was in progress, and gives no seat to an old disk.
 func TestRebootstrap(t *testing.T) {
 	rec := bootstrapped(t)
 	mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
@@ -15,14 +15,14 @@
 		force uint64
 		three State
 	}{
-		"nobody knows more":      {[]Version{{}, {Number: 1, Fingerprint: "p1"}, {Number: 2, Fingerprint: "px"}}, 2, Withdrawn},
-		"what was under way was": {[]Version{{Number: 3, Fingerprint: "py"}}, 3, InForce},
-		"a later one was":        {[]Version{version4, {Number: 2, Fingerprint: "px"}}, 4, Withdrawn},
-		"both":                   {[]Version{version4, {Number: 3, Fingerprint: "py"}}, 4, Superseded},
+		"no newer version known":   {[]Version{{}, {Number: 1, Fingerprint: "p1"}, {Number: 2, Fingerprint: "px"}}, 2, Withdrawn},
+		"pending was in force":     {[]Version{{Number: 3, Fingerprint: "py"}}, 3, InForce},
+		"a later one was in force": {[]Version{version4, {Number: 2, Fingerprint: "px"}}, 4, Withdrawn},
+		"both were in force":       {[]Version{version4, {Number: 3, Fingerprint: "py"}}, 4, Superseded},
 	} {
 		n, err := rec.Rebootstrap(8, 3, Seat{"c", 9}, x.acted, "op")
 		if err != nil || n.InForceNumber != x.force || n.InForce().State != InForce || n.Version(3).State != x.three || n.InProgress() != nil {
-			t.Errorf("%s: %v, in force %d, the open one %s", name, err, n.InForceNumber, n.Version(3).State)
+			t.Errorf("%s: %v, in force %d, state of version 3 %s", name, err, n.InForceNumber, n.Version(3).State)
 		}
 		inForce := 0
 		for _, v := range n.Versions {
@@ -31,21 +31,21 @@
 			}
 		}
 		if inForce != 1 || n.LastNumber <= max(rec.LastNumber, 4)+50 || n.Cluster != 8 || n.Complete {
-			t.Errorf("%s: %d in force, last %d, %+v", name, inForce, n.LastNumber, n.Seats)
+			t.Errorf("%s: %d versions in force, last number %d, seats %+v", name, inForce, n.LastNumber, n.Seats)
 		}
 		for _, s := range rec.Seats {
 			if err := n.takeSeat(s); err == nil {
-				t.Errorf("%s: the disk of %s is back", name, s.Name)
+				t.Errorf("%s: the old disk of %s got a seat", name, s.Name)
 			}
 		}
 	}
 	if rec.InForceNumber != 2 || rec.InProgress() == nil || len(rec.RetiredDisks) != 0 {
-		t.Error("the record of before was changed")
+		t.Error("the old record was changed")
 	}
 	if _, err := rec.Rebootstrap(8, 3, Seat{"c", 9}, []Version{{Number: 2, Fingerprint: "other"}}, "op"); err == nil {
-		t.Error("another cluster's version is taken")
+		t.Error("a version of another cluster was accepted")
 	}
 	if _, err := (&Record{}).Rebootstrap(8, 3, Seat{"c", 9}, nil, "op"); err == nil {
-		t.Error("made from nothing")
+		t.Error("an empty record was accepted")
 	}
 }
--- a/internal/agree/record.go
+++ b/internal/agree/record.go
@@ -1,11 +1,15 @@
-// Package agree decides how dispatchers agree on versions of their settings. It does no I/O, reads no clock and keeps
-// no goroutines: the same entries in the same order give the same Book everywhere, and times are handed in.
+// Package agree holds the rules by which dispatchers agree on versions of their settings and of
+// the list of replicas. It does no I/O, reads no clock and starts no goroutines: the same entries
+// in the same order produce the same Record at every voter, and callers pass the time in.
 //
-//	keys.go   which keys of two versions contradict each other
-//	book.go   the agreed record: versions and the seats of voters, changed by entries alone
-//	entry.go  what changes it
-//	tally.go  the leader's view of who may act on what, and when a version may be put in force
-//	lease.go  a dispatcher's leave to act, which runs out by its own monotonic clock
+//	keys.go         the table of settings keys, and which keys of two versions conflict
+//	record.go       the replicated record of versions and voters' seats, changed by entries only
+//	entry.go        the entries that change the record
+//	lists.go        the part of the record about the list of replicas
+//	leasetable.go   the leader's view of all leases, and when a version may be put in force
+//	readers.go      which dispatchers read the registry, and which ones count as running
+//	lease.go        a dispatcher's lease, which expires by its own monotonic clock
+//	rebootstrap.go  a new record made from what is left of a lost cluster
 package agree
 
 import (
@@ -16,7 +20,7 @@
 	"standpulley/internal/membership"
 )
 
-// Fault is why a version is turned down: a key and what is wrong with it.
+// Fault is the reason why a dispatcher turns a version down: a key and what is wrong with it.
 type Fault struct {
 	Key    string `json:"key"`
 	Reason string `json:"reason"`
@@ -29,65 +33,67 @@
 	return fmt.Sprintf("key %s: %s", f.Key, f.Reason)
 }
 
-// State is where a version stands.
+// State is the state of a version.
 type State string
 
 // The states of a version.
 const (
-	Pending    State = "pending"     // dispatchers are checking it; nobody acts on it
-	Canary     State = "canary"      // one dispatcher acts on it
-	InForce    State = "in force"    // decided: all act on it or on nothing
-	Superseded State = "superseded"  // it was in force
-	TurnedDown State = "turned down" // never in force anywhere
-	Withdrawn  State = "withdrawn"   // its operator took it back before it was in force
+	Pending    State = "pending"     // dispatchers are checking it; none acts on it
+	Canary     State = "canary"      // only the canary dispatcher acts on it
+	InForce    State = "in force"    // decided: each dispatcher acts on it or has no lease
+	Superseded State = "superseded"  // was in force until a later version replaced it
+	TurnedDown State = "turned down" // a dispatcher rejected it; it was never in force
+	Withdrawn  State = "withdrawn"   // taken back before it was in force
 )
 
-// Version is one content of the settings. Numbers are never used twice.
+// Version is one version of the settings. No number is ever used twice.
 type Version struct {
 	Number       uint64            `json:"number"`
-	Base         uint64            `json:"base"` // the version that it was made from
+	Base         uint64            `json:"base"` // the version that it was derived from
 	State        State             `json:"state"`
 	Content      string            `json:"content"` // JSON
-	Keys         map[string]string `json:"keys"`    // the same, by path
-	Fingerprint  string            `json:"print"`   // fingerprint of the content
+	Keys         map[string]string `json:"keys"`    // the content, flattened to values by key path
+	Fingerprint  string            `json:"print"`   // of the content
 	By           string            `json:"by"`
 	Why          string            `json:"why,omitempty"`
-	At           string            `json:"at"`               // wall clock of the dispatcher that took it, for people
-	CanaryMember string            `json:"only,omitempty"`   // the dispatcher that goes first
-	RollbackTo   uint64            `json:"back,omitempty"`   // the version whose content it brings back
-	Member       string            `json:"member,omitempty"` // who turned it down ...
-	Fault        *Fault            `json:"fault,omitempty"`  // ... and why
+	At           string            `json:"at"`               // wall-clock time at the proposing dispatcher, for display only
+	CanaryMember string            `json:"only,omitempty"`   // the dispatcher that acts on it first
+	RollbackTo   uint64            `json:"back,omitempty"`   // the version whose content it restores
+	Member       string            `json:"member,omitempty"` // who turned it down or withdrew it
+	Fault        *Fault            `json:"fault,omitempty"`  // why it was turned down
 }
 
-// Seat is a voter's place. Its disk is drawn with its log: a voter that has lost its log is not the one that was seated.
+// Seat is a voter's membership of the consensus group. Disk is a random number that is stored with
+// the voter's log: a voter that has lost its log has another disk, so it no longer holds the seat.
 type Seat struct {
 	Name string `json:"name"`
 	Disk uint64 `json:"disk"`
 }
 
-// Book is what all voters record alike.
+// Record is the replicated state, identical at all voters that have applied the same entries.
 type Record struct {
-	Cluster       uint64    `json:"cluster"` // drawn when the cluster was founded
-	RequiredSeats int       `json:"wanted"`  // seats: nothing is in force until all have been taken once
+	Cluster       uint64    `json:"cluster"` // random, chosen when the cluster was bootstrapped
+	RequiredSeats int       `json:"wanted"`  // no version takes effect until so many seats have been taken
 	Complete      bool      `json:"complete"`
 	Seats         []Seat    `json:"seats"`
-	RetiredDisks  []uint64  `json:"past"` // disks that had a seat
+	RetiredDisks  []uint64  `json:"past"` // disks that had a seat and lost it
 	Versions      []Version `json:"versions"`
-	InForceNumber uint64    `json:"force"`  // the number in force; 0 before the first
-	LastNumber    uint64    `json:"last"`   // the last number that was given out
-	Results       []Result  `json:"done"`   // what was answered to the latest proposals
-	Revision      uint64    `json:"stamp"`  // grows with every change
-	Decisions     uint64    `json:"decide"` // entries that put something in force, counted: the history of decisions
-
-	List    membership.List     `json:"list"`    // of replicas, where dispatchers agree on that too
-	Changes []membership.Change `json:"changes"` // the latest, for who has missed few of them
+	InForceNumber uint64    `json:"force"`  // 0 before the first
+	LastNumber    uint64    `json:"last"`   // the highest number given to a version
+	Results       []Result  `json:"done"`   // answers to the latest proposals
+	Revision      uint64    `json:"stamp"`  // grows with each change of the record
+	Decisions     uint64    `json:"decide"` // how many times a version was put in force
+
+	List    membership.List     `json:"list"`    // of replicas, if dispatchers agree on that too
+	Changes []membership.Change `json:"changes"` // the latest changes of List, for dispatchers that have missed only a few
 	Orders  membership.Orders   `json:"orders"`
 	Census  membership.Census   `json:"census"`
 
-	LedgerDisks map[string]uint64 `json:"ledgers,omitempty"` // the file with which each voter last held the ledger
+	LedgerDisks map[string]uint64 `json:"ledgers,omitempty"` // by voter, the ledger file that it last used
 }
 
-// Done is the answer to a proposal, kept as its proposer may ask again after a leader was lost.
+// Result is the answer to a proposal. It is kept because the proposer may repeat its proposal after
+// a change of leader.
 type Result struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number"`
@@ -95,14 +101,14 @@
 }
 
 const (
-	maxKeptVersions = 64 // contents; the oldest go first, never those in force or pending
+	maxKeptVersions = 64 // the oldest are dropped first, never those in force, pending or canary
 	maxKeptBytes    = 1 << 20
 	maxKeptResults  = 128
-	// MaxContent bounds a version's content, in bytes.
+	// MaxContent is the largest content of a version, in bytes.
 	MaxContent = 256 << 10
 )
 
-// At gives a version, nil if it is not known any more or never was.
+// Version returns the version with a number, nil if it is no longer kept or never existed.
 func (rec *Record) Version(number uint64) *Version {
 	for i := range rec.Versions {
 		if rec.Versions[i].Number == number {
@@ -112,10 +118,10 @@
 	return nil
 }
 
-// InForce gives the version in force, nil before the first.
+// InForce returns the version in force, nil before the first.
 func (rec *Record) InForce() *Version { return rec.Version(rec.InForceNumber) }
 
-// Open gives the version that is under way, if any.
+// InProgress returns the version that is pending or canary, nil if there is none.
 func (rec *Record) InProgress() *Version {
 	for i := range rec.Versions {
 		if s := rec.Versions[i].State; s == Pending || s == Canary {
@@ -125,7 +131,7 @@
 	return nil
 }
 
-// SeatOf gives the disk that sits in a voter's seat.
+// SeatOf returns the disk that holds a voter's seat.
 func (rec *Record) SeatOf(name string) (disk uint64, taken bool) {
 	for _, s := range rec.Seats {
 		if s.Name == name {
@@ -135,7 +141,8 @@
 	return 0, false
 }
 
-// Apply makes one change. An entry that does not fit the Book as it is by now changes nothing, and the error says why.
+// Apply applies one entry. An entry that is not valid for the present state of the record changes
+// nothing, and the error says why. The number is that of the version or list that the entry concerns.
 func (rec *Record) Apply(e Entry) (number uint64, err error) {
 	switch {
 	case e.Bootstrap != nil:
@@ -173,7 +180,7 @@
 	return number, err
 }
 
-// answer makes a change once for each ID and repeats what was answered before.
+// applyOnce applies a change once for each ID; for a known ID it returns the recorded result.
 func (rec *Record) applyOnce(id string, change func() (uint64, error)) (uint64, error) {
 	for _, d := range rec.Results {
 		if d.ID == id {
@@ -222,7 +229,7 @@
 	return rec.LastNumber
 }
 
-// tooMuch tells whether the contents hold more than is kept.
+// overKeptLimits reports whether more versions, or more bytes of content, are held than are kept.
 func (rec *Record) overKeptLimits() bool {
 	bytes := 0
 	for _, v := range rec.Versions {
@@ -231,7 +238,8 @@
 	return len(rec.Versions) > maxKeptVersions || bytes > maxKeptBytes
 }
 
-// propose enters a version for all to check. It must be made from the newest one.
+// propose adds a pending version for all dispatchers to check. It must be based on the version in
+// force, and only one version may be in progress at a time.
 func (rec *Record) propose(p *Propose) (uint64, error) {
 	if candidate := rec.InProgress(); candidate != nil {
 		return 0, fmt.Errorf("version %d by %s is under way; keys that it moves: %s", candidate.Number, candidate.By,
@@ -323,7 +331,8 @@
 	rec.Decisions++
 }
 
-// sit gives a disk the seat of a voter. The disk that sat there never comes back.
+// takeSeat gives a voter's seat to a disk. The disk that held the seat before can never have a seat
+// again.
 func (rec *Record) takeSeat(s Seat) error {
 	if slices.Contains(rec.RetiredDisks, s.Disk) {
 		return fmt.Errorf("the disk of %s had a seat before and lost it", s.Name)
--- a/internal/agree/warmrates_test.go
+++ b/internal/agree/warmrates_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards: what replicas bear is told to who does not know by the lower median of those that may be acting, so that one that lies moves
-// little, and by no more than the part of those who know.
+// A dispatcher without warm rates gets the lower median of those that dispatchers with a lease report,
+// so that one wrong report moves it little, scaled by the fraction of dispatchers that know a rate.
 func TestWarmRatesFromOtherDispatchers(t *testing.T) {
 	rec, timing := &Record{}, TimingOf(time.Second)
 	leases := NewLeaseTable(0, timing)
@@ -20,21 +20,21 @@
 	}
 	renew("new", 0)
 	if got := leases.WarmRates(0); len(got) > 0 {
-		t.Errorf("nobody knows: %v", got)
+		t.Errorf("no dispatcher reports a rate, but got %v", got)
 	}
 	renew("liar", 1e9)
 	if got := leases.WarmRates(0); len(got) > 0 {
-		t.Errorf("one alone says %v", got)
+		t.Errorf("a single report was used: %v", got)
 	}
 	renew("a", 10)
 	if got := leases.WarmRates(0)["w"]; got != 10*2.0/3 {
-		t.Errorf("one of two lies: %v", got)
+		t.Errorf("with one of two reports wrong: %v", got)
 	}
 	renew("b", 12)
 	if got := leases.WarmRates(0)["w"]; got != 12*3.0/4 {
-		t.Errorf("one of three lies: %v", got)
+		t.Errorf("with one of three reports wrong: %v", got)
 	}
 	if got := leases.WarmRates(timing.MaxLease); len(got) > 0 {
-		t.Errorf("those who are gone are asked: %v", got)
+		t.Errorf("reports of dispatchers without a lease were used: %v", got)
 	}
 }
--- a/internal/agree/promise_test.go
+++ b/internal/agree/within_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// sim is many dispatchers under a leader on a clock of the test's own. Messages take a drawn time or are lost, clocks run
-// apart within the drift, dispatchers are cut off and stopped, leaders come and go. What the consensus gives is modelled: a
-// read is answered only if its leader was the leader after the read had come, and an entry is decided by the present leader.
+// sim simulates many dispatchers and a leader on a virtual clock. Messages have random delays or are
+// lost, clocks drift apart within the bound, dispatchers are partitioned and paused, and leaders
+// change. The guarantees of the consensus are modelled: a read is answered only if its leader was
+// still the leader after the read had arrived, and only the present leader's entries are decided.
 type sim struct {
 	t        *rapid.T
 	r        *rand.Rand
@@ -21,15 +22,15 @@
 	timing   Timing
 	record   Record
 	leases   *LeaseTable
-	leader   int // counted up
+	leader   int // term of the present leader
 	nodes    []*simNode
 	lossRate float64
 	maxDelay time.Duration
 
-	decidedAt      []time.Duration // by version number, 0 where it is not
+	decidedAt      []time.Duration // by version number, 0 if not decided
 	longestOverlap time.Duration
 	turnedDown     map[uint64]bool
-	proposing      bool // an entry is on its way
+	proposing      bool // an entry is proposed and not decided yet
 }
 
 type simNode struct {
@@ -57,11 +58,11 @@
 
 func (s *sim) after(d time.Duration, do func()) { heap.Push(&s.events, event{s.now + d, do}) }
 
-// clock is a dispatcher's monotonic clock, and real the time at which it shows something.
+// clock converts the virtual time to the dispatcher's monotonic clock, and real converts back.
 func (n *simNode) clock(now time.Duration) time.Duration { return time.Duration(float64(now) * n.rate) }
 func (n *simNode) real(at time.Duration) time.Duration   { return time.Duration(float64(at) / n.rate) }
 
-// message carries something, or loses it.
+// send delivers a message from or to a dispatcher after a random delay, or loses it.
 func (s *sim) send(n *simNode, do func()) {
 	if n.partitioned || s.r.Float64() < s.lossRate {
 		return
@@ -69,7 +70,7 @@
 	s.after(time.Duration(s.r.Int64N(int64(s.maxDelay)+1)), do)
 }
 
-// renew is one renewal of a dispatcher, from its sending to its answer.
+// renew simulates one renewal of a dispatcher, from its sending to its answer.
 func (s *sim) renew(n *simNode) {
 	s.after(time.Duration(float64(s.timing.Renew)*(0.5+s.r.Float64())), func() { s.renew(n) })
 	if s.now < n.pausedUntil {
@@ -81,7 +82,7 @@
 	}
 	s.send(n, func() {
 		leader := s.leader
-		s.after(time.Duration(s.r.Int64N(int64(s.maxDelay)+1)), func() { // the round that tells whether it still leads
+		s.after(time.Duration(s.r.Int64N(int64(s.maxDelay)+1)), func() { // the round that confirms the leader
 			if leader != s.leader {
 				return
 			}
@@ -116,20 +117,20 @@
 		n.lease = &Lease{Number: inForce.Number, OnLeaseLoss: Stop}
 	}
 	if n.lease.Number != inForce.Number {
-		return // an older answer that came later
+		return // the answer to an older renewal arrived later
 	}
 	n.lease.Extend(sent, s.timing)
 	s.checkLease(n)
 }
 
-// judge holds a dispatcher's lease against every version that was decided since.
+// checkLease checks a dispatcher's lease against all versions that were decided after its own.
 func (s *sim) checkLease(n *simNode) {
 	if n.lease == nil {
 		return
 	}
 	end := n.real(time.Duration(n.lease.sendEnd.Load()))
 	if s.turnedDown[n.lease.Number] {
-		s.t.Fatalf("%s acts on version %d, which was turned down", n.name, n.lease.Number)
+		s.t.Fatalf("%s has a lease for version %d, which was turned down", n.name, n.lease.Number)
 	}
 	for v := n.lease.Number + 1; v < uint64(len(s.decidedAt)); v++ {
 		if s.decidedAt[v] == 0 || len(ConflictingKeys(s.record.keysOf(n.lease.Number), s.record.keysOf(v))) == 0 {
@@ -143,7 +144,7 @@
 	}
 }
 
-// due proposes what the tally finds due; it is decided a while later if the leader is still the same.
+// proposeDue proposes the entry that is due. It is decided after a delay if the leader is unchanged.
 func (s *sim) proposeDue() {
 	e := s.leases.Next(s.now, &s.record)
 	if e == nil || s.proposing {
@@ -178,7 +179,7 @@
 	}
 }
 
-// trouble draws what goes wrong next.
+// injectFault does one random thing: a change of leader, a fault of one dispatcher, or a proposal.
 func (s *sim) injectFault() {
 	s.after(time.Duration(s.r.Int64N(int64(s.timing.Within))), s.injectFault)
 	n := s.nodes[s.r.IntN(len(s.nodes))]
@@ -191,7 +192,7 @@
 		n.partitioned = !n.partitioned
 	case 2:
 		n.pausedUntil = s.now + time.Duration(s.r.Int64N(int64(3*s.timing.Within)))
-	case 3: // it comes back from nothing
+	case 3: // restart without any stored state
 		n.lease, n.checked, n.fault = nil, 0, nil
 	default:
 		limit := fmt.Sprint(1 + s.r.IntN(6))
@@ -199,9 +200,10 @@
 	}
 }
 
-// The promise, over 300 dispatchers: once a version is decided, nobody may act on one that it contradicts after Within.
-// go test ./internal/agree -run TestPromise -v -rapid.checks=1000 plays a thousand seeds and prints how near they come.
-func TestPromise(t *testing.T) {
+// Simulates 300 dispatchers. Once a version is decided, no dispatcher may act on a conflicting one for
+// longer than Within. With -v, the test prints how close the seeds come to the bound;
+// -rapid.checks=1000 runs a thousand seeds.
+func TestNoConflictAfterWithin(t *testing.T) {
 	histogram := make([]int, 11)
 	decisions := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -230,8 +232,8 @@
 		}
 		histogram[min(max(int(10*s.longestOverlap/within), 0), 10)]++
 	})
-	t.Logf("%d decisions; seeds by the longest contradiction in tenths of Within: %v", decisions, histogram)
+	t.Logf("%d decisions; seeds by the longest conflict in tenths of Within: %v", decisions, histogram)
 	if decisions == 0 {
-		t.Error("nothing was decided, so nothing is shown")
+		t.Error("no version was decided, so the test checked nothing")
 	}
 }
