--- a/internal/agree/rebootstrap.go
+++ b/internal/agree/rebootstrap.go
@@ -22,21 +22,21 @@
 	}
 	actedOn = slices.Clone(actedOn)
 	slices.SortFunc(actedOn, func(x, y Version) int { return cmp.Compare(x.Number, y.Number) })
-	for _, v := range actedOn {
-		known := next.Version(v.Number)
+	for _, version := range actedOn {
+		known := next.Version(version.Number)
 		switch {
-		case v.Number == 0 || known == nil && v.Number <= rec.InForceNumber:
+		case version.Number == 0 || known == nil && version.Number <= rec.InForceNumber:
 			continue // older than the record keeps, or none
-		case known != nil && known.Fingerprint != v.Fingerprint:
-			return next, fmt.Errorf("version %d has the fingerprints %s and %s: these records belong to different clusters", v.Number, known.Fingerprint, v.Fingerprint)
-		case v.Number <= next.InForceNumber:
+		case known != nil && known.Fingerprint != version.Fingerprint:
+			return next, fmt.Errorf("version %d has the fingerprints %s and %s: these records belong to different clusters", version.Number, known.Fingerprint, version.Fingerprint)
+		case version.Number <= next.InForceNumber:
 			continue
 		case known == nil:
-			v.State, v.Base = Pending, next.InForceNumber
-			next.Versions = append(next.Versions, v)
+			version.State, version.Base = Pending, next.InForceNumber
+			next.Versions = append(next.Versions, version)
 		}
-		next.putInForce(v.Number)
-		next.LastNumber = max(next.LastNumber, v.Number)
+		next.putInForce(version.Number)
+		next.LastNumber = max(next.LastNumber, version.Number)
 	}
 	if candidate := next.InProgress(); candidate != nil {
 		candidate.State, candidate.Member = Withdrawn, by
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -14,7 +14,7 @@
 	"standpulley/internal/peers"
 )
 
-// The calls among dispatchers. All but the voters' frames are JSON.
+// Paths of the calls between dispatchers. All bodies are JSON, but for the voters' raft frames.
 const (
 	renewCall   = "/agree/renew"
 	changesCall = "/agree/news"
@@ -25,11 +25,11 @@
 	confirmCall = "/agree/confirm"
 )
 
-// brief is a version as a dispatcher needs it to act on it.
+// versionInfo is the part of a version that a dispatcher needs to check it and act on it.
 type versionInfo struct {
 	Number      uint64            `json:"number"`
 	Fingerprint string            `json:"print"`
-	Content     string            `json:"content,omitempty"` // left out where the dispatcher has it
+	Content     string            `json:"content,omitempty"` // left out if the dispatcher has it
 	Keys        map[string]string `json:"keys,omitempty"`
 }
 
@@ -44,122 +44,124 @@
 	return info
 }
 
-// renewed answers a renewal.
+// renewResponse is the answer to a renewal.
 type renewResponse struct {
-	Leader     string       `json:"leader"` // as far as the voter knows that was asked
-	Confirmed  bool         `json:"sure"`   // the voter leads, and led after the renewal had come: what follows is so
+	Leader     string       `json:"leader"` // as far as the answering voter knows
+	Confirmed  bool         `json:"sure"`   // the voter was still the leader after the renewal had arrived; the fields below are valid only then
 	Lease      bool         `json:"lease"`
 	InForce    *versionInfo `json:"force,omitempty"`
-	InProgress *versionInfo `json:"open,omitempty"` // under way, to be checked
+	InProgress *versionInfo `json:"open,omitempty"` // pending or canary, to be checked
 	Cluster    uint64       `json:"cluster"`
 	Revision   uint64       `json:"stamp"`
-	Why        string       `json:"why,omitempty"`       // no lease
-	ServingMS  int64        `json:"serves_ms,omitempty"` // how long another dispatcher has served as usual
+	Why        string       `json:"why,omitempty"`       // why the lease was not granted
+	ServingMS  int64        `json:"serves_ms,omitempty"` // the longest time that another dispatcher has served normally
 
-	WarmRates map[string]float64 `json:"bears,omitempty"` // what others say that replicas bear, for one that does not know
+	WarmRates map[string]float64 `json:"bears,omitempty"` // as other dispatchers report them, if the renewal asked for them
 
-	List *listUpdate `json:"list,omitempty"` // where dispatchers agree on lists of replicas too
+	List *listUpdate `json:"list,omitempty"` // set if dispatchers agree on the list of replicas
 }
 
-// listNews brings a dispatcher's list of replicas up to date.
+// listUpdate brings a dispatcher's copy of the list of replicas up to date.
 type listUpdate struct {
 	membership.Part
-	Dispatchers   int    `json:"living"`          // dispatchers
-	Counted       bool   `json:"counted"`         // this one is among them
-	ReadRegistry  bool   `json:"read"`            // it is to read the register for all
-	Fresh         bool   `json:"fresh,omitempty"` // the register was read since the leader began, and the list holds all of it
-	ReadingNumber uint64 `json:"heard,omitempty"` // the number of the reading that the leader has of it, if it reads
+	Dispatchers   int    `json:"living"`          // number of dispatchers, by the census
+	Counted       bool   `json:"counted"`         // the receiver is in the census
+	ReadRegistry  bool   `json:"read"`            // the receiver is to read the registry on behalf of all
+	Fresh         bool   `json:"fresh,omitempty"` // the registry was read since the leader took office, and the list holds all that was read
+	ReadingNumber uint64 `json:"heard,omitempty"` // number of the last reading that the leader has from the receiver
 }
 
-// news asks to be told when the record is newer than Stamp.
+// changeNotice is a long-poll request for a revision of the record other than Revision, and the
+// answer with the present one.
 type changeNotice struct {
 	Revision uint64 `json:"stamp"`
 }
 
-// proposed answers an entry.
+// proposeResponse is the answer to a proposed entry, a reading or a request for a seat.
 type proposeResponse struct {
 	Number    uint64 `json:"number,omitempty"`
-	Error     string `json:"error,omitempty"`     // final: decided against
-	NotLeader bool   `json:"elsewhere,omitempty"` // this voter does not lead ...
-	Leader    string `json:"leader,omitempty"`    // ... but this one, if it is known
-	SendAll   bool   `json:"whole,omitempty"`     // of a reading: send the whole list
+	Error     string `json:"error,omitempty"`     // final: the request was refused
+	NotLeader bool   `json:"elsewhere,omitempty"` // the answering voter is not the leader
+	Leader    string `json:"leader,omitempty"`    // the leader as far as that voter knows
+	SendAll   bool   `json:"whole,omitempty"`     // in the answer to a reading: send the whole list
 }
 
-// Extract says which parts of the record are wanted, as a list may be long. The zero value wants all.
+// ViewFilter selects parts of the record, as a list may be long. The zero value selects all.
 type ViewFilter struct {
-	Section string `json:"of,omitempty"`      // OfSettings, OfList
-	Replica string `json:"replica,omitempty"` // of the list only this entry, and no changes
+	Section string `json:"of,omitempty"`      // SectionSettings, SectionList, or empty for both
+	Replica string `json:"replica,omitempty"` // of the list, only the entry of this replica and no changes
 }
 
-// The parts.
+// The sections of the record.
 const (
 	SectionSettings = "settings"
 	SectionList     = "list"
 )
 
-// of gives a copy of the wanted parts.
-func (x ViewFilter) copyFrom(b *agree.Record) agree.Record {
-	c := *b
-	c.Versions, c.Seats, c.RetiredDisks, c.Results, c.Changes = slices.Clone(b.Versions), slices.Clone(b.Seats), slices.Clone(b.RetiredDisks), nil, slices.Clone(b.Changes)
-	c.Orders, c.LedgerDisks = maps.Clone(b.Orders), maps.Clone(b.LedgerDisks) // the rest is replaced as a whole where it changes
+// copyFrom returns a copy of the selected parts.
+func (filter ViewFilter) copyFrom(rec *agree.Record) agree.Record {
+	c := *rec
+	c.Versions, c.Seats, c.RetiredDisks, c.Results, c.Changes = slices.Clone(rec.Versions), slices.Clone(rec.Seats), slices.Clone(rec.RetiredDisks), nil, slices.Clone(rec.Changes)
+	c.Orders, c.LedgerDisks = maps.Clone(rec.Orders), maps.Clone(rec.LedgerDisks) // other parts are replaced as a whole when they change
 	switch {
-	case x.Section == SectionSettings:
+	case filter.Section == SectionSettings:
 		c.List.Entries, c.Changes = nil, nil
-	case x.Replica != "":
+	case filter.Replica != "":
 		c.List.Entries, c.Changes = map[string]membership.Entry{}, nil
-		if e, ok := b.List.Entries[x.Replica]; ok {
-			c.List.Entries[x.Replica] = e
+		if e, ok := rec.List.Entries[filter.Replica]; ok {
+			c.List.Entries[filter.Replica] = e
 		}
 	default:
-		c.List.Entries = maps.Clone(b.List.Entries)
+		c.List.Entries = maps.Clone(rec.List.Entries)
 	}
-	if x.Section == SectionList {
+	if filter.Section == SectionList {
 		c.Versions = nil
 	}
 	return c
 }
 
-// seat asks for a voter's seat.
+// seatRequest asks for a voter's seat.
 type seatRequest struct {
 	Name    string `json:"name"`
 	Disk    uint64 `json:"disk"`
-	Replace bool   `json:"replace"` // by an operator's word, the disk that sits there goes
+	Replace bool   `json:"replace"` // requested by an operator: replace the disk that holds the seat
 }
 
-// View is what operators see of the agreement.
+// View is the leader's state as shown to operators.
 type View struct {
 	Record          agree.Record     `json:"book"`
 	Leader          string           `json:"leader"`
 	Term            uint64           `json:"term"`
 	Members         []MemberView     `json:"members"`
-	WaitingFor      []string         `json:"blocks,omitempty"` // the dispatchers that a version under way waits for
+	WaitingFor      []string         `json:"blocks,omitempty"` // dispatchers that have not checked the version in progress
 	RegistryReaders []string         `json:"readers,omitempty"`
-	Held            *membership.Held `json:"held,omitempty"`  // a change of the list that must be confirmed
-	Flapping        map[string]int   `json:"flaps,omitempty"` // replicas that are damped, with their turns
+	Held            *membership.Held `json:"held,omitempty"`  // a change of the list that waits for confirmation
+	Flapping        map[string]int   `json:"flaps,omitempty"` // damped replicas, with their number of state changes
 }
 
-// MemberView is one dispatcher as the leader sees it. Times are in milliseconds.
+// MemberView is the leader's view of one dispatcher. Times are in milliseconds.
 type MemberView struct {
 	agree.Renewal
-	LeaseMS int64 `json:"lease_ms"` // left at most; 0 when it is over
-	HeardMS int64 `json:"heard_ms"` // ago
+	LeaseMS int64 `json:"lease_ms"` // upper bound of the remaining lease; 0 once it has expired
+	HeardMS int64 `json:"heard_ms"` // since the last renewal
 }
 
 var errNoLeader = errors.New("no voter that leads can be reached: a majority of the voters is needed")
 
-// call speaks JSON over a link.
+// callJSON makes a call with a JSON request and a JSON response.
 func callJSON(l *peers.Link, path string, request, response any, timeout time.Duration) error {
-	text, err := jsoniter.Marshal(request)
+	data, err := jsoniter.Marshal(request)
 	if err != nil {
 		return err
 	}
-	if text, err = l.Call(path, text, timeout); err != nil {
+	if data, err = l.Call(path, data, timeout); err != nil {
 		return err
 	}
-	return jsoniter.Unmarshal(text, response)
+	return jsoniter.Unmarshal(data, response)
 }
 
-// Speak makes a call of another part to a voter.
+// Call makes a call to another voter on behalf of another component; the voter answers it with the
+// Handler of the path.
 func (n *Node) Call(name, path string, request, response any, timeout time.Duration) error {
 	l := n.links[name]
 	if l == nil {
@@ -168,7 +170,7 @@
 	return callJSON(l, path, request, response, timeout)
 }
 
-// handle answers the calls of others.
+// handle answers calls of other dispatchers.
 func (n *Node) handle(from peers.Caller, path string, body []byte) ([]byte, error) {
 	v := n.voter
 	if path == peers.RaftPath {
@@ -180,7 +182,7 @@
 	case renewCall:
 		var r agree.Renewal
 		if err = n.decode(from, body, &r); err == nil && r.Name != from.Name {
-			n.counts.RecordDrop(peers.NotMember, from.Name, "it speaks for "+r.Name)
+			n.counts.RecordDrop(peers.NotMember, from.Name, "renewal in the name of "+r.Name)
 			err = errors.New("a renewal for another")
 		}
 		if err == nil {
--- a/internal/agreement/frames.go
+++ b/internal/agreement/frames.go
@@ -17,7 +17,7 @@
 	"standpulley/internal/peers"
 )
 
-// frames takes what another voter sends: messages with their lengths before them.
+// handleFrames reads the raft messages of another voter, each prefixed with its length.
 func (v *voter) handleFrames(from peers.Caller, body []byte) error {
 	for len(body) > 0 {
 		size, n := binary.Uvarint(body)
@@ -38,19 +38,20 @@
 	return nil
 }
 
-// take hands a message to the consensus, if it is from the disk that has the sender's seat, or this voter knows no seats.
+// handleMessage passes a message to raft if it comes from the disk that holds the sender's seat, or if
+// this voter does not know any seats yet.
 func (v *voter) handleMessage(from string, m *raftpb.Message) {
 	name, seated := v.voterNames[m.GetFrom()]
 	problem := ""
 	switch {
 	case m.GetTo() != v.n.log.Identity().Disk:
-		problem = fmt.Sprintf("for disk %x, which is not here", m.GetTo())
+		problem = fmt.Sprintf("for disk %x, which is not the disk of this voter", m.GetTo())
 	case slices.Contains(v.record.RetiredDisks, m.GetFrom()):
-		problem = fmt.Sprintf("of disk %x, whose seat was given on", m.GetFrom())
+		problem = fmt.Sprintf("from disk %x, whose seat was given to another disk", m.GetFrom())
 	case seated && name != from:
-		problem = fmt.Sprintf("of disk %x, which is that of %s", m.GetFrom(), name)
+		problem = fmt.Sprintf("from disk %x, which belongs to %s", m.GetFrom(), name)
 	case !seated && v.record.Cluster != 0:
-		problem = fmt.Sprintf("of disk %x, which has no seat", m.GetFrom())
+		problem = fmt.Sprintf("from disk %x, which has no seat", m.GetFrom())
 	}
 	if problem != "" {
 		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+problem)
@@ -58,7 +59,7 @@
 	}
 	v.voterNames[m.GetFrom()] = from
 	if err := v.rn.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
-		slog.Warn("agreement: a frame was not taken", "from", from, "error", err)
+		slog.Warn("agreement: raft rejected a message", "from", from, "error", err)
 	}
 }
 
@@ -73,7 +74,8 @@
 	}
 }
 
-// quiet is the consensus library's logger: what matters to operators is logged here.
+// raftLogger is the logger of the raft library. It drops everything below errors, as this package logs
+// the events that matter to operators itself.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)            {}
--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -41,11 +41,11 @@
 
 // role gives what servers of a kind do, by the settings in force.
 func (v *voter) roleOf(kind string) string {
-	force := v.record.InForce()
-	if force == nil {
+	inForce := v.record.InForce()
+	if inForce == nil {
 		return kind
 	}
-	kinds, roles := strings.Split(force.Keys["host_types"], ","), strings.Split(force.Keys["family_info.duty_by_kind"], ",")
+	kinds, roles := strings.Split(inForce.Keys["host_types"], ","), strings.Split(inForce.Keys["family_info.duty_by_kind"], ",")
 	if i := slices.Index(kinds, kind); i >= 0 && i < len(roles) {
 		return roles[i]
 	}
@@ -91,9 +91,9 @@
 
 // news is what a dispatcher is told with the answer to its renewal.
 func (l *listLeader) update(v *voter, r agree.Renewal) *listUpdate {
-	before := l.activeReaders
+	previous := l.activeReaders
 	l.activeReaders = l.picker.Pick(v.n.now(), v.leases, v.n.opt.Lists.MaxReaders)
-	for name := range before {
+	for name := range previous {
 		if !l.activeReaders[name] {
 			l.merger.RemoveReader(name)
 		}
@@ -188,10 +188,10 @@
 
 // Heard hands the leader what this dispatcher's register says: all of it, with the register's own version. The entries must
 // not change any more.
-func (n *Node) ReportRegistry(index int64, entries map[string]membership.Entry) {
+func (n *Node) ReportRegistry(version int64, entries map[string]membership.Entry) {
 	r := &n.member.registry
 	r.mu.Lock()
-	r.version, r.entries = index, entries
+	r.version, r.entries = version, entries
 	r.number++
 	r.mu.Unlock()
 	r.notify()
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -59,10 +59,10 @@
 // say logs a line about the lease, once until another comes.
 func (m *member) logNoLease(text string) {
 	m.mu.Lock()
-	again := m.lastLogged == text
+	repeated := m.lastLogged == text
 	m.lastLogged, m.reason = text, text
 	m.mu.Unlock()
-	if !again {
+	if !repeated {
 		slog.Warn("agreement: out of contact or service", "why", text)
 	}
 }
@@ -83,9 +83,9 @@
 		case <-timer.C:
 		case <-m.n.wake:
 		}
-		again := m.renew()
+		renewNow := m.renew()
 		m.checkLease()
-		if again {
+		if renewNow {
 			m.n.wakeMember()
 		}
 		timer.Reset(t.Renew)
@@ -97,8 +97,8 @@
 	now := m.n.now()
 	m.mu.Lock()
 	expired := m.active.Number != 0 && m.lastGrant != 0 && m.lease.Remaining(now) <= 0
-	first := expired && m.lostAt == 0
-	if first {
+	justExpired := expired && m.lostAt == 0
+	if justExpired {
 		m.lostAt = now
 	}
 	if m.saved.Unproven && m.lastGrant != 0 && !expired && m.lostAt == 0 && now-m.activatedAt > agree.TrialTime {
@@ -109,7 +109,7 @@
 	}
 	why := m.reason
 	m.mu.Unlock()
-	if first {
+	if justExpired {
 		m.n.program.LeaseLost()
 		slog.Warn("agreement: the lease is over", "version", m.lease.Number, "why", why, "alone", m.n.opt.OnLeaseLoss)
 	}
@@ -166,8 +166,8 @@
 	}
 	lastErr := errNoLeader
 	asked := map[string]bool{}
-	for next := m.votersToAsk(leader); len(next) > 0 && len(asked) < maxVotersAsked; next = next[1:] {
-		name := next[0]
+	for queue := m.votersToAsk(leader); len(queue) > 0 && len(asked) < maxVotersAsked; queue = queue[1:] {
+		name := queue[0]
 		if asked[name] {
 			continue
 		}
@@ -183,7 +183,7 @@
 			return a, nil
 		}
 		if n.links[a.Leader] != nil {
-			next = append([]string{name, a.Leader}, next[1:]...)
+			queue = append([]string{name, a.Leader}, queue[1:]...)
 		} else {
 			lastErr = fmt.Errorf("%w: %s: %s", errNoLeader, name, a.Why)
 		}
@@ -226,7 +226,7 @@
 }
 
 // granted takes an answer of the voter that leads.
-func (m *member) handleResponse(sent time.Duration, a renewResponse) (again bool) {
+func (m *member) handleResponse(sent time.Duration, a renewResponse) (renewNow bool) {
 	m.mu.Lock()
 	active, lease := m.active, m.lease
 	m.mu.Unlock()
@@ -268,15 +268,15 @@
 		if !m.activate(inForce, lease) {
 			return false
 		}
-		again = !a.Lease // it was not fit before, or not up to date
+		renewNow = !a.Lease // it was not fit before, or not up to date
 	}
 	if !a.Lease {
 		m.logNoLease("no lease: " + a.Why)
-		return again
+		return renewNow
 	}
 	if listErr != nil {
 		m.logNoLease("no lease: " + listErr.Error())
-		return again || errors.Is(listErr, errPartialList)
+		return renewNow || errors.Is(listErr, errPartialList)
 	}
 	lease.Extend(sent, m.n.opt.Timing)
 	now := m.n.now()
@@ -287,7 +287,7 @@
 	if lostAt != 0 {
 		slog.Info("agreement: the lease is back", "version", inForce.Number, "without", (now - lostAt).Round(time.Millisecond))
 	}
-	return again
+	return renewNow
 }
 
 func (m *member) setUnfit(f *agree.Fault) {
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -243,8 +243,8 @@
 	}
 	slices.Sort(rest)
 	if len(rest) > 0 {
-		at := int(n.boot % uint64(len(rest)))
-		rest = append(slices.Clone(rest[at:]), rest[:at]...)
+		offset := int(n.boot % uint64(len(rest)))
+		rest = append(slices.Clone(rest[offset:]), rest[:offset]...)
 	}
 	return append(names, rest...)
 }
@@ -252,10 +252,10 @@
 // askSeat asks the voters for this voter's seat.
 func (n *Node) requestSeat(replace bool) (err error) {
 	err = errNoLeader
-	next := n.voterNames(n.member.knownLeader())
-	for tried := 0; tried < 2*len(n.links) && len(next) > 0; tried++ {
-		name := next[0]
-		next = next[1:]
+	queue := n.voterNames(n.member.knownLeader())
+	for tried := 0; tried < 2*len(n.links) && len(queue) > 0; tried++ {
+		name := queue[0]
+		queue = queue[1:]
 		var p proposeResponse
 		if e := callJSON(n.links[name], seatCall, seatRequest{n.opt.Name, n.log.Identity().Disk, replace}, &p, proposeTimeout); e != nil {
 			continue
@@ -267,7 +267,7 @@
 		case !p.NotLeader:
 			return nil
 		case n.links[p.Leader] != nil:
-			next = append([]string{p.Leader}, next...)
+			queue = append([]string{p.Leader}, queue...)
 		}
 	}
 	return err
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -12,75 +12,75 @@
 	"standpulley/internal/peers"
 )
 
-const leaderTimeout = 10 * time.Second // for a leader to be there
+const leaderTimeout = 10 * time.Second // how long a request waits for a leader
 
-// Own is what one dispatcher knows of itself. Times are in milliseconds.
+// Status is the state of one dispatcher as it knows it itself. Times are in milliseconds.
 type Status struct {
 	Name        string                `json:"name"`
 	Voter       bool                  `json:"voter"`
 	Version     uint64                `json:"version"`
-	LeaseMS     int64                 `json:"lease_ms"` // left for taking new work
-	HeardMS     int64                 `json:"heard_ms"` // since the last renewal that was granted
-	LostMS      int64                 `json:"lost_ms"`  // since the lease ended; 0 while it runs
+	LeaseMS     int64                 `json:"lease_ms"` // remaining time for accepting new requests
+	HeardMS     int64                 `json:"heard_ms"` // since the last granted renewal
+	LostMS      int64                 `json:"lost_ms"`  // since the lease expired; 0 while it is valid
 	Why         string                `json:"why,omitempty"`
 	Leader      string                `json:"leader"`
 	OnLeaseLoss agree.LeaseLossPolicy `json:"alone"`
-	LateActs    int64                 `json:"late"` // acts after the end of a lease, which alone allowed
+	LateActs    int64                 `json:"late"` // acts after the end of a lease, permitted by OnLeaseLoss
 	Unfit       *agree.Fault          `json:"unfit,omitempty"`
 	Crashes     int                   `json:"crashes,omitempty"`
-	TurnedDown  int64                 `json:"turned_down"` // versions by this dispatcher
-	Elected     int64                 `json:"elected"`     // times that this voter became leader
-	Dropped     map[string]int64      `json:"dropped"`     // calls and frames, by cause
+	TurnedDown  int64                 `json:"turned_down"` // versions turned down by this dispatcher
+	Elected     int64                 `json:"elected"`     // how often this voter became leader
+	Dropped     map[string]int64      `json:"dropped"`     // dropped calls and frames, by cause
 	Calls       [2]int64              `json:"calls"`       // in, out
 	Bytes       [2]int64              `json:"bytes"`       // in, out
 	Disk        string                `json:"disk"`
 	Cluster     string                `json:"cluster"`
-	ListVersion uint64                `json:"list,omitempty"`   // version of the list of replicas
-	Living      int                   `json:"living,omitempty"` // dispatchers, by the last census
+	ListVersion uint64                `json:"list,omitempty"`   // of replicas
+	Dispatchers int                   `json:"living,omitempty"` // number of dispatchers, by the last census
 }
 
-// Own tells how this dispatcher stands.
+// Status returns the state of this dispatcher.
 func (n *Node) Status() Status {
 	m, now := &n.member, n.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	o := Status{Name: n.opt.Name, Voter: n.voter != nil, Version: m.active.Number, LeaseMS: max(m.lease.Remaining(now), 0).Milliseconds(), Why: m.reason,
+	status := Status{Name: n.opt.Name, Voter: n.voter != nil, Version: m.active.Number, LeaseMS: max(m.lease.Remaining(now), 0).Milliseconds(), Why: m.reason,
 		Leader: m.leader, OnLeaseLoss: n.opt.OnLeaseLoss, LateActs: m.lease.LateActs(), Unfit: m.unfit, Crashes: m.saved.Crashes, TurnedDown: m.n.turnedDown.Load(), Elected: n.elections.Load(),
 		Dropped: n.counts.Dropped(), Calls: [2]int64{n.counts.In.Load(), n.counts.Out.Load()},
 		Bytes: [2]int64{n.counts.BytesIn.Load(), n.counts.BytesOut.Load()},
 		Disk:  strconv.FormatUint(n.log.Identity().Disk, 16), Cluster: strconv.FormatUint(n.clusterID.Load(), 16)}
-	o.ListVersion, o.Living = m.list.Number, m.dispatchers
+	status.ListVersion, status.Dispatchers = m.list.Number, m.dispatchers
 	if m.lastGrant != 0 {
-		o.HeardMS = (now - m.lastGrant).Milliseconds()
+		status.HeardMS = (now - m.lastGrant).Milliseconds()
 	}
 	if m.lostAt != 0 {
-		o.LostMS = (now - m.lostAt).Milliseconds()
+		status.LostMS = (now - m.lostAt).Milliseconds()
 	}
-	return o
+	return status
 }
 
-// View asks the voters for the record, or parts of it, as it surely is now.
-func (n *Node) View(x ViewFilter) (*View, error) {
+// View asks the leader for a linearizable view of the record, or of parts of it.
+func (n *Node) View(filter ViewFilter) (*View, error) {
 	var view *View
 	err := n.atLeader(func(local *voter, link *peers.Link) (notLeader bool, err error) {
 		if local != nil {
-			view, err = local.show(x)
+			view, err = local.show(filter)
 			return false, err
 		}
 		view = &View{}
-		return false, callJSON(link, showCall, x, view, proposeTimeout)
+		return false, callJSON(link, showCall, filter, view, proposeTimeout)
 	})
 	return view, err
 }
 
-// Propose brings a version before the voters; p.ID is drawn here, so that no proposal counts twice. The number tells of an
-// entry that was decided; whether the version is in force shows later.
+// Propose proposes a version to the voters. It sets p.ID, so that a repeated proposal counts once.
+// A returned number means that the proposal is in the record; it is not in force yet.
 func (n *Node) Propose(p agree.Propose) (uint64, error) {
 	p.ID, p.At = strconv.FormatUint(NewID(), 16), n.opt.wallTime()
 	return n.propose(agree.Entry{Propose: &p})
 }
 
-// Ledger gives the file with which a voter last held the ledger, by the record.
+// LedgerDisk returns the ledger file that a voter last used, by the record.
 func (n *Node) LedgerDisk(name string) (disk uint64, known bool, err error) {
 	view, err := n.View(ViewFilter{Section: SectionSettings})
 	if err != nil {
@@ -90,61 +90,61 @@
 	return disk, known, nil
 }
 
-// SetLedger notes the file with which a voter holds the ledger from now on.
+// SetLedgerDisk records the ledger file that a voter uses from now on.
 func (n *Node) SetLedgerDisk(name string, disk uint64) error {
 	_, err := n.propose(agree.Entry{Ledger: &agree.SetLedger{Request: strconv.FormatUint(NewID(), 16), Name: name, Disk: disk}})
 	return err
 }
 
-// Back is what a dispatcher that comes back needs to know of the others.
+// RecoveryInfo is what a restarted dispatcher needs to know of the others.
 type RecoveryInfo struct {
-	Voters, VotersHeard int                // voters in all, and those that have answered since the start, this one among them
-	ServingMS           int64              // how long another dispatcher has served as usual
-	WarmRates           map[string]float64 // what others say that a replica of a kind bears of this one's requests a second; nil before they did
+	Voters, VotersHeard int                // all voters, and those that have answered since the start, with this one
+	ServingMS           int64              // the longest time that another dispatcher has served normally
+	WarmRates           map[string]float64 // by kind of replica, the requests per second that a replica can take from this dispatcher, as others report; nil before they did
 	Lease               bool
 	ListVersion         uint64
-	ListFresh           bool // the list holds what the register says by now, and not only what it said before
+	ListFresh           bool // the list holds a reading of the registry from after the start, not only older ones
 }
 
-// Back tells it.
+// RecoveryInfo returns what is known of the other dispatchers.
 func (n *Node) RecoveryInfo() RecoveryInfo {
-	b := RecoveryInfo{Voters: len(n.opt.Voters), ServingMS: n.member.othersServingMS.Load(), ListFresh: n.member.listFresh.Load()}
-	if bears := n.member.othersWarmRates.Load(); bears != nil {
-		b.WarmRates = *bears
+	info := RecoveryInfo{Voters: len(n.opt.Voters), ServingMS: n.member.othersServingMS.Load(), ListFresh: n.member.listFresh.Load()}
+	if rates := n.member.othersWarmRates.Load(); rates != nil {
+		info.WarmRates = *rates
 	}
 	if n.voter != nil {
-		b.VotersHeard++
+		info.VotersHeard++
 	}
 	for _, l := range n.links {
 		if l.Answered() {
-			b.VotersHeard++
+			info.VotersHeard++
 		}
 	}
 	m := &n.member
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b.Lease, b.ListVersion = m.lease.Ready(n.now()), m.list.Number
-	return b
+	info.Lease, info.ListVersion = m.lease.Ready(n.now()), m.list.Number
+	return info
 }
 
-// Remember keeps a small value of the program's beside the log, and Recall gives it; nil if there is none.
+// SaveValue stores a small value of the program in the log's file.
 func (n *Node) SaveValue(name string, value []byte) error {
 	return n.log.SetValue("program."+name, value)
 }
 
-// Recall is told by Remember.
+// LoadValue returns a value that SaveValue stored, nil if there is none.
 func (n *Node) LoadValue(name string) ([]byte, error) { return n.log.Value("program." + name) }
 
-// Boot is a number of this life of the dispatcher.
+// Boot returns the random ID of this run of the process.
 func (n *Node) Boot() uint64 { return n.boot }
 
-// Withdraw takes back a version that is not in force.
+// Withdraw takes back a version that is not yet in force.
 func (n *Node) Withdraw(number uint64, by string) error {
 	_, err := n.propose(agree.Entry{Withdraw: &agree.Withdraw{ID: strconv.FormatUint(NewID(), 16), Number: number, By: by}})
 	return err
 }
 
-// ErrUnknown says that a proposal may or may not have been decided.
+// ErrOutcomeUnknown is returned if a proposal may or may not have been decided.
 var ErrOutcomeUnknown = errors.New("no voter that leads answered in time: whether it was decided shows in the history")
 
 func (n *Node) propose(e agree.Entry) (uint64, error) {
@@ -167,7 +167,8 @@
 	return p.Number, nil
 }
 
-// atLeader does something at the voter that leads, which may take some tries: f tells if it is not there.
+// atLeader calls f for one voter after another, until f reports that it ran at the leader or
+// leaderTimeout has passed. f gets either the local voter or a link to another one.
 func (n *Node) atLeader(f func(local *voter, link *peers.Link) (notLeader bool, err error)) error {
 	lastErr := errNoLeader
 	for deadline := n.now() + leaderTimeout; n.now() < deadline; {
@@ -200,7 +201,7 @@
 	return lastErr
 }
 
-// Seat gives the seat of this voter to the disk that it has now, by an operator's word.
+// Seat gives this voter's seat to its present disk, at the request of an operator.
 func (n *Node) Seat() error {
 	if n.voter == nil {
 		return errors.New("this dispatcher is no voter")
@@ -208,7 +209,7 @@
 	return n.requestSeat(true)
 }
 
-// Command is what operators ask for by the command line.
+// Command is a request of an operator from the command line.
 type Command struct {
 	Do           string            `json:"do"` // propose, view, own, withdraw, seat; drain, hold, undrain, confirm
 	Base         uint64            `json:"base,omitempty"`
@@ -221,7 +222,7 @@
 	ID           string            `json:"id,omitempty"` // of a replica, for drain, hold and undrain
 	ForMS        int64             `json:"for_ms,omitempty"`
 	Seen         uint64            `json:"seen,omitempty"`   // the version of the list that the operator saw
-	Ran          bool              `json:"ran,omitempty"`    // what an operator found of an instruction
+	Ran          bool              `json:"ran,omitempty"`    // whether the instruction ran, by the finding of an operator
 	Ledger       []bookkeeping.Row `json:"ledger,omitempty"` // to import
 	ViewFilter                     // for view
 }
@@ -234,26 +235,28 @@
 	Status *Status `json:"own,omitempty"`
 
 	Figures *bookkeeping.Stats `json:"figures,omitempty"` // of this dispatcher's part of the ledger
-	Ledger  []bookkeeping.Row  `json:"ledger,omitempty"`  // instructions
-	Last    bool               `json:"last,omitempty"`    // of an export: there are no more
+	Ledger  []bookkeeping.Row  `json:"ledger,omitempty"`  // entries of instructions
+	Last    bool               `json:"last,omitempty"`    // of an export: there are no more entries
 
-	RegistryDifferences map[string]RegistryDifference `json:"beside,omitempty"` // replicas on which this dispatcher's own register differs
+	RegistryDifferences map[string]RegistryDifference `json:"beside,omitempty"` // by replica, where this dispatcher's own registry differs from the agreed list
 }
 
-// Beside is what a dispatcher's own register says of a replica, where that is not what is agreed on.
+// RegistryDifference is the state of a replica in a dispatcher's own registry, where it differs from
+// the agreed list.
 type RegistryDifference struct {
 	Registry string `json:"says"`
-	ForMS    int64  `json:"for_ms"` // so long already
+	ForMS    int64  `json:"for_ms"` // how long they have differed
 }
 
-// Do carries out a command. keys flattens a content and print is its fingerprint.
+// Do executes a command. keys flattens a version's content to values by key path, and print returns
+// its fingerprint.
 func (n *Node) Do(c Command, keys func(string) (map[string]string, error), print func(string) string) (r Reply) {
 	var err error
 	switch c.Do {
 	case "propose":
-		var k map[string]string
-		if k, err = keys(c.Content); err == nil {
-			r.Number, err = n.Propose(agree.Propose{Base: c.Base, Content: c.Content, Keys: k, Fingerprint: print(c.Content), By: c.By, Why: c.Why,
+		var flattened map[string]string
+		if flattened, err = keys(c.Content); err == nil {
+			r.Number, err = n.Propose(agree.Propose{Base: c.Base, Content: c.Content, Keys: flattened, Fingerprint: print(c.Content), By: c.By, Why: c.Why,
 				CanaryMember: c.CanaryMember, RollbackTo: c.RollbackTo})
 		}
 	case "withdraw":
@@ -272,8 +275,8 @@
 	default:
 		err = fmt.Errorf("unknown command %q", c.Do)
 	}
-	own := n.Status()
-	r.Status = &own
+	status := n.Status()
+	r.Status = &status
 	if err != nil {
 		r.Error = err.Error()
 	}
--- a/internal/agreement/reads.go
+++ b/internal/agreement/reads.go
@@ -47,9 +47,9 @@
 	if v.roundInFlight != 0 || len(v.readsInFlight) == 0 || v.readsInFlight[0].index > v.applied {
 		return
 	}
-	now := v.readsInFlight
+	reads := v.readsInFlight
 	v.readsInFlight = nil
-	for _, r := range now {
+	for _, r := range reads {
 		r.then(v.isLeader)
 	}
 }
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -56,13 +56,13 @@
 
 func (r *SurveyResult) read(l *raftlog.Log) error {
 	r.Cluster, r.Disk = l.Identity().Cluster, l.Identity().Disk
-	text, err := l.Value(savedStateNote)
+	data, err := l.Value(savedStateNote)
 	if err != nil {
 		return err
 	}
-	if text != nil {
+	if data != nil {
 		var saved savedState
-		if err := jsoniter.Unmarshal(text, &saved); err != nil {
+		if err := jsoniter.Unmarshal(data, &saved); err != nil {
 			return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
 		}
 		r.ActsOn = saved.ActsOn
@@ -142,7 +142,7 @@
 	if own.Cluster != lostCluster {
 		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lostCluster)
 	}
-	acted := []agree.Version{own.ActsOn}
+	actedOn := []agree.Version{own.ActsOn}
 	for _, folder := range folders {
 		r, err := Survey(folder)
 		switch {
@@ -154,10 +154,10 @@
 			return agree.Record{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
 				folder, r.Term, r.Index, own.Term, own.Index)
 		}
-		acted = append(acted, r.ActsOn)
+		actedOn = append(actedOn, r.ActsOn)
 	}
 	cluster, disk := NewID(), NewID()
-	record, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, acted, by)
+	record, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, actedOn, by)
 	if err != nil {
 		return record, err
 	}
@@ -184,11 +184,11 @@
 // known of replicas goes over. Whatever cuts it short, one of the two is in place.
 func replaceLog(old *SurveyResult, disk uint64, fill func(*raftlog.Log) error) error {
 	path := LogPath(old.Folder)
-	next, backup := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
-	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that was cut short
+	newPath, backup := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that was cut short
 		return err
 	}
-	l, err := raftlog.Open(next, func() uint64 { return disk })
+	l, err := raftlog.Open(newPath, func() uint64 { return disk })
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 	if err := os.Link(path, backup); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(newPath, path); err != nil {
 		return err
 	}
 	f, err := os.Open(filepath.Dir(path))
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -68,8 +68,8 @@
 	}
 	member := newStateFolder(t) // it never voted, and acted on what no log that is left holds
 	writeLog(t, member.Folder, func(l *raftlog.Log) error {
-		text, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
-		return errors.Join(err, l.SetValue(savedStateNote, text), l.SetCluster(before.Cluster))
+		data, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
+		return errors.Join(err, l.SetValue(savedStateNote, data), l.SetCluster(before.Cluster))
 	})
 	foreign := bootstrapped(t)
 	older, newer := copyOf(t, opt.Folder), copyOf(t, opt.Folder)
@@ -136,9 +136,9 @@
 func copyOf(t *testing.T, folder string) string {
 	t.Helper()
 	to := t.TempDir()
-	text, err := os.ReadFile(LogPath(folder))
+	data, err := os.ReadFile(LogPath(folder))
 	if err == nil {
-		err = os.WriteFile(LogPath(to), text, 0o600)
+		err = os.WriteFile(LogPath(to), data, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agreement/requests.go
+++ b/internal/agreement/requests.go
@@ -11,8 +11,8 @@
 	"standpulley/internal/agree"
 )
 
-// renew books a renewal and answers it. The lease counts for its dispatcher from when it sent the renewal; all that is
-// told here was so after it had come.
+// renew records a renewal and answers it. The dispatcher counts its lease from when it sent the
+// renewal, and everything in the answer was still true after the renewal had arrived.
 func (v *voter) renew(r agree.Renewal) (renewResponse, error) {
 	answer := make(chan renewResponse, 1)
 	err := v.asLeader(v.n.opt.Timing.AcceptFor, func(confirmed bool) {
@@ -49,7 +49,7 @@
 	return <-answer, nil
 }
 
-// propose brings an entry of a dispatcher before the voters.
+// propose proposes an entry of a dispatcher to the voters and waits until it is applied.
 func (v *voter) propose(e agree.Entry) (proposeResponse, error) {
 	id := e.Request()
 	if p := e.Propose; p != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// show gives the record, or parts of it, as it surely is.
-func (v *voter) show(x ViewFilter) (*View, error) {
+// show returns a linearizable view of the record, or of parts of it.
+func (v *voter) show(filter ViewFilter) (*View, error) {
 	answer := make(chan *View, 1)
 	err := v.asLeader(proposeTimeout, func(confirmed bool) {
 		if !confirmed {
@@ -97,7 +97,7 @@
 			return
 		}
 		now := v.n.now()
-		view := &View{Record: x.copyFrom(&v.record), Leader: v.n.opt.Name, Term: v.term, WaitingFor: v.leases.WaitingFor(now, &v.record)}
+		view := &View{Record: filter.copyFrom(&v.record), Leader: v.n.opt.Name, Term: v.term, WaitingFor: v.leases.WaitingFor(now, &v.record)}
 		v.lists.addTo(view)
 		for _, m := range v.leases.Members {
 			view.Members = append(view.Members, MemberView{m.Renewal, max(m.LeaseEnd-now, 0).Milliseconds(), (now - m.LastRenewal).Milliseconds()})
@@ -113,7 +113,8 @@
 	return nil, errNoLeader
 }
 
-// sit lets a voter take its seat: an empty one, or by an operator's word that of a disk that is lost.
+// takeSeat gives a voter its seat: an empty one, or at the request of an operator the one of a lost
+// disk.
 func (v *voter) takeSeat(s seatRequest) (proposeResponse, error) {
 	answer := make(chan proposeResponse, 1)
 	err := v.asLeader(proposeTimeout, func(confirmed bool) {
@@ -139,10 +140,10 @@
 			changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, disk))
 		}
 		changes = append(changes, confChange(raftpb.ConfChangeAddNode, s.Disk))
-		text, err := jsoniter.Marshal(agree.Entry{TakeSeat: &agree.Seat{Name: s.Name, Disk: s.Disk}})
+		data, err := jsoniter.Marshal(agree.Entry{TakeSeat: &agree.Seat{Name: s.Name, Disk: s.Disk}})
 		if err == nil {
 			v.voterNames[s.Disk] = s.Name
-			err = v.rn.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: text})
+			err = v.rn.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: data})
 		}
 		if err != nil {
 			answer <- proposeResponse{Error: err.Error()}
@@ -160,7 +161,8 @@
 	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: &disk}
 }
 
-// wait gives the record's stamp once it is another than one that is known, or after a while.
+// waitForChange returns the revision of the record once it differs from the known one, or after the
+// timeout.
 func (v *voter) waitForChange(known uint64, timeout time.Duration) uint64 {
 	s := v.watch.Load()
 	if s.revision != known {
--- a/internal/agreement/saved.go
+++ b/internal/agreement/saved.go
@@ -10,31 +10,31 @@
 	"standpulley/internal/agree"
 )
 
-// life is what a dispatcher remembers over its end.
+// savedState is the state that a dispatcher keeps across restarts, to detect versions that crash it.
 type savedState struct {
-	ActsOn   agree.Version `json:"acts"`    // on
-	LastGood agree.Version `json:"good"`    // the last one on which it lived for long enough
-	Unproven bool          `json:"young"`   // it has not lived on Acts for long enough yet
-	Crashes  int           `json:"crashes"` // so often did it end young by no order
+	ActsOn   agree.Version `json:"acts"`    // the version that it activated last
+	LastGood agree.Version `json:"good"`    // the last version on which it ran for TrialTime
+	Unproven bool          `json:"young"`   // it has not yet run on ActsOn for TrialTime
+	Crashes  int           `json:"crashes"` // unplanned ends of the process while Unproven was set
 }
 
 const (
 	savedStateNote = "life"
 	maxCrashes     = 2
-	maxVotersAsked = 3 // voters in one renewal
+	maxVotersAsked = 3 // by one renewal
 )
 
-// recall reads what was remembered.
+// load reads the saved state. If the last run ended unproven, it counts as a crash.
 func (m *member) load(n *Node) error {
 	m.n, m.unresponsive = n, map[string]time.Duration{}
 	m.registry.changed, m.leaveRequests = make(chan struct{}, 1), make(chan chan struct{})
 	m.lease = &agree.Lease{OnLeaseLoss: n.opt.OnLeaseLoss}
-	text, err := n.log.Value(savedStateNote)
-	if err != nil || text == nil {
+	data, err := n.log.Value(savedStateNote)
+	if err != nil || data == nil {
 		return err
 	}
-	if err := jsoniter.Unmarshal(text, &m.saved); err != nil {
-		return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
+	if err := jsoniter.Unmarshal(data, &m.saved); err != nil {
+		return fmt.Errorf("damaged: saved state of this dispatcher: %w", err)
 	}
 	if m.saved.Unproven {
 		m.saved.Crashes++
@@ -44,21 +44,22 @@
 }
 
 func (m *member) save() {
-	text, err := jsoniter.Marshal(&m.saved)
+	data, err := jsoniter.Marshal(&m.saved)
 	if err == nil {
-		err = m.n.log.SetValue(savedStateNote, text)
+		err = m.n.log.SetValue(savedStateNote, data)
 	}
 	if err != nil {
-		slog.Error("agreement: what this dispatcher acts on can't be remembered", "error", err)
+		slog.Error("agreement: the state of this dispatcher can't be saved", "error", err)
 	}
 }
 
-// begin gives what to start on.
+// restore returns the version to start on: the one that was active, or the last good one if the
+// active one has crashed this dispatcher twice.
 func (m *member) restore(n *Node) (*agree.Version, *agree.Lease) {
 	v := m.saved.ActsOn
 	if m.crashedTwiceOn(v.Number) {
 		v = m.saved.LastGood
-		slog.Warn("agreement: starting on the last good version: another brought this dispatcher down", "version", v.Number,
+		slog.Warn("agreement: starting on the last good version: another one crashed this dispatcher", "version", v.Number,
 			"other", m.saved.ActsOn.Number, "crashes", m.saved.Crashes, "each_within", agree.TrialTime)
 	}
 	if v.Number == 0 {
@@ -69,7 +70,8 @@
 	return &v, m.lease
 }
 
-// holdsBack tells whether a version has brought this dispatcher down twice.
+// crashedTwiceOn reports whether a version has crashed this dispatcher maxCrashes times and there is
+// another good version to use instead.
 func (m *member) crashedTwiceOn(number uint64) bool {
 	return number != 0 && number == m.saved.ActsOn.Number && m.saved.Crashes >= maxCrashes && m.saved.LastGood.Number != 0 && m.saved.LastGood.Number != number
 }
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -35,17 +35,17 @@
 
 // put takes a frame, or tells that there is no room.
 func (s *sender) enqueue(m *raftpb.Message) bool {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue)+len(text) > maxQueueBytes {
+	if len(s.queue)+len(data) > maxQueueBytes {
 		s.n.counts.RecordDrop(peers.QueueFull, s.name, "frames wait for a voter that takes none")
 		return false
 	}
-	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(text))), text...)
+	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(data))), data...)
 	if m.GetType() == raftpb.MsgSnap {
 		s.snapshots = append(s.snapshots, m.GetTo())
 	}
@@ -64,7 +64,7 @@
 		case <-s.work:
 		}
 		s.mu.Lock()
-		frames, snaps := s.queue, s.snapshots
+		frames, snapshots := s.queue, s.snapshots
 		s.queue, s.snapshots = nil, nil
 		s.mu.Unlock()
 		_, err := s.link.Call(peers.RaftPath, frames, s.n.opt.Timing.AcceptFor)
@@ -72,7 +72,7 @@
 		if err != nil {
 			status = raft.SnapshotFailure
 		}
-		for _, disk := range snaps {
+		for _, disk := range snapshots {
 			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) }) // a voter that is too busy sends it anew in time
 		}
 	}
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -322,7 +322,7 @@
 
 // change tells all that wait for news.
 func (v *voter) notifyChange() {
-	before := v.watch.Swap(&revisionWatch{v.record.Revision, make(chan struct{})})
-	close(before.changed)
+	previous := v.watch.Swap(&revisionWatch{v.record.Revision, make(chan struct{})})
+	close(previous.changed)
 	v.n.wakeMember()
 }
