--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -16,17 +16,19 @@
 	"standpulley/internal/peers"
 )
 
-// listing is the leader's part in agreeing on lists of replicas: what the readers heard, and the orders' time.
+// listLeader is the leader's part in agreeing on the list of replicas: it merges what the readers
+// report and tracks how long orders have been in force.
 type listLeader struct {
 	merger        *membership.Merger
 	picker        agree.RegistryReaders
-	activeReaders map[string]bool // who reads
+	activeReaders map[string]bool // the picked readers of the registry
 	nextProposal  time.Duration
-	ordersSince   map[string]time.Duration // since when this leader has them on record
+	ordersSince   map[string]time.Duration // by replica, when this leader first saw its order in the record
 	pager         membership.Pager
 }
 
-// begin is a new leader's: it knows no reading, and counts the time of orders anew, which keeps them longer, never shorter.
+// reset prepares for a new term of this leader. It starts without readings and restarts the time of
+// all orders, which can only lengthen an order, never shorten it.
 func (l *listLeader) reset(v *voter) {
 	if v.n.opt.Lists == nil {
 		return
@@ -39,7 +41,7 @@
 	*l = listLeader{merger: membership.NewMerger(limits), ordersSince: map[string]time.Duration{}}
 }
 
-// role gives what servers of a kind do, by the settings in force.
+// roleOf returns the role of servers of a kind, by the settings in force.
 func (v *voter) roleOf(kind string) string {
 	inForce := v.record.InForce()
 	if inForce == nil {
@@ -52,7 +54,8 @@
 	return kind
 }
 
-// due proposes the end of orders that ran out, the next version of the list and the next census, one at a time.
+// proposeDue proposes the end of an expired order, the next version of the list, or the next census,
+// in this order and one at a time.
 func (l *listLeader) proposeDue(v *voter, now time.Duration) {
 	if l.merger == nil || !v.record.Complete || now < l.nextProposal {
 		return
@@ -70,11 +73,12 @@
 	}
 	l.nextProposal = now + retryTicks*v.n.opt.Timing.Tick
 	if err := v.proposeEntry(*e); err != nil {
-		slog.Warn("agreement: a change of the list was not proposed", "error", err)
+		slog.Warn("agreement: proposing a change of the list failed", "error", err)
 	}
 }
 
-// expired ends an order that ran out. Its time counts by the leader's monotonic clock.
+// expiredOrder returns an entry that lifts an expired order, nil if there is none. The time of orders
+// is measured by the leader's monotonic clock.
 func (l *listLeader) expiredOrder(v *voter, now time.Duration) *agree.Entry {
 	maps.DeleteFunc(l.ordersSince, func(id string, _ time.Duration) bool { _, there := v.record.Orders[id]; return !there })
 	for id, o := range v.record.Orders {
@@ -89,7 +93,7 @@
 	return nil
 }
 
-// news is what a dispatcher is told with the answer to its renewal.
+// update returns the part about the list for the answer to a renewal.
 func (l *listLeader) update(v *voter, r agree.Renewal) *listUpdate {
 	previous := l.activeReaders
 	l.activeReaders = l.picker.Pick(v.n.now(), v.leases, v.n.opt.Lists.MaxReaders)
@@ -106,7 +110,7 @@
 		Fresh: l.merger.Settled(), ReadingNumber: number}
 }
 
-// show adds what operators see.
+// addTo adds the state of the list to the view for operators.
 func (l *listLeader) addTo(view *View) {
 	if l.merger == nil {
 		return
@@ -118,7 +122,7 @@
 	}
 }
 
-// read takes what a reader heard.
+// addReading merges the reading of a reader.
 func (v *voter) addReading(r membership.Reading) (proposeResponse, error) {
 	answer := make(chan proposeResponse, 1)
 	err := v.post(func() {
@@ -134,7 +138,7 @@
 				p.SendAll = true
 			case err != nil:
 				p.Error = err.Error()
-				slog.Warn("agreement: a reading does not count", "reader", r.Reader, "why", err)
+				slog.Warn("agreement: registry reading rejected", "reader", r.Reader, "why", err)
 			}
 		}
 		answer <- p
@@ -150,7 +154,7 @@
 	}
 }
 
-// confirm lets the change pass that is held.
+// confirm releases the held change.
 func (v *voter) confirm() (proposeResponse, error) {
 	answer := make(chan proposeResponse, 1)
 	err := v.asLeader(proposeTimeout, func(confirmed bool) {
@@ -169,25 +173,25 @@
 	return <-answer, nil
 }
 
-// register is what this dispatcher's register says, on its way to the leader.
+// registryReport holds the state of this dispatcher's registry and how much of it the leader has.
 type registryReport struct {
 	mu      sync.Mutex
 	version int64
-	entries map[string]membership.Entry // not changed once they are here; nil before anything was heard
-	number  uint64                      // of the reading
+	entries map[string]membership.Entry // never modified; nil before the first answer of the registry
+	number  uint64                      // of the reading, which grows with each
 	changed chan struct{}
 
-	// What follows belongs to tell.
-	sentEntries map[string]membership.Entry // what the leader has ...
-	sentNumber  uint64                      // ... by the reading of this number ...
-	sentTo      string                      // ... and which voter that is
+	// The fields below belong to the goroutine of reportRegistry, but for the atomic ones.
+	sentEntries map[string]membership.Entry // the entries that the leader has
+	sentNumber  uint64                      // the number of the reading that brought them
+	sentTo      string                      // the voter that was the leader then
 	sentAt      time.Duration
-	ackedNumber atomic.Uint64 // the reading that the leader has, by its last answer ...
-	ackedAt     atomic.Int64  // ... to a renewal that was sent then
+	ackedNumber atomic.Uint64 // the reading that the leader has, by the last answer to a renewal
+	ackedAt     atomic.Int64  // when that renewal was sent
 }
 
-// Heard hands the leader what this dispatcher's register says: all of it, with the register's own version. The entries must
-// not change any more.
+// ReportRegistry passes all entries of this dispatcher's registry, with the registry's own version,
+// on to the leader. The caller must not modify the entries afterwards.
 func (n *Node) ReportRegistry(version int64, entries map[string]membership.Entry) {
 	r := &n.member.registry
 	r.mu.Lock()
@@ -204,7 +208,8 @@
 	}
 }
 
-// tell hands the leader each reading, until the node ends: the lease must not wait for that, as a list may be long.
+// reportRegistry sends each reading to the leader until the node ends. It runs apart from the renewals,
+// as a list may be long and must not delay the lease.
 func (m *member) reportRegistry() {
 	r, n := &m.registry, m.n
 	for {
@@ -219,7 +224,8 @@
 	}
 }
 
-// tellOnce tells a leader what it does not know, and whether it does now.
+// reportOnce sends the leader what it does not have yet and reports whether it has the present
+// reading now.
 func (m *member) reportOnce(leader string) bool {
 	r, n := &m.registry, m.n
 	r.mu.Lock()
@@ -244,7 +250,7 @@
 		err = callJSON(n.links[leader], readingCall, reading, &p, n.opt.Timing.AcceptFor)
 	}
 	if p.SendAll {
-		r.sentTo = "" // it begins anew
+		r.sentTo = "" // the next try sends the whole list
 	}
 	if err != nil || p.NotLeader || p.SendAll {
 		return false
@@ -253,7 +259,8 @@
 	return true
 }
 
-// forgotten tells whether the voter that was told has begun to lead anew since, and knows nothing of it.
+// lostByLeader reports whether the leader no longer has the reading that was sent to it, because it
+// lost and regained the leadership since.
 func (r *registryReport) lostByLeader() bool {
 	return time.Duration(r.ackedAt.Load()) > r.sentAt && r.ackedNumber.Load() < r.sentNumber
 }
@@ -263,7 +270,7 @@
 	errPartialList = errors.New("more of the list of replicas is to come")
 )
 
-// takeList brings the program's list up to date. Without it there is no lease.
+// applyList brings the program's list of replicas up to date. After an error the lease is not extended.
 func (m *member) applyList(sent time.Duration, l *listUpdate) error {
 	if m.n.opt.Lists == nil {
 		return nil
@@ -276,7 +283,7 @@
 		m.registry.ackedNumber.Store(l.ReadingNumber)
 		m.registry.ackedAt.Store(int64(sent))
 	}
-	m.registry.notify() // a new leader knows nothing of it yet
+	m.registry.notify() // a new leader has no reading of this dispatcher yet
 	m.mu.Lock()
 	complete, err := m.listCopy.Apply(l.Part)
 	m.mu.Unlock()
@@ -311,19 +318,19 @@
 	return nil
 }
 
-// Order gives an operator's override.
+// PlaceOrder sets an operator's override of a replica.
 func (n *Node) PlaceOrder(o membership.Order) error {
 	_, err := n.propose(agree.Entry{Order: &agree.PlaceOrder{Request: strconv.FormatUint(NewID(), 16), Order: o}})
 	return err
 }
 
-// Lift ends one.
+// LiftOrder ends the override of a replica.
 func (n *Node) LiftOrder(id, owner string, seen uint64) error {
 	_, err := n.propose(agree.Entry{Lift: &agree.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id, Owner: owner, Version: seen}})
 	return err
 }
 
-// Confirm lets the change pass that is held, by an operator's word.
+// Confirm releases the held change of the list, at the request of an operator.
 func (n *Node) Confirm() error {
 	var p proposeResponse
 	err := n.atLeader(func(local *voter, link *peers.Link) (notLeader bool, err error) {
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -15,39 +15,39 @@
 	"standpulley/internal/membership"
 )
 
-// member keeps a dispatcher's lease: it renews it, checks versions that are under way and takes up the one in force.
+// member renews the dispatcher's lease, checks versions in progress and activates the one in force.
 type member struct {
 	n *Node
 
 	mu         sync.Mutex
 	lease      *agree.Lease
-	active     agree.Version // what the program acts on
+	active     agree.Version // the version that the program acts on
 	leader     string
-	lastGrant  time.Duration // last grant
-	lostAt     time.Duration // when the lease ended; 0 while it runs
-	reason     string        // there is none
-	lastLogged string        // last line of the log of that kind
+	lastGrant  time.Duration // time of the last granted renewal
+	lostAt     time.Duration // when the lease expired; 0 while it is valid
+	reason     string        // why there is no lease; empty while there is one
+	lastLogged string        // the last reason that was logged
 	unfit      *agree.Fault
 
-	activatedAt time.Duration // when the program took up what it acts on
+	activatedAt time.Duration // when the program activated its version
 
-	// What follows belongs to run's goroutine.
+	// The fields below belong to the goroutine of run, which holds mu to change those that others read.
 	checked      uint64
 	fault        *agree.Fault
-	lastChecked  agree.Version // the version that was checked last
+	lastChecked  agree.Version // the version that was checked last, with its content
 	saved        savedState
-	listCopy     membership.Copy // mu guards its change
-	list         membership.List // that the program acts on; mu guards its change
+	listCopy     membership.Copy // changed with mu held
+	list         membership.List // the list that the program acts on; changed with mu held
 	dispatchers  int
-	usesShare    bool                     // the share of what is summed over all
-	countedSince time.Duration            // since when this dispatcher is counted; 0: it is not
-	unresponsive map[string]time.Duration // voters that did not answer, by when
+	usesShare    bool                     // whether the program uses its share of the limits that are summed over all dispatchers
+	countedSince time.Duration            // since when the census counts this dispatcher; 0 if it does not
+	unresponsive map[string]time.Duration // when each voter last failed to answer
 
 	leaveRequests   chan chan struct{}
-	othersServingMS atomic.Int64                       // milliseconds that another dispatcher has served as usual, by the last answer
-	othersWarmRates atomic.Pointer[map[string]float64] // what others say that replicas bear; nil before they did
-	listFresh       atomic.Bool                        // the list holds what the register said since some reader's start
-	registry        registryReport                     // what is read of it
+	othersServingMS atomic.Int64                       // longest normal service of another dispatcher, by the last answer
+	othersWarmRates atomic.Pointer[map[string]float64] // as other dispatchers report them; nil before they did
+	listFresh       atomic.Bool                        // a leader has reported the list as fresh since the start of this process
+	registry        registryReport                     // this dispatcher's own registry
 }
 
 func (m *member) knownLeader() string {
@@ -56,18 +56,18 @@
 	return m.leader
 }
 
-// say logs a line about the lease, once until another comes.
+// logNoLease logs why there is no lease, unless it was the last reason logged.
 func (m *member) logNoLease(text string) {
 	m.mu.Lock()
 	repeated := m.lastLogged == text
 	m.lastLogged, m.reason = text, text
 	m.mu.Unlock()
 	if !repeated {
-		slog.Warn("agreement: out of contact or service", "why", text)
+		slog.Warn("agreement: no lease", "why", text)
 	}
 }
 
-// run renews the lease again and again, at once where there is news.
+// run renews the lease at intervals, and at once when the record changes.
 func (m *member) run() {
 	t := m.n.opt.Timing
 	timer := time.NewTimer(0)
@@ -92,7 +92,8 @@
 	}
 }
 
-// watch logs the end of a lease, and a life that is long enough.
+// checkLease handles the expiry of the lease, and marks the active version as good once the process
+// has run on it for TrialTime.
 func (m *member) checkLease() {
 	now := m.n.now()
 	m.mu.Lock()
@@ -111,11 +112,11 @@
 	m.mu.Unlock()
 	if justExpired {
 		m.n.program.LeaseLost()
-		slog.Warn("agreement: the lease is over", "version", m.lease.Number, "why", why, "alone", m.n.opt.OnLeaseLoss)
+		slog.Warn("agreement: lease expired", "version", m.lease.Number, "why", why, "alone", m.n.opt.OnLeaseLoss)
 	}
 }
 
-// renew asks for the lease once. It tells whether to ask again at once.
+// renew sends one renewal and reports whether to send the next one at once.
 func (m *member) renew() bool {
 	sent := m.n.now()
 	a, err := m.askLeader(m.renewal())
@@ -130,7 +131,7 @@
 	}
 	if a.InProgress != nil && a.InProgress.Number != m.checked {
 		m.checkVersion(a.InProgress)
-		defer m.n.wakeMember() // what it found is told at once
+		defer m.n.wakeMember() // so that the result is reported at once
 	}
 	return m.handleResponse(sent, a)
 }
@@ -148,12 +149,12 @@
 		r.List, r.CanReadRegistry, r.RegistrySilent = m.listCopy.Cursor(), m.n.opt.Lists.CanRead, m.n.program.RegistrySilent()
 	}
 	if m.lastChecked.Number != 0 && m.lastChecked.Number > r.CachedVersion {
-		r.CachedVersion = m.lastChecked.Number // if that is in force by now its content is here
+		r.CachedVersion = m.lastChecked.Number // its content is here, should it be in force by now
 	}
 	return r
 }
 
-// ask finds the voter that leads and renews there.
+// askLeader finds the leader and sends it the renewal.
 func (m *member) askLeader(r agree.Renewal) (a renewResponse, err error) {
 	n, timeout := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Hooks.ExtraRenewTimeout
 	leader := m.knownLeader()
@@ -192,7 +193,8 @@
 	return a, lastErr
 }
 
-// order gives the voters as they are to be asked: the one that is said to lead, and those that were silent of late last.
+// votersToAsk returns the voters in the order in which to ask them: the presumed leader first, those
+// that recently did not answer last.
 func (m *member) votersToAsk(leader string) []string {
 	names := m.n.voterNames(leader)
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(m.recentlyUnresponsive(a), m.recentlyUnresponsive(b)) })
@@ -212,7 +214,7 @@
 	m.mu.Unlock()
 }
 
-// check checks a version that is under way against this dispatcher's own file and bounds.
+// checkVersion checks a version in progress against this dispatcher's own settings file and limits.
 func (m *member) checkVersion(info *versionInfo) {
 	fault := m.n.program.Check(info.Content)
 	m.mu.Lock()
@@ -221,11 +223,11 @@
 	m.mu.Unlock()
 	if fault != nil {
 		m.n.turnedDown.Add(1)
-		slog.Warn("agreement: a version is turned down", "version", info.Number, "key", fault.Key, "reason", fault.Reason)
+		slog.Warn("agreement: version turned down", "version", info.Number, "key", fault.Key, "reason", fault.Reason)
 	}
 }
 
-// granted takes an answer of the voter that leads.
+// handleResponse handles the answer of the leader and reports whether to renew again at once.
 func (m *member) handleResponse(sent time.Duration, a renewResponse) (renewNow bool) {
 	m.mu.Lock()
 	active, lease := m.active, m.lease
@@ -251,11 +253,11 @@
 				inForce.Number, active.Number, strings.Join(keys, ", "))})
 			return false
 		}
-		stale = false // no key of it does harm: it goes on by the last good one
+		stale = false // no key conflicts, so this dispatcher may go on by the last good version
 	}
 	if stale {
 		if inForce.Content == "" {
-			m.forgetChecked() // so that the whole of it is sent
+			m.forgetChecked() // so that the next answer brings the content
 			return true
 		}
 		lease = &agree.Lease{Number: inForce.Number, Fingerprint: inForce.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
@@ -268,7 +270,7 @@
 		if !m.activate(inForce, lease) {
 			return false
 		}
-		renewNow = !a.Lease // it was not fit before, or not up to date
+		renewNow = !a.Lease // it was unfit or out of date when it asked, and may get a lease now
 	}
 	if !a.Lease {
 		m.logNoLease("no lease: " + a.Why)
@@ -285,7 +287,7 @@
 	m.lastGrant, m.lostAt, m.reason, m.lastLogged = now, 0, "", ""
 	m.mu.Unlock()
 	if lostAt != 0 {
-		slog.Info("agreement: the lease is back", "version", inForce.Number, "without", (now - lostAt).Round(time.Millisecond))
+		slog.Info("agreement: lease regained", "version", inForce.Number, "without", (now - lostAt).Round(time.Millisecond))
 	}
 	return renewNow
 }
@@ -299,14 +301,16 @@
 	}
 }
 
-// forget drops what was checked, as a number alone does not make a version.
+// forgetChecked drops the version that was checked last. Its number alone does not identify the version
+// in force, so the leader must send the content again.
 func (m *member) forgetChecked() {
 	m.mu.Lock()
 	m.lastChecked, m.checked, m.fault = agree.Version{}, 0, nil
 	m.mu.Unlock()
 }
 
-// takeUp has the program act on a version. Where it can't, this dispatcher has no lease until there is another version.
+// activate makes the program act on a version. If the program can't, this dispatcher gets no lease
+// until another version is in force.
 func (m *member) activate(v agree.Version, lease *agree.Lease) bool {
 	fault := m.n.program.Check(v.Content)
 	if fault == nil {
@@ -336,7 +340,7 @@
 	return true
 }
 
-// listen hears of changes as they come.
+// watchChanges wakes the member whenever the record changes.
 func (m *member) watchChanges() {
 	n := m.n
 	revision := uint64(0)
@@ -381,22 +385,22 @@
 	}
 }
 
-// leave has the last word be said, after which no lease is renewed: nothing of this dispatcher acts any more.
+// leave sends the last renewal, which gives up the lease. No part of this dispatcher may act after that.
 func (m *member) leave() {
 	done := make(chan struct{})
 	select {
 	case m.leaveRequests <- done:
 		<-done
-	case <-time.After(m.n.opt.Timing.Within): // where nobody hears it the lease runs out
+	case <-time.After(m.n.opt.Timing.Within): // if no voter gets the message, the lease expires by itself
 	}
 }
 
 func (m *member) sendLeave() {
 	m.mu.Lock()
-	m.saved.Unproven = false // it ends by an order
+	m.saved.Unproven = false // a planned end is no crash
 	m.mu.Unlock()
 	m.save()
 	r := m.renewal()
 	r.Leaving = true
-	_, _ = m.askLeader(r) // where nobody hears it the lease runs out
+	_, _ = m.askLeader(r) // if no voter gets it, the lease expires by itself
 }
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -1,19 +1,20 @@
-// Package agreement is a dispatcher's part in agreeing on settings: the voter, where it is one, with the consensus and its
-// log; the member, which keeps the lease and takes versions up; the calls among dispatchers. What is decided stands in
-// package agree, what crosses the network goes by package peers.
+// Package agreement runs a dispatcher's part in agreeing on settings and on the list of replicas. It
+// has the voter with its consensus (raft), if the dispatcher is one; the member, which renews the
+// lease and activates versions; and the calls between dispatchers. The rules of the record and of
+// leases are in the package that defines Record; package peers is the network transport.
 //
-//	node.go    a dispatcher's part as a whole
-//	voter.go   the goroutine that owns consensus, log and record
-//	life.go    what a dispatcher remembers over its end
-//	member.go  the goroutine that renews the lease, checks versions and takes them up
-//	reads.go   when a voter is sure of what it knows
-//	counter.go what others ask of a voter
-//	frames.go  frames of other voters
-//	sender.go  frames to another voter
-//	calls.go   what dispatchers say to each other
-//	lists.go   lists of replicas: the leader's part and the member's
-//	desk.go    what operators ask for
-//	recover.go what is left of a cluster whose logs are lost, and a new one made from it
+//	node.go      Node, a dispatcher's part as a whole
+//	voter.go     the goroutine that owns raft, the log and the record
+//	member.go    the goroutine that renews the lease, checks versions and activates them
+//	saved.go     the state that a dispatcher keeps across restarts
+//	reads.go     linearizable reads at the leader
+//	requests.go  requests of other dispatchers to a voter
+//	frames.go    raft messages from other voters
+//	sender.go    raft messages to another voter
+//	calls.go     paths and messages of the calls between dispatchers
+//	lists.go     the list of replicas: the leader's part and the member's
+//	operator.go  the operator API
+//	recover.go   surveying what is left of a lost cluster, and bootstrapping a new one from it
 package agreement
 
 import (
@@ -38,89 +39,92 @@
 	"standpulley/internal/raftlog"
 )
 
-// Program is what acts on versions.
+// Program is the dispatcher program, which acts on versions and on the list of replicas.
 type Program interface {
-	// Check says why this dispatcher can't act on a content. It must not block for long.
+	// Check returns why this dispatcher can't act on a content, nil if it can. It must not block for
+	// long.
 	Check(content string) *agree.Fault
-	// TakeUp puts a version in force under a lease, which is this dispatcher's leave to act on it.
+	// Activate makes the program act on a version, as long as the lease permits.
 	Activate(v agree.Version, lease *agree.Lease) error
-	// TakeList acts on a list of replicas from now on; it returns when nothing goes by the one before any more. living is the
-	// number of dispatchers, and counted whether this one may use its share of what is summed over them.
-	ApplyList(l membership.List, living int, counted bool) error
-	// Read starts or stops reading the register for all.
+	// ApplyList makes the program act on a list of replicas. It returns once nothing uses the
+	// previous list any more. dispatchers is their number, and counted is set if this one may use
+	// its share of the limits that are summed over them.
+	ApplyList(l membership.List, dispatchers int, counted bool) error
+	// SetReading starts or stops reading the registry on behalf of all dispatchers.
 	SetReading(bool)
-	// Alone tells that the lease is over.
+	// LeaseLost notifies the program that the lease has expired.
 	LeaseLost()
-	// Deaf tells that the register is read and says nothing.
+	// RegistrySilent reports whether the registry is read and gives no answers.
 	RegistrySilent() bool
-	// Phase is the program's phase, for people.
+	// Phase returns the program's phase, for display only.
 	Phase() string
-	// Serves is how long the program has served as usual.
+	// ServingTime returns how long the program has served normally.
 	ServingTime() time.Duration
-	// Bears is what the program knows of what a replica of each kind bears of its requests a second; empty where it knows nothing, nil
-	// where it does not want to know.
+	// WarmRates returns, by kind of replica, the requests per second of this dispatcher that a
+	// replica can take. It is empty if the program does not know and wants to learn them from other
+	// dispatchers, nil if it does not want them.
 	WarmRates() map[string]float64
 }
 
-// Options are what a node is told.
+// Options configure a Node.
 type Options struct {
 	Name        string
 	Cluster     string
-	Listen      string            // empty where it is no voter
-	Voters      map[string]string // addresses by name
+	Listen      string            // address for calls of other dispatchers; empty if it is no voter
+	Voters      map[string]string // addresses of the voters, by name
 	IsMember    func(name string) bool
 	Timing      agree.Timing
 	OnLeaseLoss agree.LeaseLossPolicy
-	MaxConns    int                // from other dispatchers, at most
-	Folder      string             // holds the log
-	Handlers    map[string]Handler // further ones that others may make here, by path
-	Lists       *Lists             // nil where dispatchers do not agree on lists of replicas
+	MaxConns    int                // maximum of connections from other dispatchers
+	Folder      string             // the state folder, which holds the log
+	Handlers    map[string]Handler // handlers of further calls, by path
+	Lists       *Lists             // nil if dispatchers do not agree on the list of replicas
 	Hooks       Hooks
 }
 
-// Call answers a call of another dispatcher.
+// Handler answers a call of another dispatcher.
 type Handler func(from string, body []byte) (any, error)
 
-// Lists says how dispatchers agree on lists of replicas.
+// Lists configure how dispatchers agree on the list of replicas.
 type Lists struct {
-	MaxReaders int  // of the register, at once
-	CanRead    bool // this dispatcher could be one
+	MaxReaders int  // how many dispatchers read the registry at once
+	CanRead    bool // this dispatcher can be one of them
 	Limits     membership.Limits
 }
 
-// Disk is where a voter writes before it speaks.
+// LogWriter writes raft state to stable storage before a voter sends messages that depend on it.
 type LogWriter interface {
 	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error
 }
 
-// Seams are where tests put faults in. The zero value puts in none.
+// Hooks let tests inject faults. The zero value injects none.
 type Hooks struct {
 	LogWriter         func(*raftlog.Log) LogWriter
-	RenewedAt         func(sent, now time.Duration) time.Duration // from when a renewal counts
-	Leases            func(*agree.LeaseTable)                     // before each use
-	Entry             func(*agree.Record, *agree.Entry)           // before it is applied
-	Lease             func(*agree.Lease)                          // a new one
-	Stale             func(bool) bool                             // whether another version is in force than the one that is held
+	RenewedAt         func(sent, now time.Duration) time.Duration // changes the time from which a renewal counts
+	Leases            func(*agree.LeaseTable)                     // called before each use
+	Entry             func(*agree.Record, *agree.Entry)           // called before the entry is applied
+	Lease             func(*agree.Lease)                          // called with each new lease
+	Stale             func(bool) bool                             // changes whether the active version counts as outdated
 	WallClock         func() time.Time
 	Limits            func(*membership.Limits)
-	ExtraRenewTimeout time.Duration // more than is waited for a renewal
+	ExtraRenewTimeout time.Duration // added to the timeout of renewals
 	Rebootstrap       func(before, next *agree.Record)
-	SkipLeaderCheck   bool // a leader answers without asking the others whether it still leads
+	SkipLeaderCheck   bool // the leader answers reads without confirming that it still leads
 }
 
-// Node is a dispatcher's part.
+// Node is a dispatcher's part in the cluster.
 type Node struct {
 	opt        Options
 	log        *raftlog.Log
 	logWriter  LogWriter
-	voter      *voter // nil where it is none
+	voter      *voter // nil if this dispatcher is no voter
 	server     *peers.Server
 	links      map[string]*peers.Link
 	counts     peers.Counts
 	program    Program
 	start      time.Time
 	boot       uint64
-	clusterID  atomic.Uint64 // the cluster's
+	clusterID  atomic.Uint64 // 0 while not known
 	ctx        context.Context
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -131,17 +135,17 @@
 	member     member
 }
 
-// Path is the file of a state folder that holds the log.
+// LogPath returns the path of the log in a state folder.
 func LogPath(folder string) string { return filepath.Join(folder, "agreement.db") }
 
-// Draw gives a number that nobody else has, never 0.
+// NewID returns a random ID that is unique for all practical purposes and never 0.
 func NewID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])                      // never fails
-	return binary.BigEndian.Uint64(b[:])>>1 | 1 // some tools read it as a signed one
+	return binary.BigEndian.Uint64(b[:])>>1 | 1 // at most 63 bits, as some tools read it as a signed integer
 }
 
-// Open opens the log and reads what was known before. Run begins the rest.
+// Open opens the log and loads the saved state. Run starts everything else.
 func Open(opt Options) (*Node, error) {
 	l, err := raftlog.Open(LogPath(opt.Folder), NewID)
 	if err != nil {
@@ -164,10 +168,12 @@
 	return n, nil
 }
 
-// Known gives the last version that this dispatcher acted on, with a lease that has never begun; nil where there is none.
+// RestoreVersion returns the version to start on, with a lease that has not been granted yet. The
+// version is nil if there is none.
 func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.restore(n) }
 
-// Run begins: it listens where this dispatcher is a voter, and renews the lease from now on.
+// Run starts the node: it listens for calls if this dispatcher is a voter, and renews the lease from
+// now on.
 func (n *Node) Run(p Program) error {
 	n.program = p
 	if n.opt.Listen != "" {
@@ -189,10 +195,10 @@
 	return nil
 }
 
-// Leave tells the voters that this dispatcher acts no more. Nothing of it does after this.
+// Leave gives up the lease. No part of this dispatcher may act after that.
 func (n *Node) Leave() { n.member.leave() }
 
-// Close ends the node.
+// Close stops the node and closes the log.
 func (n *Node) Close() error {
 	n.cancel()
 	if n.server != nil {
@@ -205,10 +211,10 @@
 	return n.log.Close()
 }
 
-// now is the node's monotonic clock.
+// now returns the node's monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Now is the clock by which leases run.
+// Now returns the monotonic clock by which leases run.
 func (n *Node) Now() time.Duration { return n.now() }
 
 func (n *Node) wakeMember() {
@@ -227,7 +233,8 @@
 	}
 }
 
-// voters gives the names of the others, those to try first before the rest.
+// voterNames returns the names of the other voters, those given first, then the rest in an order that
+// differs between dispatchers.
 func (n *Node) voterNames(first ...string) []string {
 	var names []string
 	for _, name := range first {
@@ -249,7 +256,7 @@
 	return append(names, rest...)
 }
 
-// askSeat asks the voters for this voter's seat.
+// requestSeat asks the leader for this voter's seat.
 func (n *Node) requestSeat(replace bool) (err error) {
 	err = errNoLeader
 	queue := n.voterNames(n.member.knownLeader())
@@ -273,8 +280,8 @@
 	return err
 }
 
-// Found makes the log of a cluster's first voter with its first version. The others take their seats when they start;
-// nothing is in force before.
+// Bootstrap writes the log of a new cluster's first voter, with the first version. The other voters
+// take their seats when they start; nothing takes effect before all have.
 func Bootstrap(opt Options, content string, keys map[string]string, print string) error {
 	l, err := raftlog.Open(LogPath(opt.Folder), NewID)
 	if err != nil {
@@ -300,7 +307,7 @@
 	return writeInitialLog(l, &record)
 }
 
-// begin writes a cluster's record into the empty log of its first voter.
+// writeInitialLog writes a cluster's record as a snapshot into the empty log of its first voter.
 func writeInitialLog(l *raftlog.Log, record *agree.Record) error {
 	data, err := jsoniter.Marshal(record)
 	if err != nil {
@@ -315,7 +322,7 @@
 	return l.SetCluster(record.Cluster)
 }
 
-// wall is the wall clock, for people alone: nothing is decided by it.
+// wallTime returns the wall-clock time, for display only: no decision depends on it.
 func (o *Options) wallTime() string {
 	now := time.Now
 	if o.Hooks.WallClock != nil {
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -103,7 +103,7 @@
 	WarmRates           map[string]float64 // by kind of replica, the requests per second that a replica can take from this dispatcher, as others report; nil before they did
 	Lease               bool
 	ListVersion         uint64
-	ListFresh           bool // the list holds a reading of the registry from after the start, not only older ones
+	ListFresh           bool // the list holds what the registry says now, not only what it said earlier
 }
 
 // RecoveryInfo returns what is known of the other dispatchers.
--- a/internal/agreement/reads.go
+++ b/internal/agreement/reads.go
@@ -8,7 +8,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// ask begins a round for the reads that wait. One round is under way at a time.
+// startReadRound starts a ReadIndex round for all waiting reads. Only one round is in flight at a time.
+// A voter that is not the leader fails the reads at once.
 func (v *voter) startReadRound() {
 	if len(v.waitingReads) == 0 || v.roundInFlight != 0 {
 		return
@@ -35,7 +36,7 @@
 
 func (v *voter) readIndexReady(s raft.ReadState) {
 	if len(s.RequestCtx) != 8 || binary.BigEndian.Uint64(s.RequestCtx) != v.roundInFlight {
-		return // of a round that was given up
+		return // the answer of an abandoned round
 	}
 	for i := range v.readsInFlight {
 		v.readsInFlight[i].index = max(s.Index, 1)
@@ -61,7 +62,8 @@
 	v.readsInFlight, v.waitingReads, v.roundInFlight = nil, nil, 0
 }
 
-// surely runs f on the voter's goroutine, once it is sure to lead, and waits for it.
+// asLeader runs f on the voter's goroutine and waits for it. f gets true once a quorum has confirmed,
+// after this call, that this voter is the leader, and false if it is not.
 func (v *voter) asLeader(timeout time.Duration, f func(confirmed bool)) error {
 	finished := make(chan struct{})
 	err := v.post(func() {
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -16,20 +16,20 @@
 	"standpulley/internal/raftlog"
 )
 
-// Remains is what a state folder still knows of a cluster. The program must not run on it.
+// SurveyResult is what a state folder holds of a cluster. The program must not be running on it.
 type SurveyResult struct {
 	Folder      string        `json:"folder"`
-	Cluster     uint64        `json:"cluster"` // 0: it has never heard of one
+	Cluster     uint64        `json:"cluster"` // 0 if it has never joined one
 	Disk        uint64        `json:"disk"`
-	HasVoterLog bool          `json:"voted"` // it holds a voter's log
-	Term        uint64        `json:"term"`  // of the last entry; with Index it says which of two logs is newer
+	HasVoterLog bool          `json:"voted"` // the folder holds a voter's log
+	Term        uint64        `json:"term"`  // of the last entry; Term and Index tell which of two logs is newer
 	Index       uint64        `json:"index"`
-	Record      agree.Record  `json:"book"` // what the whole log makes, the entries too of which it is not known whether they were decided
+	Record      agree.Record  `json:"book"` // after all entries of the log, also those that may not have been committed
 	ActsOn      agree.Version `json:"acts"` // the version that the dispatcher acted on last
 	warmRates   []byte
 }
 
-// Newer tells whether r's log goes further than another.
+// Newer reports whether r's log is newer than another.
 func (r *SurveyResult) Newer(than *SurveyResult) bool {
 	if r.Term != than.Term {
 		return r.Term > than.Term
@@ -37,7 +37,7 @@
 	return r.Index > than.Index
 }
 
-// Survey reads what a state folder knows.
+// Survey reads what a state folder holds of a cluster.
 func Survey(folder string) (SurveyResult, error) {
 	r := SurveyResult{Folder: folder}
 	if _, err := os.Stat(LogPath(folder)); err != nil {
@@ -56,29 +56,29 @@
 
 func (r *SurveyResult) read(l *raftlog.Log) error {
 	r.Cluster, r.Disk = l.Identity().Cluster, l.Identity().Disk
-	data, err := l.Value(savedStateNote)
+	data, err := l.Value(savedStateKey)
 	if err != nil {
 		return err
 	}
 	if data != nil {
 		var saved savedState
 		if err := jsoniter.Unmarshal(data, &saved); err != nil {
-			return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
+			return fmt.Errorf("damaged: saved state of the dispatcher: %w", err)
 		}
 		r.ActsOn = saved.ActsOn
 	}
-	if r.warmRates, err = l.Value(warmRatesNote); err != nil {
+	if r.warmRates, err = l.Value(warmRatesKey); err != nil {
 		return err
 	}
 	storage := l.Storage()
 	snap, err := storage.Snapshot()
 	if err != nil || raft.IsEmptySnap(snap) {
-		return err // it has never voted
+		return err // no voter's log
 	}
 	r.HasVoterLog = true
 	r.Index, r.Term = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetTerm()
 	if err := jsoniter.Unmarshal(snap.GetData(), &r.Record); err != nil {
-		return fmt.Errorf("the snapshot of the agreement: %w", err)
+		return fmt.Errorf("decoding the raft snapshot: %w", err)
 	}
 	last, err := storage.LastIndex()
 	if err != nil || last <= r.Index {
@@ -94,14 +94,15 @@
 			return err
 		}
 		if change != nil {
-			_, _ = r.Record.Apply(*change) // one that does not fit changes nothing, here as at the voters
+			_, _ = r.Record.Apply(*change) // an invalid entry changes nothing, here as at the voters
 		}
 		r.Index, r.Term = e.GetIndex(), e.GetTerm()
 	}
 	return nil
 }
 
-// changeOf gives the change of the record that an entry makes, and the change of the consensus' own members; nil for none.
+// decodeEntry returns the change of the record and the change of the raft configuration that an entry
+// holds; each is nil if there is none.
 func decodeEntry(e *raftpb.Entry) (change *agree.Entry, conf *raftpb.ConfChangeV2, err error) {
 	data := e.GetData()
 	switch e.GetType() {
@@ -113,7 +114,7 @@
 		data = conf.GetContext()
 	case raftpb.EntryNormal:
 	default:
-		return nil, nil, fmt.Errorf("an entry of a kind that this version does not write: %v", e.GetType())
+		return nil, nil, fmt.Errorf("unsupported type of raft entry: %v", e.GetType())
 	}
 	if len(data) == 0 {
 		return nil, conf, nil
@@ -125,12 +126,13 @@
 	return change, conf, nil
 }
 
-// bearsNote is the program's note that goes over to a new cluster, as it is about replicas.
-const warmRatesNote = "program.bears"
+// warmRatesKey is the key of the program's warm rates. They are carried over to a new cluster, as they
+// describe replicas and not the cluster.
+const warmRatesKey = "program.bears"
 
-// Refound makes a new cluster out of what is left of a lost one, whose voters' logs are gone for the greater part, with this folder's voter
-// as its first. others are the folders of all dispatchers that are left; the newest log must be this one's. The old log is kept beside the
-// new one.
+// Rebootstrap creates a new cluster from what is left of a lost one, of which most voters' logs are
+// gone, with the voter of this folder as the first. folders are those of all other dispatchers that
+// are left; none may hold a newer log than this one. The old log is kept next to the new one.
 func Rebootstrap(opt Options, lostCluster uint64, folders []string, by string) (agree.Record, error) {
 	own, err := Survey(opt.Folder)
 	if err != nil {
@@ -167,8 +169,8 @@
 	return record, replaceLog(&own, disk, func(l *raftlog.Log) error { return writeInitialLog(l, &record) })
 }
 
-// Leave has a folder forget the cluster that it belongs to, so that its dispatcher can come into the one that took its place. The old log is
-// kept beside.
+// LeaveCluster detaches a folder from a lost cluster, so that its dispatcher can join the cluster that
+// replaced it. The old log is kept next to the new one.
 func LeaveCluster(folder string, cluster uint64) error {
 	r, err := Survey(folder)
 	if err != nil {
@@ -180,12 +182,13 @@
 	return replaceLog(&r, NewID(), func(*raftlog.Log) error { return nil })
 }
 
-// replaceLog puts a log of another disk, which is made whole first, in the place of one that is kept under the number of its own. What was
-// known of replicas goes over. Whatever cuts it short, one of the two is in place.
+// replaceLog replaces a log with a new one of another disk. The new log is completed under another name
+// first, and the old one is kept under a name with its disk number. The warm rates are carried over.
+// At any interruption, either the old or the new log is in place.
 func replaceLog(old *SurveyResult, disk uint64, fill func(*raftlog.Log) error) error {
 	path := LogPath(old.Folder)
 	newPath, backup := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
-	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that was cut short
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) { // left by an interrupted attempt
 		return err
 	}
 	l, err := raftlog.Open(newPath, func() uint64 { return disk })
@@ -194,7 +197,7 @@
 	}
 	err = fill(l)
 	if err == nil && old.warmRates != nil {
-		err = l.SetValue(warmRatesNote, old.warmRates)
+		err = l.SetValue(warmRatesKey, old.warmRates)
 	}
 	if err = errors.Join(err, l.Close()); err != nil {
 		return err
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -15,12 +15,12 @@
 	"standpulley/internal/raftlog"
 )
 
-// state is a state folder of a story.
+// newStateFolder returns options with an empty state folder.
 func newStateFolder(t *testing.T) Options {
 	return Options{Name: "a", Voters: map[string]string{"a": "x", "b": "y", "c": "z"}, Folder: t.TempDir()}
 }
 
-// founded gives a folder whose log holds version 1 in force, and version 2 too if that is so.
+// bootstrapped returns options with a folder whose log holds version 1 in force, followed by the entries.
 func bootstrapped(t *testing.T, entries ...agree.Entry) Options {
 	t.Helper()
 	opt := newStateFolder(t)
@@ -57,19 +57,19 @@
 var proposeAndActivate = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
 	{Activate: &agree.Activate{Number: 2}}}
 
-// Guards: the new cluster holds what the newest log holds, the entries too that were not known to be decided; what a dispatcher acted on
-// that no log has; a cluster number and a disk that are new. The log of before is kept, a try that was cut short does no harm, and all that
-// does not go together is refused by naming it.
+// A rebootstrapped cluster holds all entries of the newest log, also those not known to be committed,
+// the version that a dispatcher acted on and that no log has, and a new cluster ID and disk. The old
+// log is kept, an interrupted attempt does no harm, and mismatched folders are refused by name.
 func TestRebootstrapFromSurvivingFolders(t *testing.T) {
 	opt := bootstrapped(t, proposeAndActivate...)
 	before, err := Survey(opt.Folder)
 	if err != nil || before.Record.InForceNumber != 2 || before.Term != 2 || before.Index != 3 || !before.HasVoterLog {
 		t.Fatalf("%+v, %v", before, err)
 	}
-	member := newStateFolder(t) // it never voted, and acted on what no log that is left holds
+	member := newStateFolder(t) // no voter, acted on a version that no remaining log holds
 	writeLog(t, member.Folder, func(l *raftlog.Log) error {
 		data, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
-		return errors.Join(err, l.SetValue(savedStateNote, data), l.SetCluster(before.Cluster))
+		return errors.Join(err, l.SetValue(savedStateKey, data), l.SetCluster(before.Cluster))
 	})
 	foreign := bootstrapped(t)
 	older, newer := copyOf(t, opt.Folder), copyOf(t, opt.Folder)
@@ -92,7 +92,7 @@
 		}
 	}
 	if _, err := Rebootstrap(member, before.Cluster, nil, "op"); err == nil {
-		t.Error("made from a folder without a voter's log")
+		t.Error("a folder without a voter's log was accepted")
 	}
 	if err := os.WriteFile(LogPath(opt.Folder)+".new", []byte("cut short"), 0o600); err != nil {
 		t.Fatal(err)
@@ -110,16 +110,17 @@
 	}
 }
 
-// Guards: a dispatcher that leaves a lost cluster belongs to none, has another disk, and still knows what replicas bear.
+// A dispatcher that leaves a lost cluster belongs to no cluster, has a new disk, and keeps its warm
+// rates.
 func TestLeaveCluster(t *testing.T) {
 	opt := bootstrapped(t, proposeAndActivate...)
-	writeLog(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(warmRatesNote, []byte(`{"w":3}`)) })
+	writeLog(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(warmRatesKey, []byte(`{"w":3}`)) })
 	before, err := Survey(opt.Folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := LeaveCluster(opt.Folder, before.Cluster+1); err == nil {
-		t.Error("it left a cluster that is not its own")
+		t.Error("left a cluster that the folder does not belong to")
 	}
 	if err := LeaveCluster(opt.Folder, before.Cluster); err != nil {
 		t.Fatal(err)
--- a/internal/agreement/saved.go
+++ b/internal/agreement/saved.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	savedStateNote = "life"
+	savedStateKey  = "life"
 	maxCrashes     = 2
 	maxVotersAsked = 3 // by one renewal
 )
@@ -29,7 +29,7 @@
 	m.n, m.unresponsive = n, map[string]time.Duration{}
 	m.registry.changed, m.leaveRequests = make(chan struct{}, 1), make(chan chan struct{})
 	m.lease = &agree.Lease{OnLeaseLoss: n.opt.OnLeaseLoss}
-	data, err := n.log.Value(savedStateNote)
+	data, err := n.log.Value(savedStateKey)
 	if err != nil || data == nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 func (m *member) save() {
 	data, err := jsoniter.Marshal(&m.saved)
 	if err == nil {
-		err = m.n.log.SetValue(savedStateNote, data)
+		err = m.n.log.SetValue(savedStateKey, data)
 	}
 	if err != nil {
 		slog.Error("agreement: the state of this dispatcher can't be saved", "error", err)
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -14,8 +14,8 @@
 
 const maxQueueBytes = 8 << 20
 
-// sender carries a voter's frames to another one, in order, as many as wait in one call. What there is no room for is
-// dropped: the consensus sends it anew.
+// sender sends raft messages to another voter, in order, with all queued ones in one call. A message
+// that does not fit into the queue is dropped, as raft sends it again.
 type sender struct {
 	n    *Node
 	name string
@@ -23,7 +23,7 @@
 
 	mu        sync.Mutex
 	queue     []byte
-	snapshots []uint64 // disks to which a snapshot is in the queue
+	snapshots []uint64 // disks of the recipients of queued snapshots
 	work      chan struct{}
 }
 
@@ -33,7 +33,7 @@
 	return s
 }
 
-// put takes a frame, or tells that there is no room.
+// enqueue queues a message and reports whether there was room for it.
 func (s *sender) enqueue(m *raftpb.Message) bool {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue)+len(data) > maxQueueBytes {
-		s.n.counts.RecordDrop(peers.QueueFull, s.name, "frames wait for a voter that takes none")
+		s.n.counts.RecordDrop(peers.QueueFull, s.name, "the queue of messages to this voter is full")
 		return false
 	}
 	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(data))), data...)
@@ -73,7 +73,7 @@
 			status = raft.SnapshotFailure
 		}
 		for _, disk := range snapshots {
-			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) }) // a voter that is too busy sends it anew in time
+			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) }) // if the inbox is full, raft sends the snapshot again later
 		}
 	}
 }
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -17,53 +17,55 @@
 
 const (
 	inboxSize       = 512
-	compactEvery    = 128 // entries
+	compactEvery    = 128 // entries between snapshots of the record
 	maxMessageBytes = 1 << 20
-	proposeTimeout  = 3 * time.Second // for an entry to be applied
+	proposeTimeout  = 3 * time.Second // how long a request waits for its entry to be applied
 	changeTimeout   = 5 * time.Second
-	retryTicks      = 4 // before what is due is proposed again
+	retryTicks      = 4 // ticks before a due entry is proposed again
 )
 
-// voter is one of those who decide. One goroutine owns the consensus, the log and the record; others post to it.
+// voter is a member of the raft group. One goroutine owns raft, the log and the record; others post
+// functions to it.
 type voter struct {
 	n     *Node
 	inbox chan func()
 	done  chan struct{}
-	watch atomic.Pointer[revisionWatch] // for who waits for news
+	watch atomic.Pointer[revisionWatch] // for goroutines that wait for changes of the record
 
-	// What follows belongs to the goroutine.
+	// The fields below belong to the voter's goroutine.
 	rn            *raft.RawNode
 	confState     *raftpb.ConfState
 	record        agree.Record
 	applied       uint64
-	snapshotIndex uint64 // the index of the last snapshot
-	seatsChanged  bool   // seats have changed since: a voter takes no snapshot from before it had one
+	snapshotIndex uint64 // of the last snapshot
+	seatsChanged  bool   // since the last snapshot: raft rejects a snapshot at a voter whose seat is not in it
 	isLeader      bool
 	leader        uint64
 	term          uint64
 	leases        *agree.LeaseTable
 	waitingReads  []pendingRead
-	readsInFlight []pendingRead // asked with the consensus, under the number asked
+	readsInFlight []pendingRead // wait for the ReadIndex round roundInFlight
 	lastRound     uint64
 	roundInFlight uint64
 	roundStart    time.Duration
-	proposals     map[string]chan proposeResponse // by the proposal's ID
-	nextProposal  time.Duration                   // what is due is not proposed again before
-	voterNames    map[uint64]string               // of voters by their disk
-	lists         listLeader                      // the leader's view of the register
+	proposals     map[string]chan proposeResponse // callers that wait for a result, by the proposal's ID
+	nextProposal  time.Duration                   // earliest time of the next proposal of a due entry
+	voterNames    map[uint64]string               // by disk
+	lists         listLeader                      // the leader's part in agreeing on the list
 	senders       map[string]*sender
 }
 
-// stamped is the record's stamp and what is closed when there is another.
+// revisionWatch is a revision of the record, with a channel that is closed when there is another.
 type revisionWatch struct {
 	revision uint64
 	changed  chan struct{}
 }
 
-// read waits until it is sure that this voter leads and has applied all that was decided before the read came.
+// pendingRead waits until this voter is confirmed as the leader and has applied all entries that were
+// committed before the read arrived.
 type pendingRead struct {
-	index uint64 // to be applied first; 0 while that is not known
-	then  func(sure bool)
+	index uint64 // index that must be applied first; 0 while not known
+	then  func(confirmed bool)
 }
 
 var errVoterBusy = errors.New("the voter is busy")
@@ -97,7 +99,7 @@
 func (v *voter) restore(snap *raftpb.Snapshot) error {
 	var record agree.Record
 	if err := jsoniter.Unmarshal(snap.GetData(), &record); err != nil {
-		return fmt.Errorf("the snapshot of the agreement: %w", err)
+		return fmt.Errorf("decoding the raft snapshot: %w", err)
 	}
 	v.record, v.applied, v.snapshotIndex, v.confState = record, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
 	v.nameSeats()
@@ -110,13 +112,14 @@
 	}
 }
 
-// run owns the voter until the node ends.
+// run is the voter's goroutine. It returns when the node ends or the log fails.
 func (v *voter) run() {
 	tick := time.NewTicker(v.n.opt.Timing.Tick)
 	defer tick.Stop()
 	defer close(v.done)
 	defer func() {
-		// The library panics where the log contradicts what others hold, as one that is not the newest of this voter may.
+		// The raft library panics if the log contradicts those of other voters. That happens if an older
+		// copy of this voter's log was restored.
 		if r := recover(); r != nil {
 			slog.Error("agreement: this log contradicts what the voters hold, so this voter stops; its dispatcher goes on", "why", r)
 		}
@@ -138,14 +141,15 @@
 			}
 		}
 		if err := v.step(); err != nil {
-			// What can't be written must not be promised: this voter stops being one. Its dispatcher loses its lease in time.
+			// A voter must not acknowledge entries that it can't write, so it stops voting. Its
+			// dispatcher loses its lease in time.
 			slog.Error("agreement: the log can't be written, so this voter stops", "error", err)
 			return
 		}
 	}
 }
 
-// post hands something to the voter's goroutine, or says that it can't take more.
+// post passes f to the voter's goroutine. It fails if the inbox is full or the voter has stopped.
 func (v *voter) post(f func()) error {
 	select {
 	case <-v.done:
@@ -161,7 +165,7 @@
 	}
 }
 
-// step does what is due and carries out what the consensus wants: write, then send, then apply.
+// step proposes due entries and processes the output of raft: it writes, then sends, then applies.
 func (v *voter) step() error {
 	v.proposeDue()
 	v.startReadRound()
@@ -212,7 +216,7 @@
 	return nil
 }
 
-// lead notes who leads. A new leader knows nothing of the leases that others granted.
+// setLeader records who the leader is. A new leader does not know the leases that earlier ones granted.
 func (v *voter) setLeader(s *raft.SoftState) {
 	wasLeader := v.isLeader
 	v.isLeader, v.leader = s.RaftState == raft.StateLeader, s.Lead
@@ -221,26 +225,26 @@
 		v.leases = agree.NewLeaseTable(v.n.now(), v.n.opt.Timing)
 		v.lists.reset(v)
 		v.n.elections.Add(1)
-		slog.Info("agreement: this dispatcher leads the voters", "term", v.term)
+		slog.Info("agreement: this dispatcher became the leader", "term", v.term)
 	case wasLeader && !v.isLeader:
 		v.leases = nil
 		v.failReads()
-		for id, c := range v.proposals { // whether they were decided another voter can tell
+		for id, c := range v.proposals { // the new leader knows whether they were decided
 			c <- v.notLeader()
 			delete(v.proposals, id)
 		}
-		slog.Info("agreement: this dispatcher leads no more", "term", v.term)
+		slog.Info("agreement: this dispatcher is no longer the leader", "term", v.term)
 	}
 }
 
-// elsewhere says that this voter does not lead.
+// notLeader returns the answer of a voter that is not the leader.
 func (v *voter) notLeader() proposeResponse {
 	return proposeResponse{NotLeader: true, Leader: v.leaderName()}
 }
 
 func (v *voter) leaderName() string { return v.voterNames[v.leader] }
 
-// due proposes what the record and the leases allow.
+// proposeDue proposes the entries that are due by the record and the leases.
 func (v *voter) proposeDue() {
 	now := v.n.now()
 	if !v.isLeader || now < v.nextProposal {
@@ -252,7 +256,7 @@
 	if e := v.leases.Next(now, &v.record); e != nil {
 		v.nextProposal = now + retryTicks*v.n.opt.Timing.Tick
 		if err := v.proposeEntry(*e); err != nil {
-			slog.Warn("agreement: what is due was not proposed", "error", err)
+			slog.Warn("agreement: proposing a due entry failed", "error", err)
 		}
 	}
 	v.lists.proposeDue(v, now)
@@ -275,12 +279,12 @@
 	if conf != nil {
 		if change != nil {
 			if _, err := v.record.Apply(*change); err != nil {
-				slog.Warn("agreement: a seat was not taken", "error", err)
-				v.confState = v.rn.ApplyConfChange(&raftpb.ConfChangeV2{}) // nothing changes
+				slog.Warn("agreement: request for a seat rejected", "error", err)
+				v.confState = v.rn.ApplyConfChange(&raftpb.ConfChangeV2{}) // an empty change, as raft expects one
 				return nil
 			}
 			v.nameSeats()
-			slog.Info("agreement: a voter has taken its seat", "voter", change.TakeSeat.Name, "disk", fmt.Sprintf("%x", change.TakeSeat.Disk))
+			slog.Info("agreement: voter took its seat", "voter", change.TakeSeat.Name, "disk", fmt.Sprintf("%x", change.TakeSeat.Disk))
 		}
 		v.confState, v.seatsChanged = v.rn.ApplyConfChange(conf), true
 		v.recordCluster()
@@ -313,14 +317,14 @@
 	return nil
 }
 
-// join notes the cluster that this voter has a part in.
+// recordCluster stores the ID of the cluster that this voter has joined.
 func (v *voter) recordCluster() {
 	if v.record.Cluster != 0 && v.n.log.Identity().Cluster == 0 {
 		v.n.recordCluster(v.record.Cluster)
 	}
 }
 
-// change tells all that wait for news.
+// notifyChange wakes all goroutines that wait for a change of the record.
 func (v *voter) notifyChange() {
 	previous := v.watch.Swap(&revisionWatch{v.record.Revision, make(chan struct{})})
 	close(previous.changed)
