--- a/internal/agree/entry.go
+++ b/internal/agree/entry.go
@@ -14,7 +14,8 @@
 	Lift      *LiftOrder         `json:"lift,omitempty"`   // ends an override
 	Census    *membership.Census `json:"census,omitempty"`
 	Ledger    *SetLedger         `json:"ledger,omitempty"` // records which ledger file a voter uses
-	TakeSeat  *Seat              `json:"sit,omitempty"`    // takes an empty seat, or replaces the disk that holds the seat
+	// takes an empty seat, or replaces the disk that holds the seat
+	TakeSeat *Seat `json:"sit,omitempty"`
 }
 
 // Request returns the ID that the proposer chose for its entry and under which it is answered. It is
@@ -52,7 +53,8 @@
 
 // Propose proposes a new version.
 type Propose struct {
-	ID           string            `json:"id"` // chosen by the proposer, so that a repeated proposal counts once
+	// chosen by the proposer, so that a repeated proposal counts once
+	ID           string            `json:"id"`
 	Base         uint64            `json:"base"`
 	Content      string            `json:"content"`
 	Keys         map[string]string `json:"keys"`
--- a/internal/agree/lease.go
+++ b/internal/agree/lease.go
@@ -59,7 +59,8 @@
 // The policies.
 const (
 	Stop LeaseLossPolicy = "stop" // accept and send nothing
-	Safe LeaseLossPolicy = "safe" // refuse requests that must not run twice, send others once, by the last version
+	// refuse requests that must not run twice, send others once, by the last version
+	Safe LeaseLossPolicy = "safe"
 	Hold LeaseLossPolicy = "hold" // go on by the last version; the bound of Within does not hold then
 )
 
@@ -73,12 +74,13 @@
 // dispatcher's own monotonic clock since the start of the process, counted from when a renewal was
 // sent. It is safe for concurrent use.
 type Lease struct {
-	Number      uint64
+	Number      uint64 // of the version
 	Fingerprint string
 	OnLeaseLoss LeaseLossPolicy
 
 	acceptEnd, sendEnd atomic.Int64 // ends of accepting requests and of sending attempts
-	lateActs           atomic.Int64 // acts after the end, permitted by OnLeaseLoss (Hold, Safe)
+	// requests and attempts after the end, permitted by OnLeaseLoss (Hold, Safe)
+	lateActs atomic.Int64
 }
 
 // Extend moves the ends forward for a renewal that was sent at the given time and answered with
@@ -100,8 +102,8 @@
 	return time.Duration(l.acceptEnd.Load()) - now
 }
 
-// LateActs returns the number of acts after the end of the lease that OnLeaseLoss permitted. The
-// bound of Within does not hold for them.
+// LateActs returns how many requests were accepted and attempts sent after the end of the lease, as
+// OnLeaseLoss permitted. The bound of Within does not hold for them.
 func (l *Lease) LateActs() int64 { return l.lateActs.Load() }
 
 // MayAccept returns an error if a new request may not be accepted. atMostOnce is set if its class
--- a/internal/agree/leasetable.go
+++ b/internal/agree/leasetable.go
@@ -10,25 +10,34 @@
 
 // Renewal is a dispatcher's request to renew its lease, with its state.
 type Renewal struct {
-	Name            string            `json:"name"`
-	Boot            uint64            `json:"boot"`                // random, chosen at the start of the process
-	ActsOn          uint64            `json:"holds"`               // number of the version that it acts on, 0 for none
-	Checked         uint64            `json:"checked"`             // number of the version that it has checked last
-	Fault           *Fault            `json:"fault,omitempty"`     // why it turned that version down
-	Unfit           *Fault            `json:"unfit,omitempty"`     // why it can't act on the version in force
-	Leaving         bool              `json:"leaves,omitempty"`    // it has stopped acting; its last renewal
-	Crashes         int               `json:"crashes,omitempty"`   // crashes shortly after it activated a version
-	CachedVersion   uint64            `json:"version,omitempty"`   // version whose content it has, so that it need not be sent
-	Phase           string            `json:"phase,omitempty"`     // for display only
-	LateActs        int64             `json:"late_by,omitempty"`   // acts after the end of a lease; for display only
-	WithoutLeaseMS  int64             `json:"since_ms,omitempty"`  // how long it has been without a lease; for display only
-	List            membership.Cursor `json:"list"`                // position of its copy of the list of replicas
+	Name string `json:"name"`
+	Boot uint64 `json:"boot"` // random, chosen at the start of the process
+	// number of the version that it acts on, 0 for none
+	ActsOn uint64 `json:"holds"`
+	// number of the version that it has checked last
+	Checked uint64 `json:"checked"`
+	Fault   *Fault `json:"fault,omitempty"`  // why it turned that version down
+	Unfit   *Fault `json:"unfit,omitempty"`  // why it can't act on the version in force
+	Leaving bool   `json:"leaves,omitempty"` // it has stopped acting; its last renewal
+	// crashes shortly after it activated a version
+	Crashes int `json:"crashes,omitempty"`
+	// version whose content it has, so that it need not be sent
+	CachedVersion uint64 `json:"version,omitempty"`
+	Phase         string `json:"phase,omitempty"` // for display only
+	// requests and attempts after the end of a lease; for display only
+	LateActs int64 `json:"late_by,omitempty"`
+	// how long it has been without a lease; for display only
+	WithoutLeaseMS int64 `json:"since_ms,omitempty"`
+	// position of its copy of the list of replicas
+	List            membership.Cursor `json:"list"`
 	CanReadRegistry bool              `json:"reads,omitempty"`     // it is able to read the registry
 	ServingMS       int64             `json:"serves_ms,omitempty"` // how long it has served normally
 	RegistrySilent  bool              `json:"deaf,omitempty"`      // it reads the registry and gets no answers
 
-	WantsWarmRates bool               `json:"learns,omitempty"` // it asks for WarmRates, as it knows none
-	WarmRates      map[string]float64 `json:"bears,omitempty"`  // by kind of replica, the requests per second of this dispatcher that a replica can take, as it learned earlier
+	WantsWarmRates bool `json:"learns,omitempty"` // it asks for WarmRates, as it knows none
+	// by kind of replica, the requests per second of this dispatcher that a replica can take, as it
+	// learned earlier
+	WarmRates map[string]float64 `json:"bears,omitempty"`
 }
 
 // Member is the leader's view of a dispatcher. Times are of the leader's monotonic clock.
@@ -44,9 +53,10 @@
 	timing         Timing
 	Members        map[string]*Member
 	AllLeasesKnown time.Duration
-	activating     uint64 // version whose activation was proposed: only dispatchers that have checked it get leases
-	lastSweep      time.Duration
-	canary         canaryTrial // the progress of the canary dispatcher
+	// version whose activation was proposed: only dispatchers that have checked it get leases
+	activating uint64
+	lastSweep  time.Duration
+	canary     canaryTrial // the progress of the canary dispatcher
 }
 
 // canaryTrial tracks the canary dispatcher: the version, the boot ID of the process, and since when
--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -90,7 +90,8 @@
 		rec.Orders = membership.Orders{}
 	}
 	rec.Orders[o.ID] = o
-	if e := rec.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // takes effect together with the order
+	// takes effect together with the order
+	if e := rec.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService {
 		e.State = membership.Terminating
 		return rec.applyChange(membership.Change{Number: rec.List.Number + 1, RegistryVersion: rec.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
--- a/internal/agree/record.go
+++ b/internal/agree/record.go
@@ -48,19 +48,20 @@
 
 // Version is one version of the settings. No number is ever used twice.
 type Version struct {
-	Number       uint64            `json:"number"`
-	Base         uint64            `json:"base"` // the version that it was derived from
-	State        State             `json:"state"`
-	Content      string            `json:"content"` // JSON
-	Keys         map[string]string `json:"keys"`    // the content, flattened to values by key path
-	Fingerprint  string            `json:"print"`   // of the content
-	By           string            `json:"by"`
-	Why          string            `json:"why,omitempty"`
-	At           string            `json:"at"`               // wall-clock time at the proposing dispatcher, for display only
-	CanaryMember string            `json:"only,omitempty"`   // the dispatcher that acts on it first
-	RollbackTo   uint64            `json:"back,omitempty"`   // the version whose content it restores
-	Member       string            `json:"member,omitempty"` // who turned it down or withdrew it
-	Fault        *Fault            `json:"fault,omitempty"`  // why it was turned down
+	Number      uint64            `json:"number"`
+	Base        uint64            `json:"base"` // the version that it was derived from
+	State       State             `json:"state"`
+	Content     string            `json:"content"` // JSON
+	Keys        map[string]string `json:"keys"`    // the content, flattened to values by key path
+	Fingerprint string            `json:"print"`   // of the content
+	By          string            `json:"by"`
+	Why         string            `json:"why,omitempty"`
+	// wall-clock time at the proposing dispatcher, for display only
+	At           string `json:"at"`
+	CanaryMember string `json:"only,omitempty"`   // the dispatcher that acts on it first
+	RollbackTo   uint64 `json:"back,omitempty"`   // the version whose content it restores
+	Member       string `json:"member,omitempty"` // who turned it down or withdrew it
+	Fault        *Fault `json:"fault,omitempty"`  // why it was turned down
 }
 
 // Seat is a voter's membership of the consensus group. Disk is a random number that is stored with
@@ -72,9 +73,9 @@
 
 // Record is the replicated state, identical at all voters that have applied the same entries.
 type Record struct {
-	Cluster       uint64    `json:"cluster"` // random, chosen when the cluster was bootstrapped
-	RequiredSeats int       `json:"wanted"`  // no version takes effect until so many seats have been taken
-	Complete      bool      `json:"complete"`
+	Cluster       uint64    `json:"cluster"`  // random, chosen when the cluster was bootstrapped
+	RequiredSeats int       `json:"wanted"`   // no version takes effect until so many seats have been taken
+	Complete      bool      `json:"complete"` // as many seats as required have been taken
 	Seats         []Seat    `json:"seats"`
 	RetiredDisks  []uint64  `json:"past"` // disks that had a seat and lost it
 	Versions      []Version `json:"versions"`
@@ -84,12 +85,14 @@
 	Revision      uint64    `json:"stamp"`  // grows with each change of the record
 	Decisions     uint64    `json:"decide"` // how many times a version was put in force
 
-	List    membership.List     `json:"list"`    // of replicas, if dispatchers agree on that too
-	Changes []membership.Change `json:"changes"` // the latest changes of List, for dispatchers that have missed only a few
+	List membership.List `json:"list"` // of replicas, if dispatchers agree on that too
+	// the latest changes of List, for dispatchers that have missed only a few
+	Changes []membership.Change `json:"changes"`
 	Orders  membership.Orders   `json:"orders"`
 	Census  membership.Census   `json:"census"`
 
-	LedgerDisks map[string]uint64 `json:"ledgers,omitempty"` // by voter, the ledger file that it last used
+	// by voter, the disk number of the ledger file that it last used
+	LedgerDisks map[string]uint64 `json:"ledgers,omitempty"`
 }
 
 // Result is the answer to a proposal. It is kept because the proposer may repeat its proposal after
--- a/internal/agree/within_test.go
+++ b/internal/agree/within_test.go
@@ -37,7 +37,7 @@
 	name        string
 	rate        float64 // of its clock
 	partitioned bool
-	pausedUntil time.Duration // until
+	pausedUntil time.Duration
 	lease       *Lease
 	checked     uint64
 	fault       *Fault
@@ -87,11 +87,11 @@
 				return
 			}
 			granted := s.leases.Renew(s.now, r, &s.record)
-			inForce, open := *s.record.VersionFor(n.name), s.record.InProgress()
+			inForce, candidate := *s.record.VersionFor(n.name), s.record.InProgress()
 			var next uint64
 			var keys map[string]string
-			if open != nil {
-				next, keys = open.Number, open.Keys
+			if candidate != nil {
+				next, keys = candidate.Number, candidate.Keys
 			}
 			s.proposeDue()
 			s.send(n, func() { s.handleResponse(n, sent, granted, inForce, next, keys) })
@@ -99,13 +99,13 @@
 	})
 }
 
-func (s *sim) handleResponse(n *simNode, sent time.Duration, granted bool, inForce Version, open uint64, keys map[string]string) {
+func (s *sim) handleResponse(n *simNode, sent time.Duration, granted bool, inForce Version, candidate uint64, keys map[string]string) {
 	if s.now < n.pausedUntil {
-		s.after(n.pausedUntil-s.now, func() { s.handleResponse(n, sent, granted, inForce, open, keys) })
+		s.after(n.pausedUntil-s.now, func() { s.handleResponse(n, sent, granted, inForce, candidate, keys) })
 		return
 	}
-	if open != 0 && open != n.checked {
-		n.checked, n.fault = open, nil
+	if candidate != 0 && candidate != n.checked {
+		n.checked, n.fault = candidate, nil
 		if n.rejecting && keys["limits.try_limit"] == "1" {
 			n.fault = &Fault{"limits.try_limit", "too few"}
 		}
@@ -132,14 +132,14 @@
 	if s.turnedDown[n.lease.Number] {
 		s.t.Fatalf("%s has a lease for version %d, which was turned down", n.name, n.lease.Number)
 	}
-	for v := n.lease.Number + 1; v < uint64(len(s.decidedAt)); v++ {
-		if s.decidedAt[v] == 0 || len(ConflictingKeys(s.record.keysOf(n.lease.Number), s.record.keysOf(v))) == 0 {
+	for later := n.lease.Number + 1; later < uint64(len(s.decidedAt)); later++ {
+		if s.decidedAt[later] == 0 || len(ConflictingKeys(s.record.keysOf(n.lease.Number), s.record.keysOf(later))) == 0 {
 			continue
 		}
-		over := end - s.decidedAt[v]
-		s.longestOverlap = max(s.longestOverlap, over)
-		if over > s.timing.Within {
-			s.t.Fatalf("%s may act on version %d until %v, and %d was decided at %v", n.name, n.lease.Number, end, v, s.decidedAt[v])
+		overlap := end - s.decidedAt[later]
+		s.longestOverlap = max(s.longestOverlap, overlap)
+		if overlap > s.timing.Within {
+			s.t.Fatalf("%s may act on version %d until %v, and %d was decided at %v", n.name, n.lease.Number, end, later, s.decidedAt[later])
 		}
 	}
 }
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -46,17 +46,21 @@
 
 // renewResponse is the answer to a renewal.
 type renewResponse struct {
-	Leader     string       `json:"leader"` // as far as the answering voter knows
-	Confirmed  bool         `json:"sure"`   // the voter was still the leader after the renewal had arrived; the fields below are valid only then
+	Leader string `json:"leader"` // as far as the answering voter knows
+	// the voter was still the leader after the renewal had arrived; the fields below are valid only
+	// then
+	Confirmed  bool         `json:"sure"`
 	Lease      bool         `json:"lease"`
 	InForce    *versionInfo `json:"force,omitempty"`
 	InProgress *versionInfo `json:"open,omitempty"` // pending or canary, to be checked
 	Cluster    uint64       `json:"cluster"`
 	Revision   uint64       `json:"stamp"`
-	Why        string       `json:"why,omitempty"`       // why the lease was not granted
-	ServingMS  int64        `json:"serves_ms,omitempty"` // the longest time that another dispatcher has served normally
+	Why        string       `json:"why,omitempty"` // why the lease was not granted
+	// the longest time that another dispatcher has served normally
+	ServingMS int64 `json:"serves_ms,omitempty"`
 
-	WarmRates map[string]float64 `json:"bears,omitempty"` // as other dispatchers report them, if the renewal asked for them
+	// as other dispatchers report them, if the renewal asked for them
+	WarmRates map[string]float64 `json:"bears,omitempty"`
 
 	List *listUpdate `json:"list,omitempty"` // set if dispatchers agree on the list of replicas
 }
@@ -64,11 +68,13 @@
 // listUpdate brings a dispatcher's copy of the list of replicas up to date.
 type listUpdate struct {
 	membership.Part
-	Dispatchers   int    `json:"living"`          // number of dispatchers, by the census
-	Counted       bool   `json:"counted"`         // the receiver is in the census
-	ReadRegistry  bool   `json:"read"`            // the receiver is to read the registry on behalf of all
-	Fresh         bool   `json:"fresh,omitempty"` // the registry was read since the leader took office, and the list holds all that was read
-	ReadingNumber uint64 `json:"heard,omitempty"` // number of the last reading that the leader has from the receiver
+	Dispatchers  int  `json:"living"`  // number of dispatchers, by the census
+	Counted      bool `json:"counted"` // the receiver is in the census
+	ReadRegistry bool `json:"read"`    // the receiver is to read the registry on behalf of all
+	// the registry was read since the leader took office, and the list holds all that was read
+	Fresh bool `json:"fresh,omitempty"`
+	// number of the last reading that the leader has from the receiver
+	ReadingNumber uint64 `json:"heard,omitempty"`
 }
 
 // changeNotice is a long-poll request for a revision of the record other than Revision, and the
@@ -102,7 +108,8 @@
 func (filter ViewFilter) copyFrom(rec *agree.Record) agree.Record {
 	c := *rec
 	c.Versions, c.Seats, c.RetiredDisks, c.Results, c.Changes = slices.Clone(rec.Versions), slices.Clone(rec.Seats), slices.Clone(rec.RetiredDisks), nil, slices.Clone(rec.Changes)
-	c.Orders, c.LedgerDisks = maps.Clone(rec.Orders), maps.Clone(rec.LedgerDisks) // other parts are replaced as a whole when they change
+	// other parts are replaced as a whole when they change
+	c.Orders, c.LedgerDisks = maps.Clone(rec.Orders), maps.Clone(rec.LedgerDisks)
 	switch {
 	case filter.Section == SectionSettings:
 		c.List.Entries, c.Changes = nil, nil
@@ -129,14 +136,17 @@
 
 // View is the leader's state as shown to operators.
 type View struct {
-	Record          agree.Record     `json:"book"`
-	Leader          string           `json:"leader"`
-	Term            uint64           `json:"term"`
-	Members         []MemberView     `json:"members"`
-	WaitingFor      []string         `json:"blocks,omitempty"` // dispatchers that have not checked the version in progress
-	RegistryReaders []string         `json:"readers,omitempty"`
-	Held            *membership.Held `json:"held,omitempty"`  // a change of the list that waits for confirmation
-	Flapping        map[string]int   `json:"flaps,omitempty"` // damped replicas, with their number of state changes
+	Record  agree.Record `json:"book"`
+	Leader  string       `json:"leader"`
+	Term    uint64       `json:"term"`
+	Members []MemberView `json:"members"`
+	// dispatchers that have not checked the version in progress
+	WaitingFor      []string `json:"blocks,omitempty"`
+	RegistryReaders []string `json:"readers,omitempty"`
+	// a change of the list that waits for confirmation
+	Held *membership.Held `json:"held,omitempty"`
+	// damped replicas, with their number of state changes
+	Flapping map[string]int `json:"flaps,omitempty"`
 }
 
 // MemberView is the leader's view of one dispatcher. Times are in milliseconds.
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -32,22 +32,25 @@
 	activatedAt time.Duration // when the program activated its version
 
 	// The fields below belong to the goroutine of run, which holds mu to change those that others read.
-	checked      uint64
-	fault        *agree.Fault
-	lastChecked  agree.Version // the version that was checked last, with its content
-	saved        savedState
-	listCopy     membership.Copy // changed with mu held
-	list         membership.List // the list that the program acts on; changed with mu held
-	dispatchers  int
-	usesShare    bool                     // whether the program uses its share of the limits that are summed over all dispatchers
+	checked     uint64
+	fault       *agree.Fault
+	lastChecked agree.Version // the version that was checked last, with its content
+	saved       savedState
+	listCopy    membership.Copy // changed with mu held
+	list        membership.List // the list that the program acts on; changed with mu held
+	dispatchers int
+	// whether the program uses its share of the limits that are summed over all dispatchers
+	usesShare    bool
 	countedSince time.Duration            // since when the census counts this dispatcher; 0 if it does not
 	unresponsive map[string]time.Duration // when each voter last failed to answer
 
-	leaveRequests   chan chan struct{}
-	othersServingMS atomic.Int64                       // longest normal service of another dispatcher, by the last answer
+	leaveRequests chan chan struct{}
+	// longest normal service of another dispatcher, by the last answer
+	othersServingMS atomic.Int64
 	othersWarmRates atomic.Pointer[map[string]float64] // as other dispatchers report them; nil before they did
-	listFresh       atomic.Bool                        // a leader has reported the list as fresh since the start of this process
-	registry        registryReport                     // this dispatcher's own registry
+	// a leader has reported the list as fresh since the start of this process
+	listFresh atomic.Bool
+	registry  registryReport // this dispatcher's own registry
 }
 
 func (m *member) knownLeader() string {
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -99,12 +99,14 @@
 
 // Hooks let tests inject faults. The zero value injects none.
 type Hooks struct {
-	LogWriter         func(*raftlog.Log) LogWriter
-	RenewedAt         func(sent, now time.Duration) time.Duration // changes the time from which a renewal counts
-	Leases            func(*agree.LeaseTable)                     // called before each use
-	Entry             func(*agree.Record, *agree.Entry)           // called before the entry is applied
-	Lease             func(*agree.Lease)                          // called with each new lease
-	Stale             func(bool) bool                             // changes whether the active version counts as outdated
+	LogWriter func(*raftlog.Log) LogWriter
+	// changes the time from which a renewal counts
+	RenewedAt func(sent, now time.Duration) time.Duration
+	Leases    func(*agree.LeaseTable)           // called before each use
+	Entry     func(*agree.Record, *agree.Entry) // called before the entry is applied
+	Lease     func(*agree.Lease)                // called with each new lease
+	// changes whether the active version counts as outdated
+	Stale             func(bool) bool
 	WallClock         func() time.Time
 	Limits            func(*membership.Limits)
 	ExtraRenewTimeout time.Duration // added to the timeout of renewals
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -25,18 +25,19 @@
 	Why         string                `json:"why,omitempty"`
 	Leader      string                `json:"leader"`
 	OnLeaseLoss agree.LeaseLossPolicy `json:"alone"`
-	LateActs    int64                 `json:"late"` // acts after the end of a lease, permitted by OnLeaseLoss
-	Unfit       *agree.Fault          `json:"unfit,omitempty"`
-	Crashes     int                   `json:"crashes,omitempty"`
-	TurnedDown  int64                 `json:"turned_down"` // versions turned down by this dispatcher
-	Elected     int64                 `json:"elected"`     // how often this voter became leader
-	Dropped     map[string]int64      `json:"dropped"`     // dropped calls and frames, by cause
-	Calls       [2]int64              `json:"calls"`       // in, out
-	Bytes       [2]int64              `json:"bytes"`       // in, out
-	Disk        string                `json:"disk"`
-	Cluster     string                `json:"cluster"`
-	ListVersion uint64                `json:"list,omitempty"`   // of replicas
-	Dispatchers int                   `json:"living,omitempty"` // number of dispatchers, by the last census
+	// requests and attempts after the end of a lease, permitted by OnLeaseLoss
+	LateActs    int64            `json:"late"`
+	Unfit       *agree.Fault     `json:"unfit,omitempty"`
+	Crashes     int              `json:"crashes,omitempty"`
+	TurnedDown  int64            `json:"turned_down"` // versions turned down by this dispatcher
+	Elected     int64            `json:"elected"`     // how often this voter became leader
+	Dropped     map[string]int64 `json:"dropped"`     // dropped calls and frames, by cause
+	Calls       [2]int64         `json:"calls"`       // in, out
+	Bytes       [2]int64         `json:"bytes"`       // in, out
+	Disk        string           `json:"disk"`
+	Cluster     string           `json:"cluster"`
+	ListVersion uint64           `json:"list,omitempty"`   // of replicas
+	Dispatchers int              `json:"living,omitempty"` // number of dispatchers, by the last census
 }
 
 // Status returns the state of this dispatcher.
@@ -98,12 +99,15 @@
 
 // RecoveryInfo is what a restarted dispatcher needs to know of the others.
 type RecoveryInfo struct {
-	Voters, VotersHeard int                // all voters, and those that have answered since the start, with this one
-	ServingMS           int64              // the longest time that another dispatcher has served normally
-	WarmRates           map[string]float64 // by kind of replica, the requests per second that a replica can take from this dispatcher, as others report; nil before they did
-	Lease               bool
-	ListVersion         uint64
-	ListFresh           bool // the list holds what the registry says now, not only what it said earlier
+	// all voters, and those that have answered since the start, with this one
+	Voters, VotersHeard int
+	ServingMS           int64 // the longest time that another dispatcher has served normally
+	// by kind of replica, the requests per second that a replica can take from this dispatcher, as
+	// others report; nil before they did
+	WarmRates   map[string]float64
+	Lease       bool
+	ListVersion uint64
+	ListFresh   bool // the list holds what the registry says now, not only what it said earlier
 }
 
 // RecoveryInfo returns what is known of the other dispatchers.
@@ -211,20 +215,22 @@
 
 // Command is a request of an operator from the command line.
 type Command struct {
-	Do           string            `json:"do"` // propose, view, own, withdraw, seat; drain, hold, undrain, confirm
-	Base         uint64            `json:"base,omitempty"`
-	Content      string            `json:"content,omitempty"`
-	Why          string            `json:"why,omitempty"`
-	By           string            `json:"by,omitempty"`
-	CanaryMember string            `json:"only,omitempty"`
-	RollbackTo   uint64            `json:"back,omitempty"`
-	Number       uint64            `json:"number,omitempty"`
-	ID           string            `json:"id,omitempty"` // of a replica, for drain, hold and undrain
-	ForMS        int64             `json:"for_ms,omitempty"`
-	Seen         uint64            `json:"seen,omitempty"`   // the version of the list that the operator saw
-	Ran          bool              `json:"ran,omitempty"`    // whether the instruction ran, by the finding of an operator
-	Ledger       []bookkeeping.Row `json:"ledger,omitempty"` // to import
-	ViewFilter                     // for view
+	// propose, view, own, withdraw, seat; drain, hold, undrain, confirm
+	Do           string `json:"do"`
+	Base         uint64 `json:"base,omitempty"`
+	Content      string `json:"content,omitempty"`
+	Why          string `json:"why,omitempty"`
+	By           string `json:"by,omitempty"`
+	CanaryMember string `json:"only,omitempty"`
+	RollbackTo   uint64 `json:"back,omitempty"`
+	Number       uint64 `json:"number,omitempty"`
+	ID           string `json:"id,omitempty"` // of a replica, for drain, hold and undrain
+	ForMS        int64  `json:"for_ms,omitempty"`
+	Seen         uint64 `json:"seen,omitempty"` // the version of the list that the operator saw
+	// whether the instruction ran, by the finding of an operator
+	Ran        bool              `json:"ran,omitempty"`
+	Ledger     []bookkeeping.Row `json:"ledger,omitempty"` // to import
+	ViewFilter                   // for view
 }
 
 // Reply answers a Command.
@@ -238,7 +244,8 @@
 	Ledger  []bookkeeping.Row  `json:"ledger,omitempty"`  // entries of instructions
 	Last    bool               `json:"last,omitempty"`    // of an export: there are no more entries
 
-	RegistryDifferences map[string]RegistryDifference `json:"beside,omitempty"` // by replica, where this dispatcher's own registry differs from the agreed list
+	// by replica, where this dispatcher's own registry differs from the agreed list
+	RegistryDifferences map[string]RegistryDifference `json:"beside,omitempty"`
 }
 
 // RegistryDifference is the state of a replica in a dispatcher's own registry, where it differs from
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -18,15 +18,17 @@
 
 // SurveyResult is what a state folder holds of a cluster. The program must not be running on it.
 type SurveyResult struct {
-	Folder      string        `json:"folder"`
-	Cluster     uint64        `json:"cluster"` // 0 if it has never joined one
-	Disk        uint64        `json:"disk"`
-	HasVoterLog bool          `json:"voted"` // the folder holds a voter's log
-	Term        uint64        `json:"term"`  // of the last entry; Term and Index tell which of two logs is newer
-	Index       uint64        `json:"index"`
-	Record      agree.Record  `json:"book"` // after all entries of the log, also those that may not have been committed
-	ActsOn      agree.Version `json:"acts"` // the version that the dispatcher acted on last
-	warmRates   []byte
+	Folder      string `json:"folder"`
+	Cluster     uint64 `json:"cluster"` // 0 if it has never joined one
+	Disk        uint64 `json:"disk"`
+	HasVoterLog bool   `json:"voted"` // the folder holds a voter's log
+	// of the last entry; Term and Index tell which of two logs is newer
+	Term  uint64 `json:"term"`
+	Index uint64 `json:"index"`
+	// after all entries of the log, also those that may not have been committed
+	Record    agree.Record  `json:"book"`
+	ActsOn    agree.Version `json:"acts"` // the version that the dispatcher acted on last
+	warmRates []byte
 }
 
 // Newer reports whether r's log is newer than another.
@@ -188,7 +190,8 @@
 func replaceLog(old *SurveyResult, disk uint64, fill func(*raftlog.Log) error) error {
 	path := LogPath(old.Folder)
 	newPath, backup := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
-	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) { // left by an interrupted attempt
+	// left by an interrupted attempt
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	l, err := raftlog.Open(newPath, func() uint64 { return disk })
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -73,7 +73,8 @@
 			status = raft.SnapshotFailure
 		}
 		for _, disk := range snapshots {
-			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) }) // if the inbox is full, raft sends the snapshot again later
+			// if the inbox is full, raft sends the snapshot again later
+			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) })
 		}
 	}
 }
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -280,7 +280,8 @@
 		if change != nil {
 			if _, err := v.record.Apply(*change); err != nil {
 				slog.Warn("agreement: request for a seat rejected", "error", err)
-				v.confState = v.rn.ApplyConfChange(&raftpb.ConfChangeV2{}) // an empty change, as raft expects one
+				// an empty change, as raft expects one
+				v.confState = v.rn.ApplyConfChange(&raftpb.ConfChangeV2{})
 				return nil
 			}
 			v.nameSeats()
