--- a/internal/agree/lists.go
+++ b/internal/agree/lists.go
@@ -7,54 +7,55 @@
 	"standpulley/internal/membership"
 )
 
-// Ordered is an operator's override of a replica, with a number of its own, so that asking twice makes one.
+// PlaceOrder sets an operator's override of a replica. Request is an ID, so that a repeated request
+// counts once.
 type PlaceOrder struct {
 	Request string           `json:"request"`
 	Order   membership.Order `json:"order"`
 }
 
-// Lifted ends an override: by its owner, or because it ran out.
+// LiftOrder ends an override, at the request of its owner or because it has expired.
 type LiftOrder struct {
 	Request string `json:"request"`
 	ID      string `json:"id"`
-	Owner   string `json:"owner"`             // empty where it ran out
-	Version uint64 `json:"version,omitempty"` // the list version that its owner saw
+	Owner   string `json:"owner"`             // empty if the override has expired
+	Version uint64 `json:"version,omitempty"` // the version of the list that the owner saw
 }
 
-// Changes are kept for who has missed no more; others get the whole list.
+// Bounds of the kept changes. A dispatcher that has missed more than these gets the whole list.
 const (
-	keptChanges = 256
-	keptEntries = 4096 // of all of them together, but for the last
+	maxKeptChanges       = 256
+	maxKeptChangeEntries = 4096 // in all kept changes together; the latest change is kept whatever its size
 )
 
-func (b *Record) change(c membership.Change) error {
-	if err := b.List.Apply(c); err != nil {
+func (rec *Record) applyChange(c membership.Change) error {
+	if err := rec.List.Apply(c); err != nil {
 		return err
 	}
-	b.Changes = append(b.Changes, c)
-	entries, from := 0, len(b.Changes)
-	for from > 0 && len(b.Changes)-from < keptChanges {
-		entries += len(b.Changes[from-1].Entries)
-		if entries > keptEntries && from < len(b.Changes) {
+	rec.Changes = append(rec.Changes, c)
+	entries, from := 0, len(rec.Changes)
+	for from > 0 && len(rec.Changes)-from < maxKeptChanges {
+		entries += len(rec.Changes[from-1].Entries)
+		if entries > maxKeptChangeEntries && from < len(rec.Changes) {
 			break
 		}
 		from--
 	}
 	if from > 0 {
-		b.Changes = slices.Clone(b.Changes[from:])
+		rec.Changes = slices.Clone(rec.Changes[from:])
 	}
 	return nil
 }
 
-// Part gives what brings a copy of the list nearer to the present one.
-func (b *Record) Part(at membership.Cursor, pager *membership.Pager) membership.Part {
-	p := membership.Part{Number: b.List.Number}
-	changes, kept := b.since(at.Number)
-	if !kept || at.After != "" {
+// Part returns the changes or the page that brings a copy of the list closer to the present version.
+func (rec *Record) Part(cursor membership.Cursor, pager *membership.Pager) membership.Part {
+	p := membership.Part{Number: rec.List.Number}
+	changes, kept := rec.changesSince(cursor.Number)
+	if !kept || cursor.After != "" {
 		if !kept {
-			at.After = ""
+			cursor.After = ""
 		}
-		p.Page = pager.PageAfter(&b.List, at.After)
+		p.Page = pager.PageAfter(&rec.List, cursor.After)
 		return p
 	}
 	entries := 0
@@ -67,52 +68,54 @@
 	return p
 }
 
-// since gives the changes that lead from a version of the list to the present one; false where not all are kept.
-func (b *Record) since(number uint64) ([]membership.Change, bool) {
-	if number == b.List.Number {
+// changesSince returns the changes from a version of the list to the present one, and false if not
+// all of them are kept.
+func (rec *Record) changesSince(number uint64) ([]membership.Change, bool) {
+	if number == rec.List.Number {
 		return nil, true
 	}
-	for i, c := range b.Changes {
+	for i, c := range rec.Changes {
 		if c.Number == number+1 {
-			return b.Changes[i:], true
+			return rec.Changes[i:], true
 		}
 	}
 	return nil, false
 }
 
-func (b *Record) order(o membership.Order) error {
-	if err := b.Orders.Check(o, &b.List); err != nil {
+func (rec *Record) placeOrder(o membership.Order) error {
+	if err := rec.Orders.Check(o, &rec.List); err != nil {
 		return err
 	}
-	if b.Orders == nil {
-		b.Orders = membership.Orders{}
+	if rec.Orders == nil {
+		rec.Orders = membership.Orders{}
 	}
-	b.Orders[o.ID] = o
-	if e := b.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService { // in force with the order itself
+	rec.Orders[o.ID] = o
+	// takes effect together with the order
+	if e := rec.List.Entries[o.ID]; o.Do == membership.Drain && e.State == membership.InService {
 		e.State = membership.Terminating
-		return b.change(membership.Change{Number: b.List.Number + 1, RegistryVersion: b.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
+		return rec.applyChange(membership.Change{Number: rec.List.Number + 1, RegistryVersion: rec.List.RegistryVersion, Entries: []membership.Entry{e}, By: o.Owner, Why: o.Why})
 	}
 	return nil
 }
 
-func (b *Record) lift(l *LiftOrder) error {
-	had, ok := b.Orders[l.ID]
+func (rec *Record) liftOrder(lift *LiftOrder) error {
+	order, ok := rec.Orders[lift.ID]
 	switch {
 	case !ok:
-		return fmt.Errorf("%s has no order", l.ID)
-	case l.Owner != "" && had.Owner != l.Owner:
-		return fmt.Errorf("the order on %s is by %s (%s: %s)", l.ID, had.Owner, had.Do, had.Why)
-	case l.Owner != "" && l.Version != b.List.Number:
-		return fmt.Errorf("seen was version %d of the list, and %d is in force", l.Version, b.List.Number)
+		return fmt.Errorf("%s has no order", lift.ID)
+	case lift.Owner != "" && order.Owner != lift.Owner:
+		return fmt.Errorf("the order on %s is by %s (%s: %s)", lift.ID, order.Owner, order.Do, order.Why)
+	case lift.Owner != "" && lift.Version != rec.List.Number:
+		return fmt.Errorf("seen was version %d of the list, and %d is in force", lift.Version, rec.List.Number)
 	}
-	delete(b.Orders, l.ID)
+	delete(rec.Orders, lift.ID)
 	return nil
 }
 
-func (b *Record) count(c membership.Census) error {
-	if c.Number != b.Census.Number+1 {
-		return fmt.Errorf("census %d does not follow %d", c.Number, b.Census.Number)
+func (rec *Record) applyCensus(c membership.Census) error {
+	if c.Number != rec.Census.Number+1 {
+		return fmt.Errorf("census %d does not follow %d", c.Number, rec.Census.Number)
 	}
-	b.Census = c
+	rec.Census = c
 	return nil
 }
--- a/internal/agree/readers.go
+++ b/internal/agree/readers.go
@@ -9,28 +9,29 @@
 	"standpulley/internal/membership"
 )
 
-// Readers picks those who read the register for all. Who reads goes on for as long as it is heard and hears the register; its
-// place is taken by the next one of an order that is drawn from names, so that the load is not always on the same.
+// RegistryReaders picks the dispatchers that read the registry on behalf of all. A reader stays
+// picked while it holds a lease and gets answers from the registry. It is replaced by the next
+// dispatcher in the order of hashed names, so that the first names do not always carry the load.
 type RegistryReaders struct {
-	now map[string]bool
+	current map[string]bool
 }
 
-// Pick gives the readers at a time, at most so many.
-func (r *RegistryReaders) Pick(now time.Duration, t *LeaseTable, most int) map[string]bool {
-	able := map[string]bool{}
+// Pick returns the readers at the given time, at most limit of them.
+func (r *RegistryReaders) Pick(now time.Duration, t *LeaseTable, limit int) map[string]bool {
+	eligible := map[string]bool{}
 	for name, m := range t.Members {
 		if m.CanReadRegistry && !m.Leaving && !m.RegistrySilent && now < m.LeaseEnd {
-			able[name] = true
+			eligible[name] = true
 		}
 	}
 	next := map[string]bool{}
-	for name := range r.now {
-		if able[name] {
+	for name := range r.current {
+		if eligible[name] {
 			next[name] = true
 		}
 	}
-	order := slices.SortedFunc(maps.Keys(able), func(a, b string) int {
-		x, y := drawn(a), drawn(b)
+	order := slices.SortedFunc(maps.Keys(eligible), func(a, b string) int {
+		x, y := nameHash(a), nameHash(b)
 		switch {
 		case x < y:
 			return -1
@@ -40,35 +41,36 @@
 		return 0
 	})
 	for _, name := range order {
-		if len(next) >= most {
+		if len(next) >= limit {
 			break
 		}
 		next[name] = true
 	}
-	r.now = next
+	r.current = next
 	return next
 }
 
-func drawn(name string) uint64 {
+func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
 	return h.Sum64()
 }
 
-// Living gives the next census where who holds a lease is no longer who is counted; nil where it is. Who may be acting, as its
-// lease can still run, is counted; and while a new leader does not know who may be, nobody is counted out.
-func (t *LeaseTable) NextCensus(now time.Duration, b *Record) *membership.Census {
-	names := map[string]bool{}
+// NextCensus returns the next census if the dispatchers that may hold a lease are not those of the
+// present census, else nil. A dispatcher whose lease can still run is counted. While a new leader
+// does not yet know all leases, no dispatcher is removed from the census.
+func (t *LeaseTable) NextCensus(now time.Duration, rec *Record) *membership.Census {
+	living := map[string]bool{}
 	for name, m := range t.Members {
 		if now < m.LeaseEnd {
-			names[name] = true
+			living[name] = true
 		}
 	}
 	if now < t.AllLeasesKnown {
-		maps.Copy(names, b.Census.Names)
+		maps.Copy(living, rec.Census.Names)
 	}
-	if len(names) == 0 || maps.Equal(names, b.Census.Names) {
+	if len(living) == 0 || maps.Equal(living, rec.Census.Names) {
 		return nil
 	}
-	return &membership.Census{Number: b.Census.Number + 1, Names: names}
+	return &membership.Census{Number: rec.Census.Number + 1, Names: living}
 }
--- a/internal/agreement/frames.go
+++ b/internal/agreement/frames.go
@@ -17,8 +17,8 @@
 	"standpulley/internal/peers"
 )
 
-// frames takes what another voter sends: messages with their lengths before them.
-func (v *voter) frames(from peers.Caller, body []byte) error {
+// handleFrames reads the raft messages of another voter, each prefixed with its length.
+func (v *voter) handleFrames(from peers.Caller, body []byte) error {
 	for len(body) > 0 {
 		size, n := binary.Uvarint(body)
 		if n <= 0 || size > uint64(len(body)-n) || size > math.MaxInt32 {
@@ -31,41 +31,42 @@
 			return err
 		}
 		body = body[n+int(size):]
-		if err := v.post(func() { v.take(from.Name, m) }); err != nil {
+		if err := v.post(func() { v.handleMessage(from.Name, m) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// take hands a message to the consensus, if it is from the disk that has the sender's seat, or this voter knows no seats.
-func (v *voter) take(from string, m *raftpb.Message) {
-	name, known := v.names[m.GetFrom()]
-	wrong := ""
+// handleMessage passes a message to raft if it comes from the disk that holds the sender's seat, or if
+// this voter does not know any seats yet.
+func (v *voter) handleMessage(from string, m *raftpb.Message) {
+	name, seated := v.voterNames[m.GetFrom()]
+	problem := ""
 	switch {
 	case m.GetTo() != v.n.log.Identity().Disk:
-		wrong = fmt.Sprintf("for disk %x, which is not here", m.GetTo())
-	case slices.Contains(v.book.RetiredDisks, m.GetFrom()):
-		wrong = fmt.Sprintf("of disk %x, whose seat was given on", m.GetFrom())
-	case known && name != from:
-		wrong = fmt.Sprintf("of disk %x, which is that of %s", m.GetFrom(), name)
-	case !known && v.book.Cluster != 0:
-		wrong = fmt.Sprintf("of disk %x, which has no seat", m.GetFrom())
+		problem = fmt.Sprintf("for disk %x, which is not the disk of this voter", m.GetTo())
+	case slices.Contains(v.record.RetiredDisks, m.GetFrom()):
+		problem = fmt.Sprintf("from disk %x, whose seat was given to another disk", m.GetFrom())
+	case seated && name != from:
+		problem = fmt.Sprintf("from disk %x, which belongs to %s", m.GetFrom(), name)
+	case !seated && v.record.Cluster != 0:
+		problem = fmt.Sprintf("from disk %x, which has no seat", m.GetFrom())
 	}
-	if wrong != "" {
-		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+wrong)
+	if problem != "" {
+		v.n.counts.RecordDrop(peers.NotMember, from, "a frame "+problem)
 		return
 	}
-	v.names[m.GetFrom()] = from
+	v.voterNames[m.GetFrom()] = from
 	if err := v.rn.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
-		slog.Warn("agreement: a frame was not taken", "from", from, "error", err)
+		slog.Warn("agreement: raft rejected a message", "from", from, "error", err)
 	}
 }
 
 func (v *voter) send(m *raftpb.Message) {
-	name := v.names[m.GetTo()]
+	name := v.voterNames[m.GetTo()]
 	s := v.senders[name]
-	if s == nil || !s.put(m) {
+	if s == nil || !s.enqueue(m) {
 		v.rn.ReportUnreachable(m.GetTo())
 		if m.GetType() == raftpb.MsgSnap {
 			v.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
@@ -73,20 +74,21 @@
 	}
 }
 
-// quiet is the consensus library's logger: what matters to operators is logged here.
-type quiet struct{}
+// raftLogger is the logger of the raft library. It drops everything below errors, as this package logs
+// the events that matter to operators itself.
+type raftLogger struct{}
 
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Error(v ...any)          { slog.Error("agreement: consensus", "error", fmt.Sprint(v...)) }
-func (quiet) Errorf(f string, v ...any) {
+func (raftLogger) Debug(...any)            {}
+func (raftLogger) Debugf(string, ...any)   {}
+func (raftLogger) Info(...any)             {}
+func (raftLogger) Infof(string, ...any)    {}
+func (raftLogger) Warning(...any)          {}
+func (raftLogger) Warningf(string, ...any) {}
+func (raftLogger) Error(v ...any)          { slog.Error("agreement: consensus", "error", fmt.Sprint(v...)) }
+func (raftLogger) Errorf(f string, v ...any) {
 	slog.Error("agreement: consensus", "error", fmt.Sprintf(f, v...))
 }
-func (quiet) Fatal(v ...any)            { log.Panic(v...) }
-func (quiet) Fatalf(f string, v ...any) { log.Panicf(f, v...) }
-func (quiet) Panic(v ...any)            { log.Panic(v...) }
-func (quiet) Panicf(f string, v ...any) { log.Panicf(f, v...) }
+func (raftLogger) Fatal(v ...any)            { log.Panic(v...) }
+func (raftLogger) Fatalf(f string, v ...any) { log.Panicf(f, v...) }
+func (raftLogger) Panic(v ...any)            { log.Panic(v...) }
+func (raftLogger) Panicf(f string, v ...any) { log.Panicf(f, v...) }
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -1,19 +1,20 @@
-// Package agreement is a dispatcher's part in agreeing on settings: the voter, where it is one, with the consensus and its
-// log; the member, which keeps the lease and takes versions up; the calls among dispatchers. What is decided stands in
-// package agree, what crosses the network goes by package peers.
+// Package agreement runs a dispatcher's part in agreeing on settings and on the list of replicas. It
+// has the voter with its consensus (raft), if the dispatcher is one; the member, which renews the
+// lease and activates versions; and the calls between dispatchers. The rules of the record and of
+// leases are in the package that defines Record; package peers is the network transport.
 //
-//	node.go    a dispatcher's part as a whole
-//	voter.go   the goroutine that owns consensus, log and record
-//	life.go    what a dispatcher remembers over its end
-//	member.go  the goroutine that renews the lease, checks versions and takes them up
-//	reads.go   when a voter is sure of what it knows
-//	counter.go what others ask of a voter
-//	frames.go  frames of other voters
-//	sender.go  frames to another voter
-//	calls.go   what dispatchers say to each other
-//	lists.go   lists of replicas: the leader's part and the member's
-//	desk.go    what operators ask for
-//	recover.go what is left of a cluster whose logs are lost, and a new one made from it
+//	node.go      Node, a dispatcher's part as a whole
+//	voter.go     the goroutine that owns raft, the log and the record
+//	member.go    the goroutine that renews the lease, checks versions and activates them
+//	saved.go     the state that a dispatcher keeps across restarts
+//	reads.go     linearizable reads at the leader
+//	requests.go  requests of other dispatchers to a voter
+//	frames.go    raft messages from other voters
+//	sender.go    raft messages to another voter
+//	calls.go     paths and messages of the calls between dispatchers
+//	lists.go     the list of replicas: the leader's part and the member's
+//	operator.go  the operator API
+//	recover.go   surveying what is left of a lost cluster, and bootstrapping a new one from it
 package agreement
 
 import (
@@ -38,188 +39,195 @@
 	"standpulley/internal/raftlog"
 )
 
-// Program is what acts on versions.
+// Program is the dispatcher program, which acts on versions and on the list of replicas.
 type Program interface {
-	// Check says why this dispatcher can't act on a content. It must not block for long.
+	// Check returns why this dispatcher can't act on a content, nil if it can. It must not block for
+	// long.
 	Check(content string) *agree.Fault
-	// TakeUp puts a version in force under a lease, which is this dispatcher's leave to act on it.
+	// Activate makes the program act on a version, as long as the lease permits.
 	Activate(v agree.Version, lease *agree.Lease) error
-	// TakeList acts on a list of replicas from now on; it returns when nothing goes by the one before any more. living is the
-	// number of dispatchers, and counted whether this one may use its share of what is summed over them.
-	ApplyList(l membership.List, living int, counted bool) error
-	// Read starts or stops reading the register for all.
+	// ApplyList makes the program act on a list of replicas. It returns once nothing uses the
+	// previous list any more. dispatchers is their number, and counted is set if this one may use
+	// its share of the limits that are summed over them.
+	ApplyList(l membership.List, dispatchers int, counted bool) error
+	// SetReading starts or stops reading the registry on behalf of all dispatchers.
 	SetReading(bool)
-	// Alone tells that the lease is over.
+	// LeaseLost notifies the program that the lease has expired.
 	LeaseLost()
-	// Deaf tells that the register is read and says nothing.
+	// RegistrySilent reports whether the registry is read and gives no answers.
 	RegistrySilent() bool
-	// Phase is the program's phase, for people.
+	// Phase returns the program's phase, for display only.
 	Phase() string
-	// Serves is how long the program has served as usual.
+	// ServingTime returns how long the program has served normally.
 	ServingTime() time.Duration
-	// Bears is what the program knows of what a replica of each kind bears of its requests a second; empty where it knows nothing, nil
-	// where it does not want to know.
+	// WarmRates returns, by kind of replica, the requests per second of this dispatcher that a
+	// replica can take. It is empty if the program does not know and wants to learn them from other
+	// dispatchers, nil if it does not want them.
 	WarmRates() map[string]float64
 }
 
-// Options are what a node is told.
+// Options configure a Node.
 type Options struct {
 	Name        string
 	Cluster     string
-	Listen      string            // empty where it is no voter
-	Voters      map[string]string // addresses by name
+	Listen      string            // address for calls of other dispatchers; empty if it is no voter
+	Voters      map[string]string // addresses of the voters, by name
 	IsMember    func(name string) bool
 	Timing      agree.Timing
 	OnLeaseLoss agree.LeaseLossPolicy
-	MaxConns    int                // from other dispatchers, at most
-	Folder      string             // holds the log
-	Handlers    map[string]Handler // further ones that others may make here, by path
-	Lists       *Lists             // nil where dispatchers do not agree on lists of replicas
+	MaxConns    int                // maximum of connections from other dispatchers
+	Folder      string             // the state folder, which holds the log
+	Handlers    map[string]Handler // handlers of further calls, by path
+	Lists       *Lists             // nil if dispatchers do not agree on the list of replicas
 	Hooks       Hooks
 }
 
-// Call answers a call of another dispatcher.
+// Handler answers a call of another dispatcher.
 type Handler func(from string, body []byte) (any, error)
 
-// Lists says how dispatchers agree on lists of replicas.
+// Lists configure how dispatchers agree on the list of replicas.
 type Lists struct {
-	MaxReaders int  // of the register, at once
-	CanRead    bool // this dispatcher could be one
+	MaxReaders int  // how many dispatchers read the registry at once
+	CanRead    bool // this dispatcher can be one of them
 	Limits     membership.Limits
 }
 
-// Disk is where a voter writes before it speaks.
+// LogWriter writes raft state to stable storage before a voter sends messages that depend on it.
 type LogWriter interface {
 	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error
 }
 
-// Seams are where tests put faults in. The zero value puts in none.
+// Hooks let tests inject faults. The zero value injects none.
 type Hooks struct {
-	LogWriter         func(*raftlog.Log) LogWriter
-	RenewedAt         func(sent, now time.Duration) time.Duration // from when a renewal counts
-	Leases            func(*agree.LeaseTable)                     // before each use
-	Entry             func(*agree.Record, *agree.Entry)           // before it is applied
-	Lease             func(*agree.Lease)                          // a new one
-	Stale             func(bool) bool                             // whether another version is in force than the one that is held
+	LogWriter func(*raftlog.Log) LogWriter
+	// changes the time from which a renewal counts
+	RenewedAt func(sent, now time.Duration) time.Duration
+	Leases    func(*agree.LeaseTable)           // called before each use
+	Entry     func(*agree.Record, *agree.Entry) // called before the entry is applied
+	Lease     func(*agree.Lease)                // called with each new lease
+	// changes whether the active version counts as outdated
+	Stale             func(bool) bool
 	WallClock         func() time.Time
 	Limits            func(*membership.Limits)
-	ExtraRenewTimeout time.Duration // more than is waited for a renewal
+	ExtraRenewTimeout time.Duration // added to the timeout of renewals
 	Rebootstrap       func(before, next *agree.Record)
-	SkipLeaderCheck   bool // a leader answers without asking the others whether it still leads
+	SkipLeaderCheck   bool // the leader answers reads without confirming that it still leads
 }
 
-// Node is a dispatcher's part.
+// Node is a dispatcher's part in the cluster.
 type Node struct {
-	opt    Options
-	log    *raftlog.Log
-	disk   LogWriter
-	voter  *voter // nil where it is none
-	server *peers.Server
-	links  map[string]*peers.Link
-	counts peers.Counts
-	prog   Program
-	start  time.Time
-	boot   uint64
-	id     atomic.Uint64 // the cluster's
-	ctx    context.Context
-	cancel context.CancelFunc
-	ended  sync.WaitGroup
-	pokes  chan struct{}
+	opt        Options
+	log        *raftlog.Log
+	logWriter  LogWriter
+	voter      *voter // nil if this dispatcher is no voter
+	server     *peers.Server
+	links      map[string]*peers.Link
+	counts     peers.Counts
+	program    Program
+	start      time.Time
+	boot       uint64
+	clusterID  atomic.Uint64 // 0 while not known
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	wake       chan struct{}
 
 	elections  atomic.Int64
 	turnedDown atomic.Int64
 	member     member
 }
 
-// Path is the file of a state folder that holds the log.
+// LogPath returns the path of the log in a state folder.
 func LogPath(folder string) string { return filepath.Join(folder, "agreement.db") }
 
-// Draw gives a number that nobody else has, never 0.
+// NewID returns a random ID that is unique for all practical purposes and never 0.
 func NewID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])                      // never fails
-	return binary.BigEndian.Uint64(b[:])>>1 | 1 // some tools read it as a signed one
+	return binary.BigEndian.Uint64(b[:])>>1 | 1 // at most 63 bits, as some tools read it as a signed integer
 }
 
-// Open opens the log and reads what was known before. Run begins the rest.
+// Open opens the log and loads the saved state. Run starts everything else.
 func Open(opt Options) (*Node, error) {
 	l, err := raftlog.Open(LogPath(opt.Folder), NewID)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{opt: opt, log: l, disk: l, links: map[string]*peers.Link{}, start: time.Now(), boot: NewID(), pokes: make(chan struct{}, 1)}
+	n := &Node{opt: opt, log: l, logWriter: l, links: map[string]*peers.Link{}, start: time.Now(), boot: NewID(), wake: make(chan struct{}, 1)}
 	if opt.Hooks.LogWriter != nil {
-		n.disk = opt.Hooks.LogWriter(l)
+		n.logWriter = opt.Hooks.LogWriter(l)
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.id.Store(l.Identity().Cluster)
+	n.clusterID.Store(l.Identity().Cluster)
 	for name, addr := range opt.Voters {
 		if name != opt.Name {
-			n.links[name] = peers.NewLink(addr, opt.Cluster, opt.Name, n.id.Load, &n.counts)
+			n.links[name] = peers.NewLink(addr, opt.Cluster, opt.Name, n.clusterID.Load, &n.counts)
 		}
 	}
-	if err := n.member.recall(n); err != nil {
+	if err := n.member.load(n); err != nil {
 		return nil, errors.Join(err, n.Close())
 	}
 	return n, nil
 }
 
-// Known gives the last version that this dispatcher acted on, with a lease that has never begun; nil where there is none.
-func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.begin(n) }
+// RestoreVersion returns the version to start on, with a lease that has not been granted yet. The
+// version is nil if there is none.
+func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.restore(n) }
 
-// Run begins: it listens where this dispatcher is a voter, and renews the lease from now on.
+// Run starts the node: it listens for calls if this dispatcher is a voter, and renews the lease from
+// now on.
 func (n *Node) Run(p Program) error {
-	n.prog = p
+	n.program = p
 	if n.opt.Listen != "" {
 		var err error
 		if n.voter, err = newVoter(n); err != nil {
 			return err
 		}
-		n.server = &peers.Server{Cluster: n.opt.Cluster, ClusterID: n.id.Load, Counts: &n.counts, Handle: n.handle, IsMember: n.opt.IsMember}
+		n.server = &peers.Server{Cluster: n.opt.Cluster, ClusterID: n.clusterID.Load, Counts: &n.counts, Handle: n.handle, IsMember: n.opt.IsMember}
 		if err := n.server.Start(n.opt.Listen, n.opt.MaxConns); err != nil {
 			return err
 		}
-		n.ended.Go(n.voter.run)
+		n.goroutines.Go(n.voter.run)
 	}
-	n.ended.Go(n.member.run)
-	n.ended.Go(n.member.listen)
+	n.goroutines.Go(n.member.run)
+	n.goroutines.Go(n.member.watchChanges)
 	if n.opt.Lists != nil {
-		n.ended.Go(n.member.tell)
+		n.goroutines.Go(n.member.reportRegistry)
 	}
 	return nil
 }
 
-// Leave tells the voters that this dispatcher acts no more. Nothing of it does after this.
+// Leave gives up the lease. No part of this dispatcher may act after that.
 func (n *Node) Leave() { n.member.leave() }
 
-// Close ends the node.
+// Close stops the node and closes the log.
 func (n *Node) Close() error {
 	n.cancel()
 	if n.server != nil {
 		n.server.Close()
 	}
-	n.ended.Wait()
+	n.goroutines.Wait()
 	for _, l := range n.links {
 		l.Close()
 	}
 	return n.log.Close()
 }
 
-// now is the node's monotonic clock.
+// now returns the node's monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Now is the clock by which leases run.
+// Now returns the monotonic clock by which leases run.
 func (n *Node) Now() time.Duration { return n.now() }
 
-func (n *Node) poke() {
+func (n *Node) wakeMember() {
 	select {
-	case n.pokes <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) noteCluster(id uint64) {
-	if !n.id.CompareAndSwap(0, id) {
+func (n *Node) recordCluster(id uint64) {
+	if !n.clusterID.CompareAndSwap(0, id) {
 		return
 	}
 	if err := n.log.SetCluster(id); err != nil {
@@ -227,8 +235,9 @@
 	}
 }
 
-// voters gives the names of the others, those to try first before the rest.
-func (n *Node) voters(first ...string) []string {
+// voterNames returns the names of the other voters, those given first, then the rest in an order that
+// differs between dispatchers.
+func (n *Node) voterNames(first ...string) []string {
 	var names []string
 	for _, name := range first {
 		if n.links[name] != nil && !slices.Contains(names, name) {
@@ -243,80 +252,80 @@
 	}
 	slices.Sort(rest)
 	if len(rest) > 0 {
-		at := int(n.boot % uint64(len(rest)))
-		rest = append(slices.Clone(rest[at:]), rest[:at]...)
+		offset := int(n.boot % uint64(len(rest)))
+		rest = append(slices.Clone(rest[offset:]), rest[:offset]...)
 	}
 	return append(names, rest...)
 }
 
-// askSeat asks the voters for this voter's seat.
-func (n *Node) askSeat(replace bool) (err error) {
+// requestSeat asks the leader for this voter's seat.
+func (n *Node) requestSeat(replace bool) (err error) {
 	err = errNoLeader
-	next := n.voters(n.member.target())
-	for tried := 0; tried < 2*len(n.links) && len(next) > 0; tried++ {
-		name := next[0]
-		next = next[1:]
-		var p proposed
-		if e := call(n.links[name], seatCall, seat{n.opt.Name, n.log.Identity().Disk, replace}, &p, proposeWait); e != nil {
+	queue := n.voterNames(n.member.knownLeader())
+	for tried := 0; tried < 2*len(n.links) && len(queue) > 0; tried++ {
+		name := queue[0]
+		queue = queue[1:]
+		var p proposeResponse
+		if e := callJSON(n.links[name], seatCall, seatRequest{n.opt.Name, n.log.Identity().Disk, replace}, &p, proposeTimeout); e != nil {
 			continue
 		}
 		switch {
 		case p.Error != "":
-			n.member.say("no seat: " + p.Error)
+			n.member.logNoLease("no seat: " + p.Error)
 			return errors.New(p.Error)
-		case !p.Elsewhere:
+		case !p.NotLeader:
 			return nil
 		case n.links[p.Leader] != nil:
-			next = append([]string{p.Leader}, next...)
+			queue = append([]string{p.Leader}, queue...)
 		}
 	}
 	return err
 }
 
-// Found makes the log of a cluster's first voter with its first version. The others take their seats when they start;
-// nothing is in force before.
+// Bootstrap writes the log of a new cluster's first voter, with the first version. The other voters
+// take their seats when they start; nothing takes effect before all have.
 func Bootstrap(opt Options, content string, keys map[string]string, print string) error {
 	l, err := raftlog.Open(LogPath(opt.Folder), NewID)
 	if err != nil {
 		return err
 	}
-	err = found(l, opt, content, keys, print)
+	err = bootstrapLog(l, opt, content, keys, print)
 	return errors.Join(err, l.Close())
 }
 
-func found(l *raftlog.Log, opt Options, content string, keys map[string]string, print string) error {
+func bootstrapLog(l *raftlog.Log, opt Options, content string, keys map[string]string, print string) error {
 	if l.Identity().Cluster != 0 {
 		return fmt.Errorf("%s belongs to a cluster already", LogPath(opt.Folder))
 	}
 	if fault := agree.CheckKeys(keys); fault != nil {
 		return fault
 	}
-	var book agree.Record
+	var record agree.Record
 	cluster, disk := NewID(), l.Identity().Disk
-	if _, err := book.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
-		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wall()}}}); err != nil {
+	if _, err := record.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
+		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wallTime()}}}); err != nil {
 		return err
 	}
-	return begin(l, &book)
+	return writeInitialLog(l, &record)
 }
 
-// begin writes a cluster's record into the empty log of its first voter.
-func begin(l *raftlog.Log, book *agree.Record) error {
-	data, err := jsoniter.Marshal(book)
+// writeInitialLog writes a cluster's record as a snapshot into the empty log of its first voter.
+func writeInitialLog(l *raftlog.Log, record *agree.Record) error {
+	data, err := jsoniter.Marshal(record)
 	if err != nil {
 		return err
 	}
 	one := uint64(1)
 	err = l.Save(&raftpb.HardState{Term: &one, Commit: &one}, nil, &raftpb.Snapshot{Data: data,
-		Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: []uint64{book.Seats[0].Disk}}}})
+		Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: []uint64{record.Seats[0].Disk}}}})
 	if err != nil {
 		return err
 	}
-	return l.SetCluster(book.Cluster)
+	return l.SetCluster(record.Cluster)
 }
 
-// wall is the wall clock, for people alone: nothing is decided by it.
-func (o *Options) wall() string {
+// wallTime returns the wall-clock time, for display only: no decision depends on it.
+func (o *Options) wallTime() string {
 	now := time.Now
 	if o.Hooks.WallClock != nil {
 		now = o.Hooks.WallClock
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -16,20 +16,22 @@
 	"standpulley/internal/raftlog"
 )
 
-// Remains is what a state folder still knows of a cluster. The program must not run on it.
+// SurveyResult is what a state folder holds of a cluster. The program must not be running on it.
 type SurveyResult struct {
-	Folder      string        `json:"folder"`
-	Cluster     uint64        `json:"cluster"` // 0: it has never heard of one
-	Disk        uint64        `json:"disk"`
-	HasVoterLog bool          `json:"voted"` // it holds a voter's log
-	Term        uint64        `json:"term"`  // of the last entry; with Index it says which of two logs is newer
-	Index       uint64        `json:"index"`
-	Record      agree.Record  `json:"book"` // what the whole log makes, the entries too of which it is not known whether they were decided
-	ActsOn      agree.Version `json:"acts"` // the version that the dispatcher acted on last
-	bears       []byte
+	Folder      string `json:"folder"`
+	Cluster     uint64 `json:"cluster"` // 0 if it has never joined one
+	Disk        uint64 `json:"disk"`
+	HasVoterLog bool   `json:"voted"` // the folder holds a voter's log
+	// of the last entry; Term and Index tell which of two logs is newer
+	Term  uint64 `json:"term"`
+	Index uint64 `json:"index"`
+	// after all entries of the log, also those that may not have been committed
+	Record    agree.Record  `json:"book"`
+	ActsOn    agree.Version `json:"acts"` // the version that the dispatcher acted on last
+	warmRates []byte
 }
 
-// Newer tells whether r's log goes further than another.
+// Newer reports whether r's log is newer than another.
 func (r *SurveyResult) Newer(than *SurveyResult) bool {
 	if r.Term != than.Term {
 		return r.Term > than.Term
@@ -37,7 +39,7 @@
 	return r.Index > than.Index
 }
 
-// Survey reads what a state folder knows.
+// Survey reads what a state folder holds of a cluster.
 func Survey(folder string) (SurveyResult, error) {
 	r := SurveyResult{Folder: folder}
 	if _, err := os.Stat(LogPath(folder)); err != nil {
@@ -56,82 +58,84 @@
 
 func (r *SurveyResult) read(l *raftlog.Log) error {
 	r.Cluster, r.Disk = l.Identity().Cluster, l.Identity().Disk
-	text, err := l.Value(lifeNote)
+	data, err := l.Value(savedStateKey)
 	if err != nil {
 		return err
 	}
-	if text != nil {
-		var was life
-		if err := jsoniter.Unmarshal(text, &was); err != nil {
-			return fmt.Errorf("damaged: what was remembered of the agreement: %w", err)
+	if data != nil {
+		var saved savedState
+		if err := jsoniter.Unmarshal(data, &saved); err != nil {
+			return fmt.Errorf("damaged: saved state of the dispatcher: %w", err)
 		}
-		r.ActsOn = was.Acts
+		r.ActsOn = saved.ActsOn
 	}
-	if r.bears, err = l.Value(bearsNote); err != nil {
+	if r.warmRates, err = l.Value(warmRatesKey); err != nil {
 		return err
 	}
-	store := l.Storage()
-	snap, err := store.Snapshot()
+	storage := l.Storage()
+	snap, err := storage.Snapshot()
 	if err != nil || raft.IsEmptySnap(snap) {
-		return err // it has never voted
+		return err // no voter's log
 	}
 	r.HasVoterLog = true
 	r.Index, r.Term = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetTerm()
 	if err := jsoniter.Unmarshal(snap.GetData(), &r.Record); err != nil {
-		return fmt.Errorf("the snapshot of the agreement: %w", err)
+		return fmt.Errorf("decoding the raft snapshot: %w", err)
 	}
-	last, err := store.LastIndex()
+	last, err := storage.LastIndex()
 	if err != nil || last <= r.Index {
 		return err
 	}
-	entries, err := store.Entries(r.Index+1, last+1, ^uint64(0))
+	entries, err := storage.Entries(r.Index+1, last+1, ^uint64(0))
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		change, _, err := changeOf(e)
+		change, _, err := decodeEntry(e)
 		if err != nil {
 			return err
 		}
 		if change != nil {
-			_, _ = r.Record.Apply(*change) // one that does not fit changes nothing, here as at the voters
+			_, _ = r.Record.Apply(*change) // an invalid entry changes nothing, here as at the voters
 		}
 		r.Index, r.Term = e.GetIndex(), e.GetTerm()
 	}
 	return nil
 }
 
-// changeOf gives the change of the record that an entry makes, and the change of the consensus' own members; nil for none.
-func changeOf(e *raftpb.Entry) (change *agree.Entry, seats *raftpb.ConfChangeV2, err error) {
+// decodeEntry returns the change of the record and the change of the raft configuration that an entry
+// holds; each is nil if there is none.
+func decodeEntry(e *raftpb.Entry) (change *agree.Entry, conf *raftpb.ConfChangeV2, err error) {
 	data := e.GetData()
 	switch e.GetType() {
 	case raftpb.EntryConfChangeV2:
-		seats = &raftpb.ConfChangeV2{}
-		if err := proto.Unmarshal(data, seats); err != nil {
+		conf = &raftpb.ConfChangeV2{}
+		if err := proto.Unmarshal(data, conf); err != nil {
 			return nil, nil, err
 		}
-		data = seats.GetContext()
+		data = conf.GetContext()
 	case raftpb.EntryNormal:
 	default:
-		return nil, nil, fmt.Errorf("an entry of a kind that this version does not write: %v", e.GetType())
+		return nil, nil, fmt.Errorf("unsupported type of raft entry: %v", e.GetType())
 	}
 	if len(data) == 0 {
-		return nil, seats, nil
+		return nil, conf, nil
 	}
 	change = &agree.Entry{}
 	if err := jsoniter.Unmarshal(data, change); err != nil {
 		return nil, nil, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
-	return change, seats, nil
+	return change, conf, nil
 }
 
-// bearsNote is the program's note that goes over to a new cluster, as it is about replicas.
-const bearsNote = "program.bears"
+// warmRatesKey is the key of the program's warm rates. They are carried over to a new cluster, as they
+// describe replicas and not the cluster.
+const warmRatesKey = "program.bears"
 
-// Refound makes a new cluster out of what is left of a lost one, whose voters' logs are gone for the greater part, with this folder's voter
-// as its first. others are the folders of all dispatchers that are left; the newest log must be this one's. The old log is kept beside the
-// new one.
-func Rebootstrap(opt Options, lost uint64, others []string, by string) (agree.Record, error) {
+// Rebootstrap creates a new cluster from what is left of a lost one, of which most voters' logs are
+// gone, with the voter of this folder as the first. folders are those of all other dispatchers that
+// are left; none may hold a newer log than this one. The old log is kept next to the new one.
+func Rebootstrap(opt Options, lostCluster uint64, folders []string, by string) (agree.Record, error) {
 	own, err := Survey(opt.Folder)
 	if err != nil {
 		return agree.Record{}, err
@@ -139,36 +143,36 @@
 	if !own.HasVoterLog {
 		return agree.Record{}, fmt.Errorf("%s holds no voter's log", LogPath(opt.Folder))
 	}
-	if own.Cluster != lost {
-		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lost)
+	if own.Cluster != lostCluster {
+		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lostCluster)
 	}
-	acted := []agree.Version{own.ActsOn}
-	for _, folder := range others {
+	actedOn := []agree.Version{own.ActsOn}
+	for _, folder := range folders {
 		r, err := Survey(folder)
 		switch {
 		case err != nil:
 			return agree.Record{}, err
-		case r.Cluster != 0 && r.Cluster != lost:
-			return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lost)
+		case r.Cluster != 0 && r.Cluster != lostCluster:
+			return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lostCluster)
 		case r.HasVoterLog && r.Newer(&own):
 			return agree.Record{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
 				folder, r.Term, r.Index, own.Term, own.Index)
 		}
-		acted = append(acted, r.ActsOn)
+		actedOn = append(actedOn, r.ActsOn)
 	}
 	cluster, disk := NewID(), NewID()
-	book, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, acted, by)
+	record, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, actedOn, by)
 	if err != nil {
-		return book, err
+		return record, err
 	}
 	if opt.Hooks.Rebootstrap != nil {
-		opt.Hooks.Rebootstrap(&own.Record, &book)
+		opt.Hooks.Rebootstrap(&own.Record, &record)
 	}
-	return book, replaceLog(&own, disk, func(l *raftlog.Log) error { return begin(l, &book) })
+	return record, replaceLog(&own, disk, func(l *raftlog.Log) error { return writeInitialLog(l, &record) })
 }
 
-// Leave has a folder forget the cluster that it belongs to, so that its dispatcher can come into the one that took its place. The old log is
-// kept beside.
+// LeaveCluster detaches a folder from a lost cluster, so that its dispatcher can join the cluster that
+// replaced it. The old log is kept next to the new one.
 func LeaveCluster(folder string, cluster uint64) error {
 	r, err := Survey(folder)
 	if err != nil {
@@ -180,29 +184,31 @@
 	return replaceLog(&r, NewID(), func(*raftlog.Log) error { return nil })
 }
 
-// replaceLog puts a log of another disk, which is made whole first, in the place of one that is kept under the number of its own. What was
-// known of replicas goes over. Whatever cuts it short, one of the two is in place.
+// replaceLog replaces a log with a new one of another disk. The new log is completed under another name
+// first, and the old one is kept under a name with its disk number. The warm rates are carried over.
+// At any interruption, either the old or the new log is in place.
 func replaceLog(old *SurveyResult, disk uint64, fill func(*raftlog.Log) error) error {
 	path := LogPath(old.Folder)
-	next, kept := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
-	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that was cut short
+	newPath, backup := path+".new", fmt.Sprintf("%s.%x", path, old.Disk)
+	// left by an interrupted attempt
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	l, err := raftlog.Open(next, func() uint64 { return disk })
+	l, err := raftlog.Open(newPath, func() uint64 { return disk })
 	if err != nil {
 		return err
 	}
 	err = fill(l)
-	if err == nil && old.bears != nil {
-		err = l.SetValue(bearsNote, old.bears)
+	if err == nil && old.warmRates != nil {
+		err = l.SetValue(warmRatesKey, old.warmRates)
 	}
 	if err = errors.Join(err, l.Close()); err != nil {
 		return err
 	}
-	if err := os.Link(path, kept); err != nil && !errors.Is(err, fs.ErrExist) {
+	if err := os.Link(path, backup); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(newPath, path); err != nil {
 		return err
 	}
 	f, err := os.Open(filepath.Dir(path))
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -15,19 +15,19 @@
 	"standpulley/internal/raftlog"
 )
 
-// state is a state folder of a story.
-func state(t *testing.T) Options {
+// newStateFolder returns options with an empty state folder.
+func newStateFolder(t *testing.T) Options {
 	return Options{Name: "a", Voters: map[string]string{"a": "x", "b": "y", "c": "z"}, Folder: t.TempDir()}
 }
 
-// founded gives a folder whose log holds version 1 in force, and version 2 too if that is so.
-func founded(t *testing.T, entries ...agree.Entry) Options {
+// bootstrapped returns options with a folder whose log holds version 1 in force, followed by the entries.
+func bootstrapped(t *testing.T, entries ...agree.Entry) Options {
 	t.Helper()
-	opt := state(t)
+	opt := newStateFolder(t)
 	if err := Bootstrap(opt, `{"limits":{"try_limit":1}}`, map[string]string{"limits.try_limit": "1"}, "p1"); err != nil {
 		t.Fatal(err)
 	}
-	writes(t, opt.Folder, func(l *raftlog.Log) error {
+	writeLog(t, opt.Folder, func(l *raftlog.Log) error {
 		for i, e := range entries {
 			data, err := jsoniter.Marshal(&e)
 			if err != nil {
@@ -43,7 +43,7 @@
 	return opt
 }
 
-func writes(t *testing.T, folder string, f func(l *raftlog.Log) error) {
+func writeLog(t *testing.T, folder string, f func(l *raftlog.Log) error) {
 	t.Helper()
 	l, err := raftlog.Open(LogPath(folder), NewID)
 	if err == nil {
@@ -54,26 +54,26 @@
 	}
 }
 
-var two = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
+var proposeAndActivate = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
 	{Activate: &agree.Activate{Number: 2}}}
 
-// Guards: the new cluster holds what the newest log holds, the entries too that were not known to be decided; what a dispatcher acted on
-// that no log has; a cluster number and a disk that are new. The log of before is kept, a try that was cut short does no harm, and all that
-// does not go together is refused by naming it.
-func TestRefoundFromWhatIsLeft(t *testing.T) {
-	opt := founded(t, two...)
-	was, err := Survey(opt.Folder)
-	if err != nil || was.Record.InForceNumber != 2 || was.Term != 2 || was.Index != 3 || !was.HasVoterLog {
-		t.Fatalf("%+v, %v", was, err)
-	}
-	member := state(t) // it never voted, and acted on what no log that is left holds
-	writes(t, member.Folder, func(l *raftlog.Log) error {
-		text, err := jsoniter.Marshal(&life{Acts: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
-		return errors.Join(err, l.SetValue(lifeNote, text), l.SetCluster(was.Cluster))
+// A rebootstrapped cluster holds all entries of the newest log, also those not known to be committed,
+// the version that a dispatcher acted on and that no log has, and a new cluster ID and disk. The old
+// log is kept, an interrupted attempt does no harm, and mismatched folders are refused by name.
+func TestRebootstrapFromSurvivingFolders(t *testing.T) {
+	opt := bootstrapped(t, proposeAndActivate...)
+	before, err := Survey(opt.Folder)
+	if err != nil || before.Record.InForceNumber != 2 || before.Term != 2 || before.Index != 3 || !before.HasVoterLog {
+		t.Fatalf("%+v, %v", before, err)
+	}
+	member := newStateFolder(t) // no voter, acted on a version that no remaining log holds
+	writeLog(t, member.Folder, func(l *raftlog.Log) error {
+		data, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
+		return errors.Join(err, l.SetValue(savedStateKey, data), l.SetCluster(before.Cluster))
 	})
-	foreign := founded(t)
+	foreign := bootstrapped(t)
 	older, newer := copyOf(t, opt.Folder), copyOf(t, opt.Folder)
-	writes(t, newer, func(l *raftlog.Log) error {
+	writeLog(t, newer, func(l *raftlog.Log) error {
 		term, index := uint64(3), uint64(4)
 		return l.Save(nil, []*raftpb.Entry{{Term: &term, Index: &index}}, nil)
 	})
@@ -82,27 +82,27 @@
 		others []string
 		word   string
 	}{
-		"another cluster's number": {was.Cluster + 1, nil, "not to"},
-		"another cluster's folder": {was.Cluster, []string{foreign.Folder}, "belongs to cluster"},
-		"a newer log elsewhere":    {was.Cluster, []string{older, newer}, newer},
-		"no log there":             {was.Cluster, []string{t.TempDir()}, "no such file"},
+		"another cluster's number": {before.Cluster + 1, nil, "not to"},
+		"another cluster's folder": {before.Cluster, []string{foreign.Folder}, "belongs to cluster"},
+		"a newer log elsewhere":    {before.Cluster, []string{older, newer}, newer},
+		"no log there":             {before.Cluster, []string{t.TempDir()}, "no such file"},
 	} {
 		if _, err := Rebootstrap(opt, x.lost, x.others, "op"); err == nil || !strings.Contains(err.Error(), x.word) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Rebootstrap(member, was.Cluster, nil, "op"); err == nil {
-		t.Error("made from a folder without a voter's log")
+	if _, err := Rebootstrap(member, before.Cluster, nil, "op"); err == nil {
+		t.Error("a folder without a voter's log was accepted")
 	}
 	if err := os.WriteFile(LogPath(opt.Folder)+".new", []byte("cut short"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Rebootstrap(opt, was.Cluster, []string{older, member.Folder}, "op"); err != nil {
+	if _, err := Rebootstrap(opt, before.Cluster, []string{older, member.Folder}, "op"); err != nil {
 		t.Fatal(err)
 	}
-	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster == was.Cluster || is.Disk == was.Disk || is.Record.InForceNumber != 5 || is.Record.Version(2).State != agree.Superseded || is.Record.Complete {
-		t.Errorf("%+v, %v", is, err)
+	after, err := Survey(opt.Folder)
+	if err != nil || after.Cluster == before.Cluster || after.Disk == before.Disk || after.Record.InForceNumber != 5 || after.Record.Version(2).State != agree.Superseded || after.Record.Complete {
+		t.Errorf("%+v, %v", after, err)
 	}
 	kept, err := filepath.Glob(LogPath(opt.Folder) + ".*")
 	if err != nil || len(kept) != 1 {
@@ -110,23 +110,24 @@
 	}
 }
 
-// Guards: a dispatcher that leaves a lost cluster belongs to none, has another disk, and still knows what replicas bear.
-func TestLeaveALostCluster(t *testing.T) {
-	opt := founded(t, two...)
-	writes(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(bearsNote, []byte(`{"w":3}`)) })
-	was, err := Survey(opt.Folder)
+// A dispatcher that leaves a lost cluster belongs to no cluster, has a new disk, and keeps its warm
+// rates.
+func TestLeaveCluster(t *testing.T) {
+	opt := bootstrapped(t, proposeAndActivate...)
+	writeLog(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(warmRatesKey, []byte(`{"w":3}`)) })
+	before, err := Survey(opt.Folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := LeaveCluster(opt.Folder, was.Cluster+1); err == nil {
-		t.Error("it left a cluster that is not its own")
+	if err := LeaveCluster(opt.Folder, before.Cluster+1); err == nil {
+		t.Error("left a cluster that the folder does not belong to")
 	}
-	if err := LeaveCluster(opt.Folder, was.Cluster); err != nil {
+	if err := LeaveCluster(opt.Folder, before.Cluster); err != nil {
 		t.Fatal(err)
 	}
-	is, err := Survey(opt.Folder)
-	if err != nil || is.Cluster != 0 || is.Disk == was.Disk || is.HasVoterLog || string(is.bears) != `{"w":3}` {
-		t.Errorf("%+v, %v", is, err)
+	after, err := Survey(opt.Folder)
+	if err != nil || after.Cluster != 0 || after.Disk == before.Disk || after.HasVoterLog || string(after.warmRates) != `{"w":3}` {
+		t.Errorf("%+v, %v", after, err)
 	}
 	if _, err := Survey(t.TempDir()); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("an empty folder: %v", err)
@@ -136,9 +137,9 @@
 func copyOf(t *testing.T, folder string) string {
 	t.Helper()
 	to := t.TempDir()
-	text, err := os.ReadFile(LogPath(folder))
+	data, err := os.ReadFile(LogPath(folder))
 	if err == nil {
-		err = os.WriteFile(LogPath(to), text, 0o600)
+		err = os.WriteFile(LogPath(to), data, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agreement/sender.go
+++ b/internal/agreement/sender.go
@@ -12,19 +12,19 @@
 	"standpulley/internal/peers"
 )
 
-const queueBytes = 8 << 20
+const maxQueueBytes = 8 << 20
 
-// sender carries a voter's frames to another one, in order, as many as wait in one call. What there is no room for is
-// dropped: the consensus sends it anew.
+// sender sends raft messages to another voter, in order, with all queued ones in one call. A message
+// that does not fit into the queue is dropped, as raft sends it again.
 type sender struct {
 	n    *Node
 	name string
 	link *peers.Link
 
-	mu    sync.Mutex
-	queue []byte
-	snaps []uint64 // disks to which a snapshot is in the queue
-	work  chan struct{}
+	mu        sync.Mutex
+	queue     []byte
+	snapshots []uint64 // disks of the recipients of queued snapshots
+	work      chan struct{}
 }
 
 func newSender(n *Node, name string, link *peers.Link) *sender {
@@ -33,21 +33,21 @@
 	return s
 }
 
-// put takes a frame, or tells that there is no room.
-func (s *sender) put(m *raftpb.Message) bool {
-	text, err := proto.Marshal(m)
+// enqueue queues a message and reports whether there was room for it.
+func (s *sender) enqueue(m *raftpb.Message) bool {
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue)+len(text) > queueBytes {
-		s.n.counts.RecordDrop(peers.QueueFull, s.name, "frames wait for a voter that takes none")
+	if len(s.queue)+len(data) > maxQueueBytes {
+		s.n.counts.RecordDrop(peers.QueueFull, s.name, "the queue of messages to this voter is full")
 		return false
 	}
-	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(text))), text...)
+	s.queue = append(binary.AppendUvarint(s.queue, uint64(len(data))), data...)
 	if m.GetType() == raftpb.MsgSnap {
-		s.snaps = append(s.snaps, m.GetTo())
+		s.snapshots = append(s.snapshots, m.GetTo())
 	}
 	select {
 	case s.work <- struct{}{}:
@@ -64,16 +64,17 @@
 		case <-s.work:
 		}
 		s.mu.Lock()
-		frames, snaps := s.queue, s.snaps
-		s.queue, s.snaps = nil, nil
+		frames, snapshots := s.queue, s.snapshots
+		s.queue, s.snapshots = nil, nil
 		s.mu.Unlock()
 		_, err := s.link.Call(peers.RaftPath, frames, s.n.opt.Timing.AcceptFor)
 		status := raft.SnapshotFinish
 		if err != nil {
 			status = raft.SnapshotFailure
 		}
-		for _, disk := range snaps {
-			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) }) // a voter that is too busy sends it anew in time
+		for _, disk := range snapshots {
+			// if the inbox is full, raft sends the snapshot again later
+			_ = s.n.voter.post(func() { s.n.voter.rn.ReportSnapshot(disk, status) })
 		}
 	}
 }
