--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,10 +1,11 @@
-// Package recovery decides how a dispatcher comes back: from a cold start to serving, alone in a warm fleet or with all others after a
-// loss of power. It does no I/O, reads no clock and keeps no goroutines.
+// Package recovery decides how a dispatcher gets from a start to normal service, be it alone in a
+// warm fleet or together with all others after a loss of power. It does no I/O, reads no clock and
+// runs no goroutines.
 //
-//	recovery.go the stages, what each waits for, and what it does when that takes too long
-//	known.go    what the fleet is known to bear, from before
-//	gate.go     who is let in, by class and customer
-//	ramp.go     how much is let in while replicas warm up, and when the others may come back
+//	recovery.go  the stages, what each waits for, and what happens when that takes too long
+//	warmrates.go the capacity of the fleet as learned before the start
+//	admission.go which requests are admitted, by class and tenant
+//	ramp.go      how much is admitted while replicas warm up, and when refused clients should retry
 package recovery
 
 import (
@@ -12,16 +13,16 @@
 	"time"
 )
 
-// Stage is where a dispatcher stands.
+// Stage is a step of the recovery.
 type Stage uint8
 
-// The stages, in their order. None is gone back to but by another start.
+// The stages, in their order. A dispatcher returns to an earlier stage only by a restart.
 const (
-	CheckDisk  Stage = iota // its own files are read and checked
-	FindOthers              // who is there, and is this the only one that starts
-	Agree                   // a version of the settings, and a lease
-	Learn                   // the list of replicas, what must not run twice, what others know of replicas
-	Admit                   // requests are let in by the ramp
+	CheckDisk  Stage = iota // reads and checks its own files
+	FindOthers              // finds out which voters are up, and whether other dispatchers serve already
+	Agree                   // waits for a version of the settings and a lease
+	Learn                   // waits for the list of replicas, the recorded intents and what others know of replicas
+	Admit                   // admits requests at the rate of the ramp
 	Serving
 )
 
@@ -29,83 +30,90 @@
 	return [...]string{"check disk", "find others", "agree", "learn", "admit", "serving"}[s]
 }
 
-// Facts are what is known at a moment.
+// Facts is what a dispatcher knows at a given moment.
 type Facts struct {
-	DiskChecked    bool // the own files are checked, or there are none
-	Voters         int  // in all ...
-	VotersAnswered int  // ... and how many of them, this one among them, have answered since the start
-	WarmMember     bool // one that answered serves, and has for longer than a replica takes to warm up
+	DiskChecked    bool // its own files are checked, or there are none
+	Voters         int  // number of voters ...
+	VotersAnswered int  // ... and how many of them, including itself, have answered since the start
+	WarmMember     bool // a member that answered has served for longer than replicas take to warm up
 	HasLease       bool
-	ListApplied    bool // a list of replicas is agreed on and acted on here
-	ListFresh      bool // that list holds what the register said since the return began
-	IntentsKnown   bool // what must not run twice is known, by a majority of its holders
-	Throttled      bool // more come than the ramp lets in
-	ReplicasWarm   bool // all replicas that are listed have warmed up, or prove by what they serve that they have
+	ListApplied    bool // a list of replicas is agreed on and applied here
+	ListFresh      bool // that list reflects what the registry reported after the recovery began
+	// IntentsKnown tells that a majority of the ledger holders has answered, so that it is known which
+	// of the requests that must not run twice may have run.
+	IntentsKnown bool
+	Throttled    bool // demand exceeds the rate of the ramp
+	ReplicasWarm bool // all listed replicas have warmed up, or prove it by the load that they serve
 }
 
-// Timeouts are how long a stage may take before the dispatcher goes on in a safer way.
+// Timeouts bound how long a stage waits before the dispatcher goes on in a safer way.
 type Timeouts struct {
-	Find  time.Duration // for others to answer
-	Learn time.Duration // for the register to be read
-	Admit time.Duration // for replicas to prove that they are warm: their own ramp and what their clocks may differ
-	Surge time.Duration // beyond that, for what comes to be no more than the ramp lets in
+	Find  time.Duration // for other voters to answer
+	Learn time.Duration // for the registry to be read
+	// Admit is for replicas to prove that they are warm. It covers their warm-up time and the
+	// difference between clocks.
+	Admit time.Duration
+	Surge time.Duration // after Admit, for demand to fall to the rate of the ramp
 }
 
 // Permissions is what a dispatcher may do.
 type Permissions struct {
-	AcceptRequests   bool // requests, by the ramp if Ramps
-	LimitRate        bool // cold replicas: as much as the ramp lets in
-	AcceptAtMostOnce bool // such as must not run twice
-	Reason           string
+	AcceptRequests   bool   // at the rate of the ramp if LimitRate is set
+	LimitRate        bool   // replicas are cold: admit only the rate of the ramp
+	AcceptAtMostOnce bool   // accept requests that must not run twice
+	Reason           string // what the dispatcher waits for
 }
 
-// Machine follows the stages of one start.
+// Machine is the state machine of one start.
 type Machine struct {
-	bounds Timeouts
-	stage  Stage
-	since  time.Duration
-	lone   bool // a start beside others that serve: the short way
-	late   bool // the stage before was left because its time was over
+	timeouts        Timeouts
+	stage           Stage
+	since           time.Duration
+	joinedWarmFleet bool // other dispatchers serve already, so some stages are shortened
+	timedOut        bool // the previous stage was left by its timeout
 }
 
-// NewMachine begins at a time of the dispatcher's monotonic clock.
-func NewMachine(now time.Duration, b Timeouts) *Machine { return &Machine{bounds: b, since: now} }
+// NewMachine returns a machine that starts at now, a time of the dispatcher's monotonic clock.
+func NewMachine(now time.Duration, t Timeouts) *Machine { return &Machine{timeouts: t, since: now} }
 
-// Current gives the stage and since when it lasts.
+// Current returns the present stage and the time at which it began.
 func (m *Machine) Current() (Stage, time.Duration) { return m.stage, m.since }
 
-// JoinedWarmFleet tells whether this start is one beside others that serve.
-func (m *Machine) JoinedWarmFleet() bool { return m.lone }
+// JoinedWarmFleet reports whether other dispatchers were serving already when this one started.
+func (m *Machine) JoinedWarmFleet() bool { return m.joinedWarmFleet }
 
-// Step goes as far as the facts let it, and says what the dispatcher may do, and what it waits for.
+// Step advances through as many stages as the facts allow. It returns what the dispatcher may do and
+// what it waits for.
 func (m *Machine) Step(now time.Duration, f Facts) Permissions {
 	for m.stage < Serving {
-		wait, over := m.waits(now, f)
-		if wait != "" && !over {
-			return m.manner(f, wait)
+		reason, expired := m.waitReason(now, f)
+		if reason != "" && !expired {
+			return m.permissions(f, reason)
 		}
-		m.late = wait != ""
+		m.timedOut = reason != ""
 		m.stage, m.since = m.stage+1, now
-		if m.stage == Admit && m.lone {
-			m.stage = Serving // in a warm fleet nothing is to be ramped
+		if m.stage == Admit && m.joinedWarmFleet {
+			m.stage = Serving // replicas of a warm fleet need no ramp
 		}
 	}
-	return m.manner(f, "")
+	return m.permissions(f, "")
 }
 
-// waits tells what the stage waits for, empty where it is done, and whether its time is over. The first three have no time: without
-// files that are read, others and a lease nothing safe can be done, and what is done without a lease `agree.alone` says.
-func (m *Machine) waits(now time.Duration, f Facts) (wait string, over bool) {
-	spent := now - m.since
+// waitReason returns what the present stage waits for, empty if the stage is complete, and whether
+// its timeout has expired. There is no timeout for checked files, a majority of the voters and a
+// lease, as nothing is safe without them. What a dispatcher may do without a lease is up to the
+// setting agree.alone.
+func (m *Machine) waitReason(now time.Duration, f Facts) (reason string, expired bool) {
+	elapsed := now - m.since
 	switch m.stage {
 	case CheckDisk:
 		if !f.DiskChecked {
 			return "its own files are being checked", false
 		}
 	case FindOthers:
-		m.lone = f.WarmMember
+		m.joinedWarmFleet = f.WarmMember
 		if !f.WarmMember && f.VotersAnswered < f.Voters {
-			return fmt.Sprintf("%d of %d voters have answered", f.VotersAnswered, f.Voters), f.VotersAnswered > f.Voters/2 && spent >= m.bounds.Find
+			return fmt.Sprintf("%d of %d voters have answered", f.VotersAnswered, f.Voters), f.VotersAnswered > f.Voters/2 && elapsed >= m.timeouts.Find
 		}
 	case Agree:
 		if !f.HasLease {
@@ -115,26 +123,28 @@
 		switch {
 		case !f.ListApplied:
 			return "no list of replicas is agreed on yet", false
-		case !f.ListFresh && !m.lone: // without it all replicas count as started with this dispatcher
-			return "the register has not been read since the start", spent >= m.bounds.Learn
+		case !f.ListFresh && !m.joinedWarmFleet:
+			// After the timeout all replicas count as started together with this dispatcher.
+			return "the register has not been read since the start", elapsed >= m.timeouts.Learn
 		}
 	case Admit:
 		switch {
 		case !f.ReplicasWarm:
-			return "replicas are warming up", spent >= m.bounds.Admit
+			return "replicas are warming up", elapsed >= m.timeouts.Admit
 		case f.Throttled:
-			return "more come than replicas have proven to bear", spent >= m.bounds.Admit+m.bounds.Surge
+			return "more come than replicas have proven to bear", elapsed >= m.timeouts.Admit+m.timeouts.Surge
 		}
 	}
 	return "", false
 }
 
-func (m *Machine) manner(f Facts, wait string) Permissions {
-	w := Permissions{AcceptRequests: m.stage >= Admit && f.HasLease, LimitRate: m.stage == Admit, Reason: wait}
-	// What must not run twice comes only where it is known what may have run.
+// permissions returns what the dispatcher may do in the present stage while it waits for reason.
+func (m *Machine) permissions(f Facts, reason string) Permissions {
+	w := Permissions{AcceptRequests: m.stage >= Admit && f.HasLease, LimitRate: m.stage == Admit, Reason: reason}
+	// Requests that must not run twice are accepted only once it is known which of them may have run.
 	w.AcceptAtMostOnce = w.AcceptRequests && f.IntentsKnown
-	if m.stage == Serving && m.late && !f.ReplicasWarm {
-		w.LimitRate = true // replicas took longer than they say: their share stays that of cold ones
+	if m.stage == Serving && m.timedOut && !f.ReplicasWarm {
+		w.LimitRate = true // replicas warm up later than configured; they keep the share of cold ones
 	}
 	if w.AcceptRequests && !w.AcceptAtMostOnce && w.Reason == "" {
 		w.Reason = "instructions wait: what may have run is not known to a majority of the voters yet"
--- a/internal/recovery/known_test.go
+++ b/internal/recovery/warmrates_test.go
@@ -12,8 +12,9 @@
 
 var kinds = []logic.Kind{{Name: "reader", Role: logic.Reader}, {Name: "small", Role: logic.Writer}, {Name: "large", Role: logic.Writer}}
 
-// Whatever was borne by some weights, the capacity of the same weights is that rate, and of fewer ones less.
-func TestCapacityIsWhatWasBorne(t *testing.T) {
+// The capacity of the weights that served a rate is that rate, and the capacity of lower weights is
+// lower.
+func TestCapacityMatchesServedRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weight := rapid.Float64Range(0.1, 50)
 		w := map[string]float64{"reader": weight.Draw(t, "readers"), "small": weight.Draw(t, "small"), "large": weight.Draw(t, "large")}
@@ -21,37 +22,37 @@
 		rate := (float64(n) - 2*math.Sqrt(float64(n))) / 10
 		k := MeasureWarmRates(n, over, w, kinds)
 		if c := k.Capacity(w, kinds); math.Abs(c-rate) > 1e-6*rate {
-			t.Fatalf("%v of %v", c, rate)
+			t.Fatalf("capacity %v, want %v", c, rate)
 		}
-		name := rapid.SampledFrom([]string{"reader", "small", "large"}).Draw(t, "less of")
+		name := rapid.SampledFrom([]string{"reader", "small", "large"}).Draw(t, "reduced kind")
 		w[name] /= 2
 		if c := k.Capacity(w, kinds); c >= rate {
-			t.Fatalf("%v with fewer, and all bore %v", c, rate)
+			t.Fatalf("capacity %v with reduced weights, want less than %v", c, rate)
 		}
 		if c := k.Capacity(map[string]float64{"small": 1}, kinds); c != 0 {
-			t.Fatalf("%v without a reader", c)
+			t.Fatalf("capacity %v without a reader, want 0", c)
 		}
-		// What was known fades, and never rises by being noted.
+		// Known rates decay, and merging measured ones never raises them above both inputs.
 		later := k.Merge(MeasureWarmRates(n/2, over, w, kinds), time.Duration(rapid.IntRange(0, 1000).Draw(t, "hours"))*time.Hour)
 		for kind, x := range later {
 			if x > max(k[kind], rate/2/min(w["reader"], w["small"]+w["large"]))+1e-9 {
-				t.Fatalf("%s: %v", kind, x)
+				t.Fatalf("%s: merged rate %v", kind, x)
 			}
 		}
 	})
 }
 
-func TestKnownIsChecked(t *testing.T) {
+func TestWarmRatesAreValidated(t *testing.T) {
 	if k := MeasureWarmRates(4, time.Minute, map[string]float64{"reader": 1, "small": 1}, kinds); len(k) > 0 {
-		t.Errorf("a quiet hour tells %v", k)
+		t.Errorf("low load yields rates: %v", k)
 	}
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1)} {
 		if (WarmRates{"reader": bad}).Valid() {
-			t.Errorf("%v is taken", bad)
+			t.Errorf("%v is accepted as a rate", bad)
 		}
 	}
-	day := WarmRates{"reader": 8}.Merge(nil, 24*time.Hour)
-	if day["reader"] != 4 || !day.Changed(WarmRates{"reader": 8}) || day.Changed(WarmRates{"reader": 4.1}) || !day.Changed(nil) {
-		t.Errorf("%v", day)
+	dayOld := WarmRates{"reader": 8}.Merge(nil, 24*time.Hour)
+	if dayOld["reader"] != 4 || !dayOld.Changed(WarmRates{"reader": 8}) || dayOld.Changed(WarmRates{"reader": 4.1}) || !dayOld.Changed(nil) {
+		t.Errorf("after a day: %v", dayOld)
 	}
 }
