--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,7 @@
-// Package peers carries what dispatchers say to each other: calls over HTTP at an address of its own. It is bounded in
-// size, rate, connections and queue. What is not from this cluster, from nobody known or too large is dropped, counted
-// by its cause, and logged now and then. It decides nothing.
+// Package peers is the transport between dispatchers: calls over HTTP at an address of its own, with
+// bounded sizes, rates, connections and queues. Calls from another cluster or from an unknown sender
+// and calls that are too large are dropped, counted by cause, and logged at a limited rate. The
+// package makes no decisions of its own.
 package peers
 
 import (
@@ -22,25 +23,26 @@
 )
 
 const (
-	headerCluster = "X-Cluster"    // its name
-	headerID      = "X-Cluster-Id" // and what was drawn when it was founded; 0 from who does not know it yet
-	headerMember  = "X-Member"
-
-	callTime  = 5 * time.Second // for a call to be whole, and for its answer to be taken
-	idleTime  = 30 * time.Second
-	smallCall = 1 << 20 // bytes
-	// RaftPath is the path of the voters' frames, which may hold a snapshot.
+	headerCluster = "X-Cluster" // name of the cluster
+	// Random number of the cluster, drawn at its bootstrap; 0 if the sender does not know it yet.
+	headerID     = "X-Cluster-Id"
+	headerMember = "X-Member"
+
+	callTimeout = 5 * time.Second // to receive a call, and to send its answer
+	idleTimeout = 30 * time.Second
+	maxCall     = 1 << 20 // bytes; RaftPath and ReadingPath allow maxLargeCall
+	// RaftPath is the path of Raft frames between voters, which may hold a snapshot.
 	RaftPath = "/agree/raft"
-	// ReadingPath is the path of what a reader of the register heard: a whole list.
-	ReadingPath = "/agree/reading"
-	largeCall   = 8 << 20
-	answerMost  = 16 << 20
+	// ReadingPath is the path by which a dispatcher that reads the registry reports a complete list.
+	ReadingPath  = "/agree/reading"
+	maxLargeCall = 8 << 20
+	maxAnswer    = 16 << 20
 
-	rateUsual = 1000 // calls a second from one sender, and as many at once
-	logEvery  = 10 * time.Second
+	callRate    = 1000             // calls per second from one sender, and as many in one burst
+	logInterval = 10 * time.Second // between log lines of one cause
 )
 
-// Causes for which something is dropped.
+// The causes for which a call or a frame is dropped.
 const (
 	OtherCluster = "cluster"
 	NotMember    = "sender"
@@ -50,53 +52,54 @@
 	Malformed    = "form"
 )
 
-// Counts are the figures of all that was said. They may be read from any goroutine.
+// Counts holds the numbers of calls and bytes in both directions, and of drops by cause. It may be
+// read from any goroutine.
 type Counts struct {
 	In, Out, BytesIn, BytesOut atomic.Int64
 
 	mu      sync.Mutex
 	dropped map[string]int64
-	said    map[string]time.Time
+	logged  map[string]time.Time // last log line of each cause
 }
 
-// RecordDrop books something that was dropped and logs it, one line for each cause in a while.
-func (c *Counts) RecordDrop(cause, who, what string) {
+// RecordDrop counts a dropped call or frame and logs it, at most one line per cause and logInterval.
+func (c *Counts) RecordDrop(cause, sender, detail string) {
 	c.mu.Lock()
 	if c.dropped == nil {
-		c.dropped, c.said = map[string]int64{}, map[string]time.Time{}
+		c.dropped, c.logged = map[string]int64{}, map[string]time.Time{}
 	}
 	c.dropped[cause]++
-	n, quiet := c.dropped[cause], time.Since(c.said[cause]) < logEvery
-	if !quiet {
-		c.said[cause] = time.Now()
+	n, suppressed := c.dropped[cause], time.Since(c.logged[cause]) < logInterval
+	if !suppressed {
+		c.logged[cause] = time.Now()
 	}
 	c.mu.Unlock()
-	if !quiet {
-		slog.Warn("peers: dropped", "cause", cause, "from", who, "total", n, "what", what)
+	if !suppressed {
+		slog.Warn("peers: dropped", "cause", cause, "from", sender, "total", n, "what", detail)
 	}
 }
 
-// Dropped gives the causes with their counts.
+// Dropped returns the number of drops by cause.
 func (c *Counts) Dropped() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.dropped)
 }
 
-// Caller is who calls.
+// Caller identifies the sender of a call.
 type Caller struct {
 	Name      string
-	ClusterID uint64 // 0 where it does not know yet
+	ClusterID uint64 // 0 if the caller does not know it yet
 }
 
-// Handler answers a call. A nil answer with an error is told as such.
+// Handler answers a call. An error is returned to the caller in place of an answer.
 type Handler func(from Caller, path string, body []byte) ([]byte, error)
 
-// Server answers calls.
+// Server receives calls, checks their senders and passes them to Handle.
 type Server struct {
-	Cluster   string
-	ClusterID func() uint64          // the cluster's number, 0 while it is not known
-	IsMember  func(name string) bool // members
+	Cluster   string        // name
+	ClusterID func() uint64 // number of the cluster, 0 while it is not known
+	IsMember  func(name string) bool
 	Handle    Handler
 	Counts    *Counts
 
@@ -106,7 +109,7 @@
 	http  *fasthttp.Server
 }
 
-// Start listens at an address, for at most so many connections.
+// Start listens at an address and accepts at most conns connections at once.
 func (s *Server) Start(addr string, conns int) error {
 	s.rates = map[string]*rate.Limiter{}
 	ln, err := net.Listen("tcp", addr)
@@ -115,13 +118,13 @@
 	}
 	s.ln = ln
 	s.http = &fasthttp.Server{
-		Handler: s.serve, Concurrency: conns, ReadTimeout: callTime, WriteTimeout: callTime, IdleTimeout: idleTime, ReadBufferSize: 4 << 10,
-		MaxRequestBodySize: largeCall, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, Logger: front.DiscardLogger{},
+		Handler: s.serve, Concurrency: conns, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: idleTimeout, ReadBufferSize: 4 << 10,
+		MaxRequestBodySize: maxLargeCall, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, Logger: front.DiscardLogger{},
 		HeaderReceived: func(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 			if path := string(h.RequestURI()); path == RaftPath || path == ReadingPath {
 				return fasthttp.RequestConfig{}
 			}
-			return fasthttp.RequestConfig{MaxRequestBodySize: smallCall}
+			return fasthttp.RequestConfig{MaxRequestBodySize: maxCall}
 		},
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
 			cause := Malformed
@@ -140,9 +143,9 @@
 	return nil
 }
 
-// Close stops answering.
+// Close stops accepting connections.
 func (s *Server) Close() {
-	_ = s.ln.Close() // what is still open ends with the process
+	_ = s.ln.Close() // open connections end with the process
 }
 
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
@@ -156,15 +159,15 @@
 	own := s.ClusterID()
 	switch name := string(h.Peek(headerCluster)); {
 	case err != nil || !ctx.IsPost():
-		s.turnAway(ctx, Malformed, from.Name, "not a call of this program", fasthttp.StatusBadRequest)
+		s.reject(ctx, Malformed, from.Name, "not a call of this program", fasthttp.StatusBadRequest)
 	case name != s.Cluster:
-		s.turnAway(ctx, OtherCluster, from.Name, fmt.Sprintf("of cluster %q, this is %q", name, s.Cluster), fasthttp.StatusForbidden)
+		s.reject(ctx, OtherCluster, from.Name, fmt.Sprintf("of cluster %q, this is %q", name, s.Cluster), fasthttp.StatusForbidden)
 	case id != 0 && own != 0 && id != own:
-		s.turnAway(ctx, OtherCluster, from.Name, fmt.Sprintf("of cluster number %x, this is %x: a cluster of the same name that was founded apart", id, own), fasthttp.StatusForbidden)
+		s.reject(ctx, OtherCluster, from.Name, fmt.Sprintf("of cluster number %x, this is %x: a cluster of the same name that was founded apart", id, own), fasthttp.StatusForbidden)
 	case !s.IsMember(from.Name):
-		s.turnAway(ctx, NotMember, from.Name, "neither a voter nor among agree.others", fasthttp.StatusForbidden)
+		s.reject(ctx, NotMember, from.Name, "neither a voter nor among agree.others", fasthttp.StatusForbidden)
 	case !s.limiter(from.Name).Allow():
-		s.turnAway(ctx, RateLimited, from.Name, "more than its share of calls", fasthttp.StatusTooManyRequests)
+		s.reject(ctx, RateLimited, from.Name, "more than its share of calls", fasthttp.StatusTooManyRequests)
 	default:
 		answer, err := s.Handle(from, string(ctx.Path()), body)
 		if err != nil {
@@ -176,53 +179,57 @@
 	}
 }
 
-func (s *Server) turnAway(ctx *fasthttp.RequestCtx, cause, who, text string, status int) {
-	s.Counts.RecordDrop(cause, who, text)
+// reject records a call as dropped and answers it with an error.
+func (s *Server) reject(ctx *fasthttp.RequestCtx, cause, sender, text string, status int) {
+	s.Counts.RecordDrop(cause, sender, text)
 	ctx.Error(text, status)
 }
 
+// limiter returns the rate limiter of a member.
 func (s *Server) limiter(name string) *rate.Limiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.rates[name] // names are those of members, so there are only so many
+	l := s.rates[name] // bounded, as only names of members get here
 	if l == nil {
-		l = rate.NewLimiter(rateUsual, rateUsual)
+		l = rate.NewLimiter(callRate, callRate)
 		s.rates[name] = l
 	}
 	return l
 }
 
-// ErrRemote is an error that the other side has told.
+// ErrRemote marks an error that the remote dispatcher has returned. Its text is empty, as the wrapping
+// error has the text of the remote one.
 var ErrRemote = errors.New("")
 
-// Link leads to one dispatcher.
+// Link is the client side of the transport to one dispatcher.
 type Link struct {
-	addr    string
-	cluster string
-	member  string
-	id      func() uint64
-	counts  *Counts
-	client  *fasthttp.HostClient
-	heard   atomic.Bool
+	addr     string
+	cluster  string
+	member   string
+	id       func() uint64
+	counts   *Counts
+	client   *fasthttp.HostClient
+	answered atomic.Bool
 }
 
-// Answered tells whether the other side has ever answered.
-func (l *Link) Answered() bool { return l.heard.Load() }
+// Answered reports whether the remote dispatcher has ever answered.
+func (l *Link) Answered() bool { return l.answered.Load() }
 
-const linkConns = 4 // at once to one dispatcher
+const maxLinkConns = 4 // open at once to one dispatcher
 
-// NewLink makes a link to an address, over which a member of a cluster speaks.
+// NewLink returns a link to an address, over which calls are sent in the name of a member of a
+// cluster.
 func NewLink(addr, cluster, member string, id func() uint64, counts *Counts) *Link {
 	return &Link{addr: addr, cluster: cluster, member: member, id: id, counts: counts, client: &fasthttp.HostClient{
-		Addr: addr, MaxConns: linkConns, MaxIdleConnDuration: idleTime / 2, MaxResponseBodySize: answerMost, NoDefaultUserAgentHeader: true,
+		Addr: addr, MaxConns: maxLinkConns, MaxIdleConnDuration: idleTimeout / 2, MaxResponseBodySize: maxAnswer, NoDefaultUserAgentHeader: true,
 		Dial:                      func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, time.Second) },
 		MaxIdemponentCallAttempts: 1,
 	}}
 }
 
-// Call says something and gives the answer, or an error if it takes longer than limit. Whether it was heard is then not
-// known.
-func (l *Link) Call(path string, body []byte, limit time.Duration) ([]byte, error) {
+// Call sends a call and returns its answer, or an error if there is none within the timeout. In the
+// latter case it is not known whether the remote dispatcher has received the call.
+func (l *Link) Call(path string, body []byte, timeout time.Duration) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -234,11 +241,11 @@
 	req.SetBodyRaw(body)
 	l.counts.Out.Add(1)
 	l.counts.BytesOut.Add(int64(len(body)))
-	req.SetTimeout(limit)
+	req.SetTimeout(timeout)
 	if err := l.client.Do(req, resp); err != nil {
 		return nil, fmt.Errorf("%s%s: %w", l.addr, path, err)
 	}
-	l.heard.Store(true)
+	l.answered.Store(true)
 	l.counts.BytesIn.Add(int64(len(resp.Body())))
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return nil, fmt.Errorf("%w%s", ErrRemote, resp.Body())
@@ -246,5 +253,5 @@
 	return slices.Clone(resp.Body()), nil
 }
 
-// Close lets go of connections that are idle.
+// Close closes idle connections.
 func (l *Link) Close() { l.client.CloseIdleConnections() }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Guards: what is of another cluster, of nobody known, too large, too often or no call at all is dropped and counted by its
-// cause, and none of it reaches the handler.
-func TestOnlyMembersAreHeard(t *testing.T) {
+// Calls from another cluster or from an unknown sender, calls that are too large or too frequent, and
+// malformed ones must be dropped and counted by cause, and none of them may reach the handler.
+func TestOnlyCallsOfMembersAreHandled(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 		Handle: func(from Caller, path string, body []byte) ([]byte, error) {
 			handled++
 			if path == "/fail" {
-				return nil, errors.New("told so")
+				return nil, errors.New("handler failed")
 			}
 			return append([]byte(path+" "), body...), nil
 		}}
@@ -35,13 +35,13 @@
 	link := func(cluster, member string, n uint64) *Link { return NewLink(addr, cluster, member, id(n), &Counts{}) }
 	good := link("one", "a", 7)
 	if text, err := good.Call("/x", []byte("hi"), time.Second); string(text) != "/x hi" || err != nil {
-		t.Fatalf("%q %v", text, err)
+		t.Fatalf("answer %q, error %v", text, err)
 	}
-	if _, err := good.Call("/fail", nil, time.Second); err == nil || !strings.Contains(err.Error(), "told so") {
-		t.Errorf("%v", err)
+	if _, err := good.Call("/fail", nil, time.Second); err == nil || !strings.Contains(err.Error(), "handler failed") {
+		t.Errorf("error of the handler is lost: %v", err)
 	}
 	if _, err := link("one", "a", 0).Call("/x", nil, time.Second); err != nil {
-		t.Errorf("a newcomer that does not know the number yet: %v", err)
+		t.Errorf("a new member that does not know the number of the cluster yet: %v", err)
 	}
 	before := handled
 	for cause, call := range map[string]func() error{
@@ -53,7 +53,7 @@
 			return err
 		},
 		NotMember: func() error { _, err := link("one", "b", 7).Call("/x", nil, time.Second); return err },
-		TooLarge:  func() error { _, err := good.Call("/x", make([]byte, smallCall+1), time.Second); return err },
+		TooLarge:  func() error { _, err := good.Call("/x", make([]byte, maxCall+1), time.Second); return err },
 		Malformed: func() error {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -66,32 +66,32 @@
 			if string(b) != "HTTP/1.1 400" {
 				return nil
 			}
-			return errors.New("turned away")
+			return errors.New("rejected")
 		},
 	} {
 		if call() == nil || s.Counts.Dropped()[cause] == 0 {
-			t.Errorf("%s: taken, %v", cause, s.Counts.Dropped())
+			t.Errorf("%s: accepted; drops: %v", cause, s.Counts.Dropped())
 		}
 	}
 	if handled != before {
 		t.Errorf("%d calls reached the handler", handled-before)
 	}
 	var last error
-	for range 2 * rateUsual {
+	for range 2 * callRate {
 		if _, last = good.Call("/x", nil, time.Second); last != nil {
 			break
 		}
 	}
 	if last == nil || s.Counts.Dropped()[RateLimited] == 0 {
-		t.Errorf("a flood was taken: %v", last)
+		t.Errorf("calls beyond the rate limit were accepted: %v", last)
 	}
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	began := time.Now()
-	if _, err := NewLink(silent.Addr().String(), "one", "a", id(7), &Counts{}).Call("/x", nil, 100*time.Millisecond); err == nil || time.Since(began) > 5*time.Second {
-		t.Errorf("one that says nothing: %v after %v", err, time.Since(began))
+	defer unresponsive.Close()
+	start := time.Now()
+	if _, err := NewLink(unresponsive.Addr().String(), "one", "a", id(7), &Counts{}).Call("/x", nil, 100*time.Millisecond); err == nil || time.Since(start) > 5*time.Second {
+		t.Errorf("call to a dispatcher that does not answer: error %v after %v", err, time.Since(start))
 	}
 }
