--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -12,28 +12,28 @@
 // call is one without a body, which is no attempt.
 type call struct {
 	addr, method, path string
-	limit              time.Duration
+	timeout            time.Duration
 	urgent             bool // if need be beyond the pool's bound
-	fresh              bool // likewise, and on a new connection, as an idle one may have fallen silent
+	newConn            bool // likewise, and on a new connection, as an idle one may have fallen silent
 }
 
-// make makes a call and gives the status of its answer. The end of ctx ends it, and gives its connection's place free.
-func (p *Pool) make(ctx context.Context, q call) (status int, err error) {
-	until := time.Now().Add(q.limit)
+// do makes a call and gives the status of its answer. The end of ctx ends it, and gives its connection's place free.
+func (p *Pool) do(ctx context.Context, q call) (status int, err error) {
+	until := time.Now().Add(q.timeout)
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
-	c, err := (*conn)(nil), errNoRoom
-	if !q.fresh {
+	c, err := (*conn)(nil), errPoolExhausted
+	if !q.newConn {
 		c, err = p.get(ctx, q.addr, false)
 	}
-	if errors.Is(err, errNoRoom) && q.urgent {
-		c, err = p.dial(ctx, q.addr, freshMost)
+	if errors.Is(err, errPoolExhausted) && q.urgent {
+		c, err = p.dial(ctx, q.addr, maxExtra)
 	}
 	if err != nil {
 		return 0, err
 	}
 	_ = c.SetDeadline(until) // a failure shows in the write
-	unhook := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(-time.Second)) })
+	stopInterrupt := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(-time.Second)) })
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -46,9 +46,9 @@
 		err = bw.Flush()
 	}
 	if err == nil {
-		err = resp.ReadLimitBody(c.br, smallAnswer)
+		err = resp.ReadLimitBody(c.br, maxSmallAnswer)
 	}
-	if !unhook() || err != nil || resp.ConnectionClose() {
+	if !stopInterrupt() || err != nil || resp.ConnectionClose() {
 		p.drop(c)
 	} else {
 		p.put(c)
--- a/internal/replica/late_test.go
+++ b/internal/replica/dial_test.go
@@ -10,8 +10,8 @@
 	"standpulley/logic"
 )
 
-// deaf gives an address whose connections never come up: its queue of new ones is full, and nobody takes any.
-func deaf(t *testing.T) string {
+// unacceptingAddr gives an address whose connections never come up: its queue of new ones is full, and nobody takes any.
+func unacceptingAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -41,7 +41,7 @@
 // A connection that does not come up in the settings' time proves that nothing ran, and holds no place of the pool; an attempt that is
 // given up meanwhile ends at once.
 func TestConnectionThatNeverComesUp(t *testing.T) {
-	addr, pool := deaf(t), NewPool(4, 0, 50*time.Millisecond)
+	addr, pool := unacceptingAddr(t), NewPool(4, 0, 50*time.Millisecond)
 	rep, _ := send(pool, addr, 10*time.Second, "b")
 	if got := rep.result(t); got.Outcome != logic.ConnectFailed {
 		t.Errorf("%+v", got)
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -20,8 +20,8 @@
 	StallTimeout time.Duration
 
 	mu          sync.Mutex
-	most        int           // connections open at once
-	idleMost    time.Duration // a connection that has stood idle for longer is not used again
+	maxOpen     int           // connections open at once
+	maxIdleTime time.Duration // a connection that has stood idle for longer is not used again
 	dialTimeout time.Duration
 	open        int
 	counts      PoolCounts
@@ -57,23 +57,23 @@
 }
 
 const (
-	retireAt   = 0.8                  // part of the replica's idle time after which we close first
-	idleAtMost = 8                    // connections to a replica that idle at once: each takes a place there too
-	settle     = 2 * time.Millisecond // some round trips
+	retireShare       = 0.8                  // part of the replica's idle time after which we close first
+	maxIdlePerReplica = 8                    // connections to a replica that idle at once: each takes a place there too
+	settleTime        = 2 * time.Millisecond // some round trips
 	// A replica may say a further answer some milliseconds after the one that was read. It must be seen before the next request is sent,
 	// whose answer it would be taken for.
-	restLeast = 30 * time.Millisecond
+	minRest = 30 * time.Millisecond
 	// Connections beyond the bound for calls that must not wait behind attempts. They come out of what the process keeps free.
-	freshMost   = 8
-	keptFrom    = 32 // a pool of so many connections keeps one in keptPart of them for such calls
-	keptPart    = 32
-	readBuffer  = 8 << 10
-	writeBuffer = 16 << 10
+	maxExtra     = 8
+	reserveFrom  = 32 // a pool of so many connections keeps one in reserveShare of them for such calls
+	reserveShare = 32
+	readBuffer   = 8 << 10
+	writeBuffer  = 16 << 10
 )
 
 var (
-	errNoRoom   = errors.New("every connection is in use")
-	errNotTaken = errors.New("the new connection was closed at once")
+	errPoolExhausted = errors.New("every connection is in use")
+	errClosedAtOnce  = errors.New("the new connection was closed at once")
 )
 
 // NewPool makes a pool of at most `most` open connections. Replicas close what has stood idle for idle.
@@ -93,7 +93,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most, p.idleMost, p.dialTimeout = most, time.Duration(retireAt*float64(idle)), dialTimeout
+	p.maxOpen, p.maxIdleTime, p.dialTimeout = most, time.Duration(retireShare*float64(idle)), dialTimeout
 }
 
 // get gives an idle connection that the replica has not closed, or a new one. An idle one may be reset by the next
@@ -106,9 +106,9 @@
 		if err != nil {
 			return nil, err
 		}
-		if time.Sleep(settle); !quiet(c.Conn) {
+		if time.Sleep(settleTime); !isQuiet(c.Conn) {
 			p.drop(c)
-			return nil, errNotTaken
+			return nil, errClosedAtOnce
 		}
 		return c, nil
 	}
@@ -117,7 +117,7 @@
 		if c == nil {
 			return p.dial(ctx, addr, 0)
 		}
-		if fresh && quiet(c.Conn) {
+		if fresh && isQuiet(c.Conn) {
 			return c, nil
 		}
 		p.drop(c)
@@ -131,10 +131,10 @@
 	defer p.mu.Unlock()
 	all := p.idle[addr]
 	for i, c := range slices.Backward(all) {
-		if rested := time.Since(c.idledAt); rested >= restLeast {
+		if rested := time.Since(c.idledAt); rested >= minRest {
 			p.idle[addr] = slices.Delete(all, i, i+1)
 			p.counts.Reused++
-			return c, rested < p.idleMost
+			return c, rested < p.maxIdleTime
 		}
 	}
 	return nil, false
@@ -164,9 +164,9 @@
 func (p *Pool) reserve(beyond int) (limit time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bound := p.most + beyond
+	bound := p.maxOpen + beyond
 	if beyond == 0 {
-		bound = p.attemptsMost()
+		bound = p.maxAttemptConns()
 	}
 	if p.open < bound {
 		p.open++
@@ -179,7 +179,7 @@
 		}
 	}
 	if oldest == nil {
-		return 0, errNoRoom
+		return 0, errPoolExhausted
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
 	_ = oldest.Close() // nothing more is wanted of it
@@ -187,12 +187,12 @@
 	return p.dialTimeout, nil
 }
 
-// attemptsMost bounds the connections of attempts: some of the pool's are kept for calls that must not wait behind them. It needs mu.
-func (p *Pool) attemptsMost() int {
-	if p.most < keptFrom {
-		return p.most
+// maxAttemptConns bounds the connections of attempts: some of the pool's are kept for calls that must not wait behind them. It needs mu.
+func (p *Pool) maxAttemptConns() int {
+	if p.maxOpen < reserveFrom {
+		return p.maxOpen
 	}
-	return p.most - p.most/keptPart
+	return p.maxOpen - p.maxOpen/reserveShare
 }
 
 func (p *Pool) free() {
@@ -211,13 +211,13 @@
 	c.idledAt = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open > p.attemptsMost() {
+	if p.open > p.maxAttemptConns() {
 		_ = c.Close() // nothing more is wanted of it
 		p.open--
 		return
 	}
 	all := append(p.idle[c.addr], c)
-	if len(all) > idleAtMost {
+	if len(all) > maxIdlePerReplica {
 		_ = all[0].Close() // nothing more is wanted of it
 		all = slices.Delete(all, 0, 1)
 		p.open--
@@ -231,8 +231,8 @@
 	p.free()
 }
 
-// doubt closes the idle connections to a replica that has been silent since a time, but for those used after it.
-func (p *Pool) doubt(addr string, since time.Time) {
+// closeSuspects closes the idle connections to a replica that has been silent since a time, but for those used after it.
+func (p *Pool) closeSuspects(addr string, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[addr] = slices.DeleteFunc(p.idle[addr], func(c *conn) bool {
@@ -245,11 +245,11 @@
 	})
 }
 
-const sweepEvery = time.Second
+const sweepInterval = time.Second
 
 // Sweep closes connections that have stood idle for long, until ctx ends.
 func (p *Pool) Sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -257,18 +257,18 @@
 			return
 		case <-tick.C:
 		}
-		for _, c := range p.stale() {
+		for _, c := range p.takeExpired() {
 			p.drop(c)
 		}
 	}
 }
 
-// stale takes out the idle connections that nobody will use again.
-func (p *Pool) stale() (old []*conn) {
+// takeExpired takes out the idle connections that nobody will use again.
+func (p *Pool) takeExpired() (old []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, all := range p.idle {
-		for len(all) > 0 && time.Since(all[0].idledAt) >= p.idleMost {
+		for len(all) > 0 && time.Since(all[0].idledAt) >= p.maxIdleTime {
 			old, all = append(old, all[0]), all[1:]
 		}
 		if p.idle[addr] = all; len(all) == 0 {
@@ -278,9 +278,9 @@
 	return old
 }
 
-// quiet tells whether the other side of an idle connection has neither closed it nor sent anything. What is
+// isQuiet tells whether the other side of an idle connection has neither closed it nor sent anything. What is
 // written to a closed one would end as a reset, which proves nothing of whether it ran.
-func quiet(c net.Conn) bool {
+func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -10,7 +10,7 @@
 
 // Guards: a probe tells in time whether a replica is well, whatever the replica does, and keeps no connection too many.
 func TestProbes(t *testing.T) {
-	closed := replicaOf(t, func(*standin.Exchange) {})
+	closed := startReplica(t, func(*standin.Exchange) {})
 	closed.Close()
 	for name, c := range map[string]struct {
 		act  func(*standin.Exchange)
@@ -25,13 +25,13 @@
 	} {
 		r := closed
 		if c.act != nil {
-			r = replicaOf(t, c.act)
+			r = startReplica(t, c.act)
 		}
 		pool := NewPool(1, 0, 0)
 		told := make(chan logic.Outcome, 2)
 		from := time.Now()
 		Prober{Pool: pool}.Probe(r.Addr, func(o logic.Outcome) { told <- o })
-		if got := <-told; got != c.want || time.Since(from) > probeTime+200*time.Millisecond {
+		if got := <-told; got != c.want || time.Since(from) > probeTimeout+200*time.Millisecond {
 			t.Errorf("%s: %v after %v, want %v", name, got, time.Since(from), c.want)
 		}
 		if c.act != nil {
--- a/internal/replica/release.go
+++ b/internal/replica/release.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	releaseTry   = 250 * time.Millisecond // a call without an answer is given up
-	releaseNext  = 40 * time.Millisecond  // and before that the next replica is asked beside it
-	releasePause = 50 * time.Millisecond  // after all of them have been asked
-	releaseFor   = 5 * time.Second        // what is held is long overdue by then
-	releaseMost  = 64                     // requests for which calls are under way at once
-	releaseWait  = 1024                   // and waiting; beyond that replicas free what they hold by themselves, later
-	illFor       = time.Second            // a replica that left a call unanswered is asked last for so long
-	releaseCalls = 32                     // calls at once: each holds a connection that attempts want too
+	releaseCallTimeout = 250 * time.Millisecond // a call without an answer is given up
+	releaseHedgeDelay  = 40 * time.Millisecond  // and before that the next replica is asked beside it
+	releaseRoundPause  = 50 * time.Millisecond  // after all of them have been asked
+	releaseTimeout     = 5 * time.Second        // what is held is long overdue by then
+	maxActiveReleases  = 64                     // requests for which calls are under way at once
+	maxWaitingReleases = 1024                   // and waiting; beyond that replicas free what they hold by themselves, later
+	unresponsiveFor    = time.Second            // a replica that left a call unanswered is asked last for so long
+	maxReleaseCalls    = 32                     // calls at once: each holds a connection that attempts want too
 )
 
 // Releaser makes the calls that let go of what replicas hold for a request.
 type Releaser struct {
-	pool  *Pool
-	room  chan struct{} // held by a request for which calls are made
-	calls chan struct{} // held by a call
-
-	mu   sync.Mutex           // for all below
-	open int                  // releases under way or waiting
-	now  map[string]*release  // by request
-	ill  map[string]time.Time // when replicas last left a call unanswered
+	pool      *Pool
+	slots     chan struct{} // held by a request for which calls are made
+	callSlots chan struct{} // held by a call
+
+	mu           sync.Mutex           // for all below
+	open         int                  // releases under way or waiting
+	current      map[string]*release  // by request
+	unresponsive map[string]time.Time // when replicas last left a call unanswered
 }
 
 // release is what is under way for one request.
 type release struct {
-	id        string
-	addrs     []string
-	passed    chan struct{} // closed when a later one for the same request has taken its place
-	confirmed []func()      // called when a replica has answered; guarded by the Releaser
+	id          string
+	addrs       []string
+	superseded  chan struct{} // closed when a later one for the same request has taken its place
+	onConfirmed []func()      // called when a replica has answered; guarded by the Releaser
 }
 
 // NewReleaser makes calls on the pool's connections.
 func NewReleaser(pool *Pool) *Releaser {
-	return &Releaser{pool: pool, room: make(chan struct{}, releaseMost), calls: make(chan struct{}, releaseCalls), now: map[string]*release{}, ill: map[string]time.Time{}}
+	return &Releaser{pool: pool, slots: make(chan struct{}, maxActiveReleases), callSlots: make(chan struct{}, maxReleaseCalls), current: map[string]*release{}, unresponsive: map[string]time.Time{}}
 }
 
 // Release asks the replicas in turn, and again from the first, until one has answered: each of them can release everything. None of
@@ -66,49 +66,49 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open >= releaseMost+releaseWait {
+	if l.open >= maxActiveReleases+maxWaitingReleases {
 		log.Printf("release %s: too many calls wait", id)
 		return
 	}
 	l.open++
-	addrs = l.wellFirst(addrs)
-	r := &release{id: id, addrs: slices.Insert(addrs, 0, addrs[0]), passed: make(chan struct{}), confirmed: []func(){confirmed}}
-	if before := l.now[id]; before != nil {
-		r.confirmed = append(r.confirmed, before.confirmed...)
-		close(before.passed)
+	addrs = l.responsiveFirst(addrs)
+	r := &release{id: id, addrs: slices.Insert(addrs, 0, addrs[0]), superseded: make(chan struct{}), onConfirmed: []func(){confirmed}}
+	if before := l.current[id]; before != nil {
+		r.onConfirmed = append(r.onConfirmed, before.onConfirmed...)
+		close(before.superseded)
 	}
-	l.now[id] = r
+	l.current[id] = r
 	go l.run(r)
 }
 
 func (l *Releaser) run(r *release) {
 	answered := false
 	select {
-	case l.room <- struct{}{}:
-		answered = l.ask(r)
-		<-l.room
-	case <-r.passed:
+	case l.slots <- struct{}{}:
+		answered = l.callReplicas(r)
+		<-l.slots
+	case <-r.superseded:
 	}
 	l.mu.Lock()
 	l.open--
-	if l.now[r.id] == r {
-		delete(l.now, r.id)
+	if l.current[r.id] == r {
+		delete(l.current, r.id)
 	} else {
 		answered = false // the later one tells
 	}
 	l.mu.Unlock()
 	if answered {
-		for _, tell := range r.confirmed {
+		for _, tell := range r.onConfirmed {
 			tell()
 		}
 	}
 }
 
-// ask makes the calls for one request, and tells whether a replica has answered one. All open connections may have fallen silent: only the
+// callReplicas makes the calls for one request, and tells whether a replica has answered one. All open connections may have fallen silent: only the
 // first call goes out on an idle one, and the first replica is asked once more at once where that brings nothing. What fails for want of
 // something on this machine says nothing of the replica, which is asked again after a moment.
-func (l *Releaser) ask(r *release) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseFor)
+func (l *Releaser) callReplicas(r *release) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	answers := make(chan error)
 	for i := 0; ; i++ {
@@ -120,9 +120,9 @@
 			case <-ctx.Done():
 			}
 		}()
-		next := time.After(releaseNext)
+		next := time.After(releaseHedgeDelay)
 		if whole {
-			next = time.After(releasePause)
+			next = time.After(releaseRoundPause)
 		}
 	wait:
 		for {
@@ -135,9 +135,9 @@
 					break wait
 				}
 			case <-next:
-				l.told(addr, errSlow) // until it answers
+				l.recordAnswer(addr, errSlow) // until it answers
 				break wait
-			case <-r.passed:
+			case <-r.superseded:
 				return false
 			case <-ctx.Done():
 				log.Printf("release %s: no replica has answered", r.id)
@@ -149,24 +149,24 @@
 
 // AwaitIdle returns when no call is under way, or when ctx ends.
 func (l *Releaser) AwaitIdle(ctx context.Context) {
-	for l.underWay() > 0 && ctx.Err() == nil {
+	for l.openReleases() > 0 && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// underWay counts the releases that are under way or wait.
-func (l *Releaser) underWay() int {
+// openReleases counts the releases that are under way or wait.
+func (l *Releaser) openReleases() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// wellFirst puts the replicas last that left a call unanswered lately: any of them can release everything. It needs mu.
-func (l *Releaser) wellFirst(addrs []string) []string {
+// responsiveFirst puts the replicas last that left a call unanswered lately: any of them can release everything. It needs mu.
+func (l *Releaser) responsiveFirst(addrs []string) []string {
 	order := make([]string, 0, len(addrs)+1)
 	var ill []string
 	for _, addr := range addrs {
-		if at, is := l.ill[addr]; is && time.Since(at) < illFor {
+		if at, is := l.unresponsive[addr]; is && time.Since(at) < unresponsiveFor {
 			ill = append(ill, addr)
 		} else {
 			order = append(order, addr)
@@ -177,21 +177,21 @@
 
 var errSlow = errors.New("no answer yet")
 
-// told books whether a replica has answered a call.
-func (l *Releaser) told(addr string, err error) {
+// recordAnswer books whether a replica has answered a call.
+func (l *Releaser) recordAnswer(addr string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
-		delete(l.ill, addr)
+		delete(l.unresponsive, addr)
 	} else if !localShortage(err) && !errors.Is(err, context.Canceled) {
-		l.ill[addr] = time.Now()
+		l.unresponsive[addr] = time.Now()
 	}
 }
 
 // ReleaseAt asks one replica once, and calls then with whether it has answered, from any goroutine.
 func (l *Releaser) ReleaseAt(id, addr string, then func(answered bool)) {
 	go func() {
-		err := l.make(context.Background(), addr, id, true)
+		err := l.doCall(context.Background(), addr, id, true)
 		then(err == nil)
 	}()
 }
@@ -199,24 +199,24 @@
 // call makes one call, on a new connection if that is wanted, once there is room for it.
 func (l *Releaser) call(ctx context.Context, addr, id string, fresh bool) error {
 	select {
-	case l.calls <- struct{}{}:
-		defer func() { <-l.calls }()
+	case l.callSlots <- struct{}{}:
+		defer func() { <-l.callSlots }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return l.make(ctx, addr, id, fresh)
+	return l.doCall(ctx, addr, id, fresh)
 }
 
-// make makes one call.
-func (l *Releaser) make(ctx context.Context, addr, id string, fresh bool) error {
-	status, err := l.pool.make(ctx, call{addr: addr, method: fasthttp.MethodDelete, path: "/bootstrap/rooms/" + id, limit: releaseTry, urgent: true, fresh: fresh})
+// doCall makes one call.
+func (l *Releaser) doCall(ctx context.Context, addr, id string, fresh bool) error {
+	status, err := l.pool.do(ctx, call{addr: addr, method: fasthttp.MethodDelete, path: "/bootstrap/rooms/" + id, timeout: releaseCallTimeout, urgent: true, newConn: fresh})
 	if ctx.Err() != nil {
 		return ctx.Err() // another replica has answered
 	}
 	if err == nil && (status < fasthttp.StatusOK || status >= fasthttp.StatusMultipleChoices) {
 		err = fmt.Errorf("answered %d", status) // it came to somebody, who may have let go of nothing
 	}
-	l.told(addr, err)
+	l.recordAnswer(addr, err)
 	if err != nil {
 		log.Printf("release %s at %s: %v", id, addr, err)
 	}
--- a/internal/replica/release_test.go
+++ b/internal/replica/release_test.go
@@ -52,7 +52,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if l.AwaitIdle(ctx); l.underWay() != 0 {
+	if l.AwaitIdle(ctx); l.openReleases() != 0 {
 		t.Error("it goes on although it was taken")
 	}
 }
@@ -69,7 +69,7 @@
 		t.Cleanup(func() { _ = silent.Close() })
 		addrs = append(addrs, silent.Addr().String())
 	}
-	well := replicaOf(t, func(*standin.Exchange) {})
+	well := startReplica(t, func(*standin.Exchange) {})
 	l := NewReleaser(NewPool(64, 0, 0))
 	began := time.Now()
 	l.Release("id1", append(addrs, well.Addr))
@@ -88,7 +88,7 @@
 func TestReleaseWithoutReplicas(t *testing.T) {
 	l := NewReleaser(NewPool(4, 0, 0))
 	l.Release("id1", nil)
-	if l.underWay() != 0 {
+	if l.openReleases() != 0 {
 		t.Error("a call is under way")
 	}
 }
@@ -135,7 +135,7 @@
 			for _, c := range idle {
 				pool.put(c)
 			}
-			time.Sleep(restLeast)
+			time.Sleep(minRest)
 		}
 		began := time.Now()
 		NewReleaser(pool).Release("a", addrs)
@@ -150,8 +150,8 @@
 	}
 }
 
-// serverOf listens and serves each connection; those that came before silence was set are silent.
-func serverOf(t *testing.T, serve func(c net.Conn, silent bool), silence *atomic.Int64) string {
+// serverOf listens and serves each connection; those that came before silenceTime was set are silent.
+func serverOf(t *testing.T, serve func(c net.Conn, silent bool), silenceTime *atomic.Int64) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,7 +164,7 @@
 			if err != nil {
 				return
 			}
-			go serve(c, silence.Load() == 0)
+			go serve(c, silenceTime.Load() == 0)
 		}
 	}()
 	return ln.Addr().String()
@@ -173,19 +173,19 @@
 // Guards: a connection that a release had made beyond those of attempts stood idle after it, an attempt took it and kept it, and in time
 // attempts had every place that is kept for releases (soak seed 519: states held for up to 1.9 s).
 func TestAttemptsDoNotTakeTheConnectionsOfReleases(t *testing.T) {
-	pool := NewPool(keptFrom, 0, 0)
-	rep := replicaOf(t, func(x *standin.Exchange) { x.Read(0) })
-	for range keptFrom - keptFrom/keptPart {
+	pool := NewPool(reserveFrom, 0, 0)
+	rep := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
+	for range reserveFrom - reserveFrom/reserveShare {
 		if _, err := pool.get(t.Context(), rep.Addr, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for range 3 * (freshMost + keptFrom/keptPart) {
-		if _, err := pool.make(t.Context(), call{addr: rep.Addr, method: "DELETE", path: "/bootstrap/rooms/a", limit: time.Second, urgent: true}); err != nil {
+	for range 3 * (maxExtra + reserveFrom/reserveShare) {
+		if _, err := pool.do(t.Context(), call{addr: rep.Addr, method: "DELETE", path: "/bootstrap/rooms/a", timeout: time.Second, urgent: true}); err != nil {
 			t.Fatalf("a release: %v", err)
 		}
-		time.Sleep(restLeast)
-		if _, err := pool.get(t.Context(), rep.Addr, false); !errors.Is(err, errNoRoom) {
+		time.Sleep(minRest)
+		if _, err := pool.get(t.Context(), rep.Addr, false); !errors.Is(err, errPoolExhausted) {
 			t.Fatalf("an attempt beyond the bound: %v", err)
 		}
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func replicaOf(t *testing.T, act func(*standin.Exchange)) *standin.Replica {
+func startReplica(t *testing.T, act func(*standin.Exchange)) *standin.Replica {
 	t.Helper()
 	r, err := standin.Start("127.0.0.1:0", act)
 	if err != nil {
@@ -70,9 +70,9 @@
 		"410 without proof": {func(x *standin.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
 		"reset":             {func(x *standin.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
 		"head, no event":    {func(x *standin.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
-		"silence":           {func(x *standin.Exchange) { x.Gone() }, dispatch.Result{Outcome: logic.TimedOut}},
+		"no answer":         {func(x *standin.Exchange) { x.Gone() }, dispatch.Result{Outcome: logic.TimedOut}},
 	} {
-		r := replicaOf(t, c.act)
+		r := startReplica(t, c.act)
 		wait := 5 * time.Second
 		if c.want.Outcome == logic.TimedOut {
 			wait = 300 * time.Millisecond
@@ -91,8 +91,8 @@
 // event is one chunk with one event.
 const event = "a\r\ndata: {}\n\n\r\n"
 
-// say plays an answer word by word and goes on saying the last word until nobody listens.
-func say(words ...string) func(*standin.Exchange) {
+// writeRaw plays an answer word by word and goes on saying the last word until nobody listens.
+func writeRaw(words ...string) func(*standin.Exchange) {
 	return func(x *standin.Exchange) {
 		for i, w := range words {
 			if i == len(words)-1 && w == "" {
@@ -109,23 +109,23 @@
 // Guards: an answer that is spoilt before its first event is a failed attempt that has run, and it says so soon.
 func TestSpoiltBeforeTheFirstEvent(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
-		"noise":               say("\x00\x01\xff\xfe noise without end"),
-		"noise in lines":      say("what is this\r\nno head\r\n\r\n"),
-		"a head of no end":    say("HTTP/1.1 200 OK\r\nX-Filler: ", strings.Repeat("x", 1<<16)),
-		"a head that stops":   say("HTTP/1.1 200 OK\r\nContent-Type: te"),
-		"interim without end": say(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 500)),
-		"no framing":          say("HTTP/1.1 200 OK\r\n\r\n" + "data: {}\n\n"),
-		"chunk of no size":    say(head + "\r\nzz\r\ndata: {}\n\n\r\n"),
-		"negative chunk":      say(head + "\r\n-5\r\ndata: {}\n\n\r\n"),
-		"signed chunk":        say(head + "\r\n+a\r\ndata: {}\n\n\r\n"),
-		"chunk too short":     say(head + "\r\n5\r\ndata: {}\n\n\r\n"),
-		"chunk too long":      say(head + "\r\nff\r\ndata: {}\n\n\r\n"),
-		"3 GB":                say(head + "\r\nc0000000\r\ndata: {}\n\n"),
-		"no event":            say(head + "\r\n0\r\n\r\n"),
+		"noise":               writeRaw("\x00\x01\xff\xfe noise without end"),
+		"noise in lines":      writeRaw("what is this\r\nno head\r\n\r\n"),
+		"a head of no end":    writeRaw("HTTP/1.1 200 OK\r\nX-Filler: ", strings.Repeat("x", 1<<16)),
+		"a head that stops":   writeRaw("HTTP/1.1 200 OK\r\nContent-Type: te"),
+		"interim without end": writeRaw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 500)),
+		"no framing":          writeRaw("HTTP/1.1 200 OK\r\n\r\n" + "data: {}\n\n"),
+		"chunk of no size":    writeRaw(head + "\r\nzz\r\ndata: {}\n\n\r\n"),
+		"negative chunk":      writeRaw(head + "\r\n-5\r\ndata: {}\n\n\r\n"),
+		"signed chunk":        writeRaw(head + "\r\n+a\r\ndata: {}\n\n\r\n"),
+		"chunk too short":     writeRaw(head + "\r\n5\r\ndata: {}\n\n\r\n"),
+		"chunk too long":      writeRaw(head + "\r\nff\r\ndata: {}\n\n\r\n"),
+		"3 GB":                writeRaw(head + "\r\nc0000000\r\ndata: {}\n\n"),
+		"no event":            writeRaw(head + "\r\n0\r\n\r\n"),
 	} {
 		pool := NewPool(4, 0, 0)
 		from := time.Now()
-		rep, _ := send(pool, replicaOf(t, act).Addr, 5*time.Second, "b")
+		rep, _ := send(pool, startReplica(t, act).Addr, 5*time.Second, "b")
 		got := rep.result(t)
 		if got.Outcome != logic.ConnectionLost || !got.NoState || time.Since(from) > 2*time.Second || len(rep.began) > 0 {
 			t.Errorf("%s: %+v after %v", name, got, time.Since(from))
@@ -139,18 +139,18 @@
 // Guards: of a stream that is spoilt later only whole events pass, it ends as not whole, and soon.
 func TestSpoiltLater(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
-		"chunk of no size":       say(head + "\r\n" + event + "zz\r\n" + event),
-		"chunk too short":        say(head + "\r\n" + event + "5\r\ndata: {}\n\n\r\n" + event),
-		"chunk too long":         say(head + "\r\n" + event + "ff\r\ndata: {}\n\n\r\n" + event),
-		"3 GB":                   say(head+"\r\n"+event+"c0000000\r\n", strings.Repeat("x", 1<<20)),
-		"size without end":       say(head+"\r\n"+event, strings.Repeat("0", 1<<16)),
-		"trailer without end":    say(head+"\r\n"+event+"0\r\n", strings.Repeat("a: b\r\n", 1<<10)),
+		"chunk of no size":       writeRaw(head + "\r\n" + event + "zz\r\n" + event),
+		"chunk too short":        writeRaw(head + "\r\n" + event + "5\r\ndata: {}\n\n\r\n" + event),
+		"chunk too long":         writeRaw(head + "\r\n" + event + "ff\r\ndata: {}\n\n\r\n" + event),
+		"3 GB":                   writeRaw(head+"\r\n"+event+"c0000000\r\n", strings.Repeat("x", 1<<20)),
+		"size without end":       writeRaw(head+"\r\n"+event, strings.Repeat("0", 1<<16)),
+		"trailer without end":    writeRaw(head+"\r\n"+event+"0\r\n", strings.Repeat("a: b\r\n", 1<<10)),
 		"reset":                  func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); x.Break() },
 		"no last chunk, a close": func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); _ = x.Conn.Close() },
 	} {
 		pool := NewPool(4, 0, 0)
 		pool.StallTimeout = time.Second
-		rep, _ := send(pool, replicaOf(t, act).Addr, 5*time.Second, "b")
+		rep, _ := send(pool, startReplica(t, act).Addr, 5*time.Second, "b")
 		var text []byte
 		var s dispatch.Stream
 		select {
@@ -190,7 +190,7 @@
 		"second answer": {good + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0},
 	} {
 		pool := NewPool(4, 0, 0)
-		rep, _ := send(pool, replicaOf(t, say(c.text, "")).Addr, 5*time.Second, "b")
+		rep, _ := send(pool, startReplica(t, writeRaw(c.text, "")).Addr, 5*time.Second, "b")
 		var text []byte
 		select {
 		case d := <-rep.ended:
@@ -243,7 +243,7 @@
 // Guards: an attempt that is given up closes its connection, and one that never left tells nothing of the replica.
 func TestCancel(t *testing.T) {
 	gone := make(chan bool, 1)
-	r := replicaOf(t, func(x *standin.Exchange) { x.Gone(); gone <- true })
+	r := startReplica(t, func(x *standin.Exchange) { x.Gone(); gone <- true })
 	rep, at := send(NewPool(4, 0, 0), r.Addr, 10*time.Second, "b")
 	for len(r.Calls("")) == 0 {
 		time.Sleep(time.Millisecond)
@@ -267,7 +267,7 @@
 
 // Guards: the attempt's time no longer runs once its stream is read, however long the stream.
 func TestLiveStreamIsNeverCut(t *testing.T) {
-	r := replicaOf(t, func(x *standin.Exchange) {
+	r := startReplica(t, func(x *standin.Exchange) {
 		x.Head()
 		for range 5 {
 			x.Token("a")
@@ -293,12 +293,12 @@
 
 // Guards: connections are used again once they have rested, but not when they have been idle for nearly as long as the replica allows.
 func TestConnectionsAreUsedAgainAndRetired(t *testing.T) {
-	r := replicaOf(t, func(x *standin.Exchange) { x.Read(0) })
+	r := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	pool := NewPool(4, 100*time.Second, 0)
 	for range 3 {
 		rep, _ := send(pool, r.Addr, time.Second, "b")
 		rep.result(t)
-		pool.idle[r.Addr][0].idledAt = time.Now().Add(-restLeast)
+		pool.idle[r.Addr][0].idledAt = time.Now().Add(-minRest)
 	}
 	if pool.open != 1 {
 		t.Errorf("%d connections for requests in turn", pool.open)
@@ -313,8 +313,8 @@
 
 // Guards: the number of open connections is bounded; idle ones to other replicas make room.
 func TestPoolIsBounded(t *testing.T) {
-	a := replicaOf(t, func(x *standin.Exchange) { x.Read(0) })
-	b := replicaOf(t, func(x *standin.Exchange) { x.Read(0) })
+	a := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
+	b := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	pool := NewPool(1, 0, 0)
 	for _, addr := range []string{a.Addr, b.Addr, a.Addr} {
 		rep, _ := send(pool, addr, time.Second, "b")
@@ -330,7 +330,7 @@
 // Guards: a kept connection may be reset by the next request. What must not run twice is lost on one that was.
 func TestOnceGoesOutOnNewConnections(t *testing.T) {
 	var conns sync.Map
-	r := replicaOf(t, func(x *standin.Exchange) {
+	r := startReplica(t, func(x *standin.Exchange) {
 		if _, kept := conns.LoadOrStore(x.Conn, true); kept {
 			x.Break()
 			return
@@ -352,7 +352,7 @@
 			t.Fatalf("%d: %+v", i, got)
 		}
 	}
-	if n := len(pool.idle[r.Addr]); n != idleAtMost || pool.open != n {
+	if n := len(pool.idle[r.Addr]); n != maxIdlePerReplica || pool.open != n {
 		t.Errorf("%d idle of %d open", n, pool.open)
 	}
 }
@@ -384,10 +384,10 @@
 	t.Error("each of 20 was written to a connection that was reset")
 }
 
-// Guards: a machine that is cut off leaves its connections open and silent: after one silence the others are not used.
+// Guards: a machine that is cut off leaves its connections open and silent: after one silenceTime the others are not used.
 func TestSilentConnectionsAreDoubted(t *testing.T) {
 	pool := NewPool(8, 0, 0)
-	quiet := replicaOf(t, func(x *standin.Exchange) { x.Gone() })
+	quiet := startReplica(t, func(x *standin.Exchange) { x.Gone() })
 	for range 2 { // two that idle, and one that falls silent
 		c, err := pool.dial(context.Background(), quiet.Addr, 0)
 		if err != nil {
@@ -398,7 +398,7 @@
 	if n := len(pool.idle[quiet.Addr]); n != 2 {
 		t.Fatalf("%d idle", n)
 	}
-	rep, _ := send(pool, quiet.Addr, silence+200*time.Millisecond, "b")
+	rep, _ := send(pool, quiet.Addr, silenceTime+200*time.Millisecond, "b")
 	if got := rep.result(t); got.Outcome != logic.TimedOut || len(pool.idle[quiet.Addr]) != 0 || pool.open != 0 {
 		t.Errorf("%+v, %d idle, %d open", got, len(pool.idle[quiet.Addr]), pool.open)
 	}
@@ -406,14 +406,14 @@
 
 // Guards: a release that one replica can't take goes to another.
 func TestReleaseTriesAnother(t *testing.T) {
-	dead := replicaOf(t, func(*standin.Exchange) {})
+	dead := startReplica(t, func(*standin.Exchange) {})
 	dead.Close()
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	well := replicaOf(t, func(*standin.Exchange) {})
+	well := startReplica(t, func(*standin.Exchange) {})
 	l := NewReleaser(NewPool(4, 0, 0))
 	l.Release("id1", []string{dead.Addr, silent.Addr().String(), well.Addr})
 	for end := time.Now().Add(5 * time.Second); len(well.Calls("DELETE")) == 0; time.Sleep(time.Millisecond) {
@@ -428,7 +428,7 @@
 
 // Guards: leave is asked right before the first byte, and where there is none no byte leaves.
 func TestNoByteWithoutLeave(t *testing.T) {
-	r := replicaOf(t, func(x *standin.Exchange) { x.Read(1) })
+	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
 	pool, asked := NewPool(4, 0, 0), 0
 	for _, err := range []error{nil, errors.Join(dispatch.ErrNoLease, errors.New("over")), dispatch.ErrWithdrawn, dispatch.ErrRepeatWindowClosed} {
 		rep := newReport()
--- a/internal/replica/shortage.go
+++ b/internal/replica/shortage.go
@@ -11,7 +11,7 @@
 
 // localShortage tells whether a connection failed for want of something on this machine.
 func localShortage(err error) bool {
-	if errors.Is(err, errNoRoom) {
+	if errors.Is(err, errPoolExhausted) {
 		return true
 	}
 	for _, errno := range shortages {
--- a/internal/replica/shortage_test.go
+++ b/internal/replica/shortage_test.go
@@ -32,7 +32,7 @@
 	} {
 		err := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(c.call, c.errno)}
 		a := &attempt{ctx: context.Background()}
-		if got := a.failed(logic.ConnectFailed, err).Outcome; got != c.want {
+		if got := a.failure(logic.ConnectFailed, err).Outcome; got != c.want {
 			t.Errorf("%s, %v: %v, want %v", c.call, c.errno, got, c.want)
 		}
 	}
@@ -40,7 +40,7 @@
 		syscall.EHOSTUNREACH, syscall.ENETUNREACH} {
 		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 		a := &attempt{ctx: context.Background()}
-		if got := a.failed(logic.ConnectionLost, err).Outcome; got != logic.ConnectionLost && got != logic.TimedOut {
+		if got := a.failure(logic.ConnectionLost, err).Outcome; got != logic.ConnectionLost && got != logic.TimedOut {
 			t.Errorf("read, %v after the last byte: %v", errno, got)
 		}
 	}
--- a/internal/replica/opening_test.go
+++ b/internal/replica/stream_test.go
@@ -53,9 +53,9 @@
 	for _, cut := range []int{1, 6, len(whole) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
 			for name, end := range map[string]func(*standin.Exchange){
-				"reset": (*standin.Exchange).Break, "silence": (*standin.Exchange).Gone,
+				"reset": (*standin.Exchange).Break, "no answer": (*standin.Exchange).Gone,
 			} {
-				r := replicaOf(t, func(x *standin.Exchange) {
+				r := startReplica(t, func(x *standin.Exchange) {
 					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(whole[:cut], size)) // what the other side makes of it is the point
 					end(x)
 				})
@@ -79,7 +79,7 @@
 func TestAnswerInPiecesPassesUnchanged(t *testing.T) {
 	for _, size := range []int{1, 7, 1 << 10} {
 		goOn := make(chan bool)
-		r := replicaOf(t, func(x *standin.Exchange) {
+		r := startReplica(t, func(x *standin.Exchange) {
 			_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(whole, size)) // seen by who reads it
 			<-goOn
 			_, _ = io.WriteString(x.Conn, chunked(whole, size)+"0\r\n\r\n")
@@ -107,7 +107,7 @@
 // Guards: a replica that says a second answer, some milliseconds after the first, said it to the next request on that connection. The
 // next one goes out on another until the connection has rested, and by then what came shows.
 func TestSecondAnswerIsNotTakenForTheNext(t *testing.T) {
-	r := replicaOf(t, func(x *standin.Exchange) { x.Read(1) })
+	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
 	pool := NewPool(4, 0, 0)
 	c, err := pool.get(context.Background(), r.Addr, false)
 	if err != nil {
@@ -123,17 +123,17 @@
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil { // whose answer stands for the second one
 		t.Fatal(err)
 	}
-	for quiet(c.Conn) { // until it is there
+	for isQuiet(c.Conn) { // until it is there
 		time.Sleep(time.Millisecond)
 	}
-	c.idledAt = time.Now().Add(-restLeast)
+	c.idledAt = time.Now().Add(-minRest)
 	other, err = pool.get(context.Background(), r.Addr, false)
 	if err != nil || other == c || pool.open != 1 {
 		t.Errorf("%v, the same connection: %v, %d open", err, other == c, pool.open)
 	}
 }
 
-// Guards: an attempt that was given up while it connected could write before it was interrupted. The fence stands before its first byte;
+// Guards: an attempt that was given up while it connected could write before it was interrupted. The sendGuard stands before its first byte;
 // what has begun to leave goes on.
 func TestNoByteOnceGivenUp(t *testing.T) {
 	for _, begun := range []bool{false, true} {
@@ -141,7 +141,7 @@
 		got := make(chan string, 1)
 		go func() { text, _ := io.ReadAll(theirs); got <- string(text) }() // its end is that of the pipe
 		ctx, cancel := context.WithCancel(context.Background())
-		f := &fence{Conn: ours, ctx: ctx}
+		f := &sendGuard{Conn: ours, ctx: ctx}
 		want := ""
 		if begun {
 			if _, err := f.Write([]byte("a")); err != nil {
@@ -150,7 +150,7 @@
 			want = "ab"
 		}
 		cancel()
-		if _, err := f.Write([]byte("b")); errors.Is(err, errNoLeave) == begun {
+		if _, err := f.Write([]byte("b")); errors.Is(err, errSendNotAllowed) == begun {
 			t.Errorf("begun %v: %v", begun, err)
 		}
 		_ = ours.Close()
