--- a/internal/replica/answer.go
+++ b/internal/replica/answer.go
@@ -13,16 +13,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// fasthttp reads the heads of answers, but it hides the sizes of chunks: it would pass on whatever keeps coming
-// under a size that no replica means, and a chunk before it is known to end where it says. So the bodies of
-// answers are read here, and strictly: what does not keep to its framing is an error and is not passed on.
+// fasthttp parses the heads of answers. Their bodies are parsed here, because fasthttp hides the sizes
+// of chunks: it would pass on data of a chunk whose size no replica can mean, and data of a chunk
+// before its end is seen. Parsing is strict: a violation of the framing is an error, and the data is
+// not passed on.
 
 const (
-	headTimeout     = 400 * time.Millisecond // a head is sent in one piece: one that has begun and does not end never will
-	maxInterim      = 100                    // answers 1xx ahead of one answer
-	maxChunk        = 256 << 10              // as much as any body may hold
-	maxLine         = 1 << 10                // of a chunk's size with its extension, or of a trailer
-	maxTrailerLines = 32                     // lines
+	headTimeout     = 400 * time.Millisecond // replicas send a head at once; an incomplete one will not be completed
+	maxInterim      = 100                    // interim (1xx) answers before the final one
+	maxChunk        = 256 << 10              // bytes, the limit of any body
+	maxLine         = 1 << 10                // bytes of a chunk's size with its extension, or of a trailer field
+	maxTrailerLines = 32
 )
 
 var (
@@ -30,9 +31,9 @@
 	errBadFraming = errors.New("the answer's framing is broken")
 )
 
-// readHead reads the head of the final answer and passes over the interim ones. Where that fails, spoilt tells
-// whether something came that is no head.
-func (a *attempt) readHead() (spoilt bool, err error) {
+// readHead reads the head of the final answer and skips interim answers. If that fails, received
+// tells whether the replica had sent anything.
+func (a *attempt) readHead() (received bool, err error) {
 	for range maxInterim {
 		if _, err := a.c.br.Peek(1); err != nil {
 			return false, err
@@ -49,20 +50,22 @@
 	return true, fmt.Errorf("%w: too many interim answers", errBadFraming)
 }
 
-// setReadTimeout lets the connection's next reads take so long at most, unless the attempt has been given up.
-func (a *attempt) setReadTimeout(most time.Duration) {
+// setReadTimeout bounds the time of the connection's next reads, within the deadline of the attempt.
+// It does nothing once the attempt is cancelled or its deadline is lifted.
+func (a *attempt) setReadTimeout(timeout time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ctx.Err() == nil && !a.deadlineLifted {
-		until := time.Now().Add(most)
+		until := time.Now().Add(timeout)
 		if a.to.Until.Before(until) {
 			until = a.to.Until
 		}
-		_ = a.c.SetReadDeadline(until) // a failure shows in the read
+		_ = a.c.SetReadDeadline(until) // an error recurs in the read
 	}
 }
 
-// hasEvent tells whether text holds a whole event: lines up to an empty one, among them one with data.
+// hasEvent reports whether text holds a complete event: lines up to an empty one, at least one of
+// them with data.
 func hasEvent(text []byte) bool {
 	data := false
 	for line := range bytes.Lines(text) {
@@ -76,7 +79,7 @@
 	return false
 }
 
-// bodyReader gives the reader of the answer's bodyReader, which ends with io.EOF only where the bodyReader is whole.
+// bodyReader returns a reader of the answer's body that returns io.EOF only if the body is complete.
 func bodyReader(h *fasthttp.ResponseHeader, br *bufio.Reader) io.Reader {
 	switch n := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
@@ -89,12 +92,13 @@
 	return unframedBody{}
 }
 
-// unframedBody is a body that ends with its connection. Nobody could tell a broken one from a whole one.
+// unframedBody is a body that ends with its connection. It is not read, as a truncated one could not
+// be told from a complete one.
 type unframedBody struct{}
 
 func (unframedBody) Read([]byte) (int, error) { return 0, errNoFraming }
 
-// sizedBody reads a body of known length.
+// sizedBody reads a body of known length, of which left bytes remain.
 type sizedBody struct {
 	br   *bufio.Reader
 	left int
@@ -109,7 +113,7 @@
 	return n, noEOF(err)
 }
 
-// noEOF makes the end of a connection inside a body an error.
+// noEOF turns the end of a connection within a body into io.ErrUnexpectedEOF.
 func noEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -117,11 +121,12 @@
 	return err
 }
 
-// chunkedBody reads a body in chunkedBody. What is left of a chunk is given only once it is seen to end where it should, as
-// far as there is room for it.
+// chunkedBody reads a body in chunked encoding. The last bytes of a chunk are returned only once the
+// chunk is seen to end there, so a chunk that fits into the buffer of one Read is returned whole or
+// not at all.
 type chunkedBody struct {
 	br   *bufio.Reader
-	left int // of the present chunk
+	left int // bytes of the current chunk
 }
 
 func (c *chunkedBody) Read(p []byte) (int, error) {
@@ -151,7 +156,7 @@
 	return n, nil
 }
 
-// readLine reads up to the next CR LF, which ends every readLine of the framing.
+// readLine returns the text up to the next CR LF, which ends every line of the framing.
 func (c *chunkedBody) readLine() (string, error) {
 	var line []byte
 	for len(line) <= maxLine {
@@ -170,13 +175,13 @@
 	return "", fmt.Errorf("%w: an endless line", errBadFraming)
 }
 
-// readSize reads the line before a chunk.
+// readSize reads the line before a chunk and returns the size of the chunk.
 func (c *chunkedBody) readSize() (int, error) {
 	line, err := c.readLine()
 	if err != nil {
 		return 0, err
 	}
-	digits, _, _ := strings.Cut(line, ";") // an extension is of no interest
+	digits, _, _ := strings.Cut(line, ";") // extensions are ignored
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 32)
 	if err != nil || strings.ContainsAny(digits, "+_") || size > maxChunk {
 		return 0, fmt.Errorf("%w: chunk of size %.20q", errBadFraming, line)
@@ -184,7 +189,7 @@
 	return int(size), nil
 }
 
-// readTrailer reads what may follow the last chunk and gives the body's io.EOF.
+// readTrailer skips the trailer fields after the last chunk and returns io.EOF.
 func (c *chunkedBody) readTrailer() error {
 	for range maxTrailerLines {
 		line, err := c.readLine()
--- a/internal/replica/attempt.go
+++ b/internal/replica/attempt.go
@@ -23,39 +23,41 @@
 	headerID       = "X-Trace-Id"
 	headerExpires  = "X-Expires-In"
 	headerNeverRan = "X-Never-Ran"
-	headerSettings = "X-Settings" // of what the attempt is sent by
+	headerSettings = "X-Settings" // version of the settings under which the attempt is sent
 
-	silenceTime = 300 * time.Millisecond // after so long without a word the other idle connections are doubtful too
+	// After an attempt without an answer for this long the idle connections to the replica are suspect.
+	suspectAfter = 300 * time.Millisecond
 
-	maxSmallAnswer = 64 << 10 // bodies other than streams
-	piece          = 16 << 10 // of a stream, at most so much at once
+	maxAnswer    = 64 << 10 // bytes of a body that is not a stream
+	streamBuffer = 16 << 10 // bytes
 )
 
-// Request is a request on its way to replicas: method, path, query, body and id pass on unchanged.
+// Request is a request for replicas. Its method, path, query, body and ID are sent unchanged.
 type Request struct {
 	Pool    *Pool
 	ID      string
 	Method  string
 	URI     string // path and query
 	Host    string
-	Headers [][2]string // further ones
+	Headers [][2]string // additional headers
 	Body    []byte
 }
 
-// Send starts an attempt.
-func (p *Request) Send(to dispatch.Target, tell dispatch.AttemptObserver) dispatch.Attempt {
+// Send starts an attempt that reports its progress to the observer.
+func (p *Request) Send(to dispatch.Target, observer dispatch.AttemptObserver) dispatch.Attempt {
 	ctx, cancel := context.WithDeadline(context.Background(), to.Until)
-	a := &attempt{req: p, to: to, observer: tell, ctx: ctx, cancel: cancel, startedAt: time.Now()}
+	a := &attempt{req: p, to: to, observer: observer, ctx: ctx, cancel: cancel, startedAt: time.Now()}
 	go a.run()
 	return a
 }
 
-// attempt is one send. It goes through connecting, writing, waiting and, where an answer begins, streaming.
+// attempt is one send of a request: it connects, writes the request, waits for the answer and, if a
+// stream begins, streams.
 type attempt struct {
 	req           *Request
 	to            dispatch.Target
 	observer      dispatch.AttemptObserver
-	ctx           context.Context // ends at the attempt's time, or when it is given up
+	ctx           context.Context // ends at the deadline of the attempt, or when the attempt is cancelled
 	cancel        context.CancelFunc
 	c             *conn
 	resp          fasthttp.Response
@@ -63,91 +65,92 @@
 	startedAt     time.Time
 
 	mu             sync.Mutex
-	deadlineLifted bool // the attempt is the client's: its time no longer runs
+	deadlineLifted bool // set once the stream is passed on: the attempt has no deadline any more
 }
 
-// interrupt wakes what waits on the connection.
+// interrupt ends a blocked read or write on the connection.
 func (a *attempt) interrupt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.deadlineLifted {
-		_ = a.c.SetDeadline(time.Now().Add(-time.Second)) // on a connection that is closed there is none to wake
+		_ = a.c.SetDeadline(time.Now().Add(-time.Second)) // on a closed connection nothing is blocked
 	}
 }
 
-// liftDeadline takes the attempt's time off its connection.
+// liftDeadline removes the deadline of the attempt from its connection.
 func (a *attempt) liftDeadline() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.deadlineLifted = true
-	_ = a.c.SetDeadline(time.Time{}) // a failure shows in the next read
+	_ = a.c.SetDeadline(time.Time{}) // an error recurs in the next read
 }
 
-// Cancel gives the attempt up by closing its connection.
+// Cancel aborts the attempt, which closes its connection.
 func (a *attempt) Cancel() { a.cancel() }
 
 func (a *attempt) run() {
 	res, stream := a.exchange()
 	if stream != nil {
-		a.observer.Began(stream) // its holder ends the attempt
+		a.observer.Began(stream) // whoever reads the stream ends the attempt
 		return
 	}
 	a.cancel()
 	a.observer.Ended(res)
 }
 
-// exchange takes the attempt to its outcome, or to the first event of its answer.
+// exchange runs the attempt up to its result or, if the answer is a stream, to the first event.
 func (a *attempt) exchange() (dispatch.Result, *stream) {
 	c, err := a.req.Pool.get(a.ctx, a.to.Addr, a.to.NoReuse)
 	if err != nil {
 		return a.failure(logic.ConnectFailed, err), nil
 	}
 	a.c = c
-	_ = c.SetDeadline(a.to.Until) // a failure shows in the write
+	_ = c.SetDeadline(a.to.Until) // an error recurs in the write
 	a.stopInterrupt = context.AfterFunc(a.ctx, a.interrupt)
 	if err := a.write(); err != nil {
 		a.dropConn()
-		return a.failure(logic.ConnectFailed, err), nil // the last byte was not written: it can't have run
+		return a.failure(logic.ConnectFailed, err), nil // the last byte was not written, so the request can't have run
 	}
 	a.observer.Written()
-	log.Printf("%s written to %s on %s", a.req.ID, a.to.Addr, c.age())
-	if spoilt, err := a.readHead(); err != nil {
-		return a.brokenAnswer(spoilt, err), nil
+	log.Printf("%s written to %s over %s", a.req.ID, a.to.Addr, c.age())
+	if received, err := a.readHead(); err != nil {
+		return a.brokenAnswer(received, err), nil
 	}
 	body := bodyReader(&a.resp.Header, c.br)
 	if a.resp.StatusCode() != fasthttp.StatusOK {
 		return a.readAnswer(body), nil
 	}
 	a.setReadTimeout(time.Until(a.to.Until))
-	s := &stream{a: a, body: body, buf: make([]byte, piece)}
+	s := &stream{a: a, body: body, buf: make([]byte, streamBuffer)}
 	if err = s.open(); err != nil {
 		return a.brokenAnswer(true, err), nil
 	}
 	return dispatch.Result{}, s
 }
 
-// brokenAnswer is how an attempt ends whose answer did not come to its first event. Where something came of it, the
-// replica has run it: it has taken the state, and what it said is no silenceTime.
-func (a *attempt) brokenAnswer(came bool, err error) dispatch.Result {
+// brokenAnswer returns the result of an attempt whose answer broke off before the end of its first
+// event. If anything of the answer was received, the replica has run the attempt: it has taken the
+// state, and the connection was not silent.
+func (a *attempt) brokenAnswer(received bool, err error) dispatch.Result {
 	a.dropConn()
-	if !came && time.Since(a.startedAt) > silenceTime {
+	if !received && time.Since(a.startedAt) > suspectAfter {
 		a.req.Pool.closeSuspects(a.to.Addr, a.startedAt)
 	}
 	res := a.failure(logic.ConnectionLost, err)
-	if came && res.Outcome != logic.Cancelled {
+	if received && res.Outcome != logic.Cancelled {
 		res.Outcome, res.NoState = logic.ConnectionLost, true
 	}
 	return res
 }
 
-// write sends the request. Without an error the last byte has been handed to the network.
+// write sends the request. If it returns no error, the last byte has been handed to the network.
 func (a *attempt) write() error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.DisableNormalizing()
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetMethod(a.req.Method)
-	req.Header.SetRequestURI(a.req.URI) // as it is: a parsed one would be normalized and take the host's place
+	req.Header.SetRequestURI(a.req.URI) // unparsed, as parsing would normalize it and replace the host
 	req.Header.SetHost(cmp.Or(a.req.Host, a.to.Addr))
 	for _, h := range a.req.Headers {
 		req.Header.Add(h[0], h[1])
@@ -165,7 +168,8 @@
 	return bw.Flush()
 }
 
-// sendGuard stands right before the first byte of an attempt leaves: it asks for leave, and whether the attempt has been given up since.
+// sendGuard checks right before the first byte of an attempt is written that the attempt has not been
+// cancelled and that beforeSend permits it.
 type sendGuard struct {
 	net.Conn
 	ctx        context.Context
@@ -190,8 +194,9 @@
 	return f.Conn.Write(p)
 }
 
-// failure says how an attempt ended that brought no answer: what broke, or that its time was over. What never
-// left for reasons of our own tells nothing of the replica.
+// failure returns the result of an attempt without an answer: the given outcome, unless the attempt was
+// cancelled or timed out. An attempt that was not sent for reasons within this dispatcher says nothing
+// about the replica.
 func (a *attempt) failure(as logic.Outcome, err error) dispatch.Result {
 	switch {
 	case as == logic.ConnectFailed && (a.ctx.Err() != nil || localShortage(err) || errors.Is(err, errSendNotAllowed)):
@@ -210,7 +215,7 @@
 	return errors.Is(err, fasthttp.ErrTimeout) || errors.As(err, &t) && t.Timeout()
 }
 
-// readAnswer reads an answer that is no stream and gives back the connection.
+// readAnswer reads an answer that is not a stream and returns the connection to the pool.
 func (a *attempt) readAnswer(body io.Reader) dispatch.Result {
 	status := a.resp.StatusCode()
 	res := dispatch.Result{Outcome: logic.ServerError, Detail: strconv.Itoa(status)}
@@ -223,48 +228,49 @@
 	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) && never:
 		res.Outcome = logic.Full
 	}
-	text, err := io.ReadAll(io.LimitReader(body, maxSmallAnswer))
+	text, err := io.ReadAll(io.LimitReader(body, maxAnswer))
 	if res.Outcome == logic.ReadDone && err == nil {
 		var read struct {
 			CachedTokens int64 `json:"cached_tokens"`
 		}
-		if jsoniter.Unmarshal(text, &read) == nil { // without the count nothing was found kept
+		if jsoniter.Unmarshal(text, &read) == nil { // without a count no cached tokens are assumed
 			res.Tokens = read.CachedTokens
 		}
 	}
-	a.releaseConn(err == nil && len(text) < maxSmallAnswer)
+	a.releaseConn(err == nil && len(text) < maxAnswer)
 	return res
 }
 
-// releaseConn ends the attempt's use of its connection. A connection is used again only if its answer was read to
-// the end and neither side wants it closed.
-func (a *attempt) releaseConn(whole bool) {
-	if whole && a.stopInterrupt() && !a.resp.ConnectionClose() {
+// releaseConn ends the attempt's use of its connection. The connection is reused only if the answer was
+// read to its end and neither side wants it closed.
+func (a *attempt) releaseConn(complete bool) {
+	if complete && a.stopInterrupt() && !a.resp.ConnectionClose() {
 		a.req.Pool.put(a.c)
 		return
 	}
 	a.dropConn()
 }
 
+// dropConn closes the connection of the attempt.
 func (a *attempt) dropConn() {
 	a.stopInterrupt()
 	a.req.Pool.drop(a.c)
 }
 
-// stream is an answer that has begun.
+// stream is an answer whose first event has been received.
 type stream struct {
 	a       *attempt
 	body    io.Reader
 	buf     []byte
-	pending int // bytes of buf that were read already
+	pending int // bytes of buf that are read but not returned yet
 	err     error
 
 	mu    sync.Mutex
 	ended bool
 }
 
-// open reads the answer up to the end of its first event, which may come in pieces. Until then nothing is passed on: one that breaks off
-// sooner is no answer.
+// open reads the answer up to the end of its first event, which may arrive in several reads. Nothing is
+// passed on before that: an answer that breaks off earlier counts as no answer.
 func (s *stream) open() error {
 	if _, err := s.a.c.br.Peek(1); err != nil {
 		return err
@@ -273,7 +279,7 @@
 	for s.pending < len(s.buf) && !hasEvent(s.buf[:s.pending]) {
 		n, err := s.body.Read(s.buf[s.pending:])
 		s.pending += n
-		if err == io.EOF && s.pending > 0 { // all that there is
+		if err == io.EOF && s.pending > 0 { // the complete answer
 			s.err = err
 			return nil
 		}
@@ -286,7 +292,8 @@
 
 var errStalled = errors.New("no event for too long")
 
-// Next gives the next bytes as they come. A live stream is never cut: only silenceTime ends it.
+// Next returns the next bytes as they arrive. A stream has no deadline: it is cut only if no data
+// arrives for StallTimeout.
 func (s *stream) Next() ([]byte, error) {
 	if s.pending > 0 {
 		n := s.pending
@@ -314,19 +321,20 @@
 	return nil, err
 }
 
-// Close gives up a stream that is not read to its end.
+// Close aborts a stream that has not been read to its end.
 func (s *stream) Close() {
 	s.end(dispatch.Result{Outcome: logic.Cancelled, Detail: "stream closed"}, false)
 }
 
-func (s *stream) end(res dispatch.Result, whole bool) {
+// end reports the result of the attempt once, and reuses the connection if the answer is complete.
+func (s *stream) end(res dispatch.Result, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
 		return
 	}
 	s.ended = true
-	if whole && !s.a.resp.ConnectionClose() {
+	if complete && !s.a.resp.ConnectionClose() {
 		s.a.stopInterrupt()
 		s.a.req.Pool.put(s.a.c)
 	} else {
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -9,15 +9,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// call is one without a body, which is no attempt.
+// call is a request without a body that is not an attempt: a probe or a release.
 type call struct {
 	addr, method, path string
 	timeout            time.Duration
-	urgent             bool // if need be beyond the pool's bound
-	newConn            bool // likewise, and on a new connection, as an idle one may have fallen silent
+	urgent             bool // may use the pool's reserved and extra connections
+	newConn            bool // likewise, over a new connection, as an idle one may be dead
 }
 
-// do makes a call and gives the status of its answer. The end of ctx ends it, and gives its connection's place free.
+// do makes a call and returns the status of its answer. When ctx ends, the call is aborted and its
+// connection is closed, so that it no longer counts against the bound of the pool.
 func (p *Pool) do(ctx context.Context, q call) (status int, err error) {
 	until := time.Now().Add(q.timeout)
 	ctx, cancel := context.WithDeadline(ctx, until)
@@ -32,7 +33,7 @@
 	if err != nil {
 		return 0, err
 	}
-	_ = c.SetDeadline(until) // a failure shows in the write
+	_ = c.SetDeadline(until) // an error recurs in the write
 	stopInterrupt := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(-time.Second)) })
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -46,7 +47,7 @@
 		err = bw.Flush()
 	}
 	if err == nil {
-		err = resp.ReadLimitBody(c.br, maxSmallAnswer)
+		err = resp.ReadLimitBody(c.br, maxAnswer)
 	}
 	if !stopInterrupt() || err != nil || resp.ConnectionClose() {
 		p.drop(c)
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -1,5 +1,5 @@
-// Package replica carries attempts and release calls to replicas, over connections that its pool owns. Nothing
-// here is sent twice by itself: each send is one attempt with one exact outcome.
+// Package replica sends attempts, probes and release calls to replicas over a pool of connections. It
+// never repeats an attempt by itself: each send is one attempt with one exact outcome.
 package replica
 
 import (
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// Pool keeps connections to replicas. A connection carries one request at a time.
+// Pool is a pool of connections to replicas. A connection carries one request at a time.
 type Pool struct {
-	// StallTimeout ends a stream that brings no event for so long. A client may be left waiting for at most 5 s after the
-	// last event of a stream that is not whole.
+	// StallTimeout ends a stream without an event for this long. A client may wait for at most 5 s after
+	// the last event of an incomplete stream.
 	StallTimeout time.Duration
 
 	mu          sync.Mutex
-	maxOpen     int           // connections open at once
-	maxIdleTime time.Duration // a connection that has stood idle for longer is not used again
+	maxOpen     int           // connections that may be open at once
+	maxIdleTime time.Duration // a connection that has been idle for longer is not reused
 	dialTimeout time.Duration
 	open        int
 	counts      PoolCounts
-	idle        map[string][]*conn // by address, the latest used last
+	idle        map[string][]*conn // by address, the most recently used last
 }
 
-// PoolCounts are what a pool has done since its start; Open is the present number of connections.
+// PoolCounts holds the counts of a pool since its start. Open is the current number of connections.
 type PoolCounts struct{ Made, Failed, Reused, Evicted, Open int }
 
-// Counts gives the counts so far.
+// Counts returns the counts so far.
 func (p *Pool) Counts() PoolCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,7 +40,7 @@
 	return c
 }
 
-// conn is a connection with its read buffer, which outlives a request on it.
+// conn is a connection with its read buffer, which is kept across requests.
 type conn struct {
 	net.Conn
 	br      *bufio.Reader
@@ -48,24 +48,28 @@
 	idledAt time.Time
 }
 
-// age says for the log whether a connection is new, or how long it had stood idle before its present use.
+// age describes for the log whether a connection is new, or how long it has been idle since its
+// previous request.
 func (c *conn) age() string {
 	if c.idledAt.IsZero() {
 		return "a new connection"
 	}
-	return "one idle for " + time.Since(c.idledAt).String()
+	return "a connection idle for " + time.Since(c.idledAt).String()
 }
 
 const (
-	retireShare       = 0.8                  // part of the replica's idle time after which we close first
-	maxIdlePerReplica = 8                    // connections to a replica that idle at once: each takes a place there too
-	settleTime        = 2 * time.Millisecond // some round trips
-	// A replica may say a further answer some milliseconds after the one that was read. It must be seen before the next request is sent,
-	// whose answer it would be taken for.
+	retireShare       = 0.8                  // of the replicas' idle timeout, after which the pool closes a connection first
+	maxIdlePerReplica = 8                    // each idle connection also occupies a connection slot of the replica
+	settleTime        = 2 * time.Millisecond // a few round trips
+	// minRest is how long a connection must have been idle before it is reused. A replica may send an
+	// unexpected second answer some milliseconds after the first. It must be noticed before the next
+	// request is sent, or it would be taken for the answer to that one.
 	minRest = 30 * time.Millisecond
-	// Connections beyond the bound for calls that must not wait behind attempts. They come out of what the process keeps free.
-	maxExtra     = 8
-	reserveFrom  = 32 // a pool of so many connections keeps one in reserveShare of them for such calls
+	// maxExtra is how many connections beyond the bound urgent calls may open, so that they don't wait
+	// behind attempts. They use descriptors that the process keeps free.
+	maxExtra = 8
+	// A pool of at least reserveFrom connections reserves one in reserveShare of them for urgent calls.
+	reserveFrom  = 32
 	reserveShare = 32
 	readBuffer   = 8 << 10
 	writeBuffer  = 16 << 10
@@ -76,15 +80,16 @@
 	errClosedAtOnce  = errors.New("the new connection was closed at once")
 )
 
-// NewPool makes a pool of at most `most` open connections. Replicas close what has stood idle for idle.
-func NewPool(most int, idle, dialTimeout time.Duration) *Pool {
+// NewPool returns a pool of at most maxOpen connections to replicas that close connections after the
+// given idle timeout. Defaults replace timeouts that are not positive.
+func NewPool(maxOpen int, idle, dialTimeout time.Duration) *Pool {
 	p := &Pool{StallTimeout: 4 * time.Second, idle: map[string][]*conn{}}
-	p.SetLimits(most, idle, dialTimeout)
+	p.SetLimits(maxOpen, idle, dialTimeout)
 	return p
 }
 
-// SetLimits sets the bounds of NewPool anew. Connections that are open stay so.
-func (p *Pool) SetLimits(most int, idle, dialTimeout time.Duration) {
+// SetLimits changes the limits that were passed to NewPool. Open connections stay open.
+func (p *Pool) SetLimits(maxOpen int, idle, dialTimeout time.Duration) {
 	if idle <= 0 {
 		idle = 30 * time.Second
 	}
@@ -93,15 +98,16 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maxOpen, p.maxIdleTime, p.dialTimeout = most, time.Duration(retireShare*float64(idle)), dialTimeout
+	p.maxOpen, p.maxIdleTime, p.dialTimeout = maxOpen, time.Duration(retireShare*float64(idle)), dialTimeout
 }
 
-// get gives an idle connection that the replica has not closed, or a new one. An idle one may be reset by the next
-// request, or be silent as its machine is cut off, and what is written to it may have run: what must not run twice goes
-// out on a new one, which fails before that. As a replica may reset one that its machine has accepted, a moment is
-// waited for that.
-func (p *Pool) get(ctx context.Context, addr string, once bool) (*conn, error) {
-	if once {
+// get returns an idle connection that the replica has not closed, or a new one. An idle connection may
+// be reset by the next request, or be dead because the machine of the replica is cut off. Either way a
+// request that was written to it may have run. With noReuse, for requests that must not run twice, get
+// returns a new connection, as dialing fails in these cases before anything is sent. It also waits for
+// settleTime, because a replica may reset a connection that its machine has accepted.
+func (p *Pool) get(ctx context.Context, addr string, noReuse bool) (*conn, error) {
+	if noReuse {
 		c, err := p.dial(ctx, addr, 0)
 		if err != nil {
 			return nil, err
@@ -113,20 +119,21 @@
 		return c, nil
 	}
 	for {
-		c, fresh := p.takeIdle(addr)
+		c, usable := p.takeIdle(addr)
 		if c == nil {
 			return p.dial(ctx, addr, 0)
 		}
-		if fresh && isQuiet(c.Conn) {
+		if usable && isQuiet(c.Conn) {
 			return c, nil
 		}
 		p.drop(c)
 	}
 }
 
-// takeIdle gives the idle connection that was used last, of those that have rested, if there is one, and tells whether the replica keeps
-// it.
-func (p *Pool) takeIdle(addr string) (c *conn, fresh bool) {
+// takeIdle removes and returns the most recently used connection that has been idle for at least
+// minRest, if there is one. It is usable unless the replica may be about to close it for its idle
+// timeout.
+func (p *Pool) takeIdle(addr string) (c *conn, usable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.idle[addr]
@@ -140,13 +147,14 @@
 	return nil, false
 }
 
-// dial makes a connection, which may be one of so many beyond the bound.
-func (p *Pool) dial(ctx context.Context, addr string, beyond int) (*conn, error) {
-	limit, err := p.reserve(beyond)
+// dial opens a connection. If extra is positive, the call is urgent and may exceed the bound of the
+// pool by that many connections.
+func (p *Pool) dial(ctx context.Context, addr string, extra int) (*conn, error) {
+	timeout, err := p.reserve(extra)
 	if err != nil {
 		return nil, err
 	}
-	d := net.Dialer{Timeout: limit, KeepAlive: -1}
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	c, err := d.DialContext(ctx, "tcp", addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,13 +167,14 @@
 	return &conn{Conn: c, br: bufio.NewReaderSize(c, readBuffer), addr: addr}, nil
 }
 
-// reserve takes the place of a connection, if need be that of the idle one that was used the longest ago. A call that may be one of so many
-// beyond the bound finds places also where attempts, which wait for long, have taken what is theirs.
-func (p *Pool) reserve(beyond int) (limit time.Duration, err error) {
+// reserve counts a connection that is about to be opened, and evicts the least recently used idle
+// connection if the bound is reached. With extra the bound is higher than that of attempts, so that
+// urgent calls get connections even if attempts, which wait for a long time, use all of theirs.
+func (p *Pool) reserve(extra int) (dialTimeout time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bound := p.maxOpen + beyond
-	if beyond == 0 {
+	bound := p.maxOpen + extra
+	if extra == 0 {
 		bound = p.maxAttemptConns()
 	}
 	if p.open < bound {
@@ -182,12 +191,13 @@
 		return 0, errPoolExhausted
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
-	_ = oldest.Close() // nothing more is wanted of it
+	_ = oldest.Close() // the connection is not needed any more
 	p.counts.Evicted++
 	return p.dialTimeout, nil
 }
 
-// maxAttemptConns bounds the connections of attempts: some of the pool's are kept for calls that must not wait behind them. It needs mu.
+// maxAttemptConns returns the bound for attempts: some connections of the pool are reserved for urgent
+// calls, which must not wait behind attempts. The caller holds mu.
 func (p *Pool) maxAttemptConns() int {
 	if p.maxOpen < reserveFrom {
 		return p.maxOpen
@@ -195,14 +205,16 @@
 	return p.maxOpen - p.maxOpen/reserveShare
 }
 
+// free uncounts a connection that is closed.
 func (p *Pool) free() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// put takes back a connection whose answer has been read to its end. One beyond those of attempts is closed: kept idle, it would be taken by
-// an attempt, and with it the place of a call that must not wait.
+// put returns a connection whose answer has been read to its end to the pool. If more connections are
+// open than attempts may use, it is closed instead: an attempt would take it from the idle ones and so
+// occupy a connection that is reserved for urgent calls.
 func (p *Pool) put(c *conn) {
 	if c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.drop(c)
@@ -212,42 +224,43 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open > p.maxAttemptConns() {
-		_ = c.Close() // nothing more is wanted of it
+		_ = c.Close() // the connection is not needed any more
 		p.open--
 		return
 	}
 	all := append(p.idle[c.addr], c)
 	if len(all) > maxIdlePerReplica {
-		_ = all[0].Close() // nothing more is wanted of it
+		_ = all[0].Close() // the connection is not needed any more
 		all = slices.Delete(all, 0, 1)
 		p.open--
 	}
 	p.idle[c.addr] = all
 }
 
-// drop closes a connection for good.
+// drop closes a connection and uncounts it.
 func (p *Pool) drop(c *conn) {
-	_ = c.Close() // nothing more is wanted of it
+	_ = c.Close() // the connection is not needed any more
 	p.free()
 }
 
-// closeSuspects closes the idle connections to a replica that has been silent since a time, but for those used after it.
+// closeSuspects closes the idle connections to a replica that has been silent since the given time,
+// except those used after it.
 func (p *Pool) closeSuspects(addr string, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[addr] = slices.DeleteFunc(p.idle[addr], func(c *conn) bool {
-		old := c.idledAt.Before(since)
-		if old {
-			_ = c.Close() // nothing more is wanted of it
+		suspect := c.idledAt.Before(since)
+		if suspect {
+			_ = c.Close() // the connection is not needed any more
 			p.open--
 		}
-		return old
+		return suspect
 	})
 }
 
 const sweepInterval = time.Second
 
-// Sweep closes connections that have stood idle for long, until ctx ends.
+// Sweep closes connections that have been idle for too long, until ctx ends.
 func (p *Pool) Sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -263,23 +276,23 @@
 	}
 }
 
-// takeExpired takes out the idle connections that nobody will use again.
-func (p *Pool) takeExpired() (old []*conn) {
+// takeExpired removes and returns the connections that have been idle for too long.
+func (p *Pool) takeExpired() (expired []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, all := range p.idle {
 		for len(all) > 0 && time.Since(all[0].idledAt) >= p.maxIdleTime {
-			old, all = append(old, all[0]), all[1:]
+			expired, all = append(expired, all[0]), all[1:]
 		}
 		if p.idle[addr] = all; len(all) == 0 {
 			delete(p.idle, addr)
 		}
 	}
-	return old
+	return expired
 }
 
-// isQuiet tells whether the other side of an idle connection has neither closed it nor sent anything. What is
-// written to a closed one would end as a reset, which proves nothing of whether it ran.
+// isQuiet reports whether the replica has neither closed an idle connection nor sent anything on it. A
+// request written to a closed connection would end in a reset, which doesn't tell whether it ran.
 func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -289,12 +302,12 @@
 	if err != nil {
 		return false
 	}
-	still := false
+	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		still = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && still
+	return err == nil && quiet
 }
--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -9,13 +9,15 @@
 	"standpulley/logic"
 )
 
-// probeTimeout is how long a probe may take: later than that its answer is of no use, as a read that is sent meanwhile would stand behind it.
+// probeTimeout bounds a probe. A later answer is of no use, as a read that is sent meanwhile would be
+// queued behind the probe.
 const probeTimeout = 300 * time.Millisecond
 
-// Prober asks replicas whether they are well, over the connections of a pool.
+// Prober checks the health of replicas over the connections of a pool.
 type Prober struct{ Pool *Pool }
 
-// Probe asks one replica. Whatever goes wrong with a probe proves nothing of any attempt.
+// Probe checks one replica and passes the outcome to then, from another goroutine. A failed probe
+// proves nothing about attempts.
 func (p Prober) Probe(addr string, then func(logic.Outcome)) {
 	go func() {
 		status, err := p.Pool.do(context.Background(), call{addr: addr, method: fasthttp.MethodGet, path: "/-/healthy", timeout: probeTimeout})
--- a/internal/replica/release.go
+++ b/internal/replica/release.go
@@ -13,66 +13,70 @@
 )
 
 const (
-	releaseCallTimeout = 250 * time.Millisecond // a call without an answer is given up
-	releaseHedgeDelay  = 40 * time.Millisecond  // and before that the next replica is asked beside it
-	releaseRoundPause  = 50 * time.Millisecond  // after all of them have been asked
-	releaseTimeout     = 5 * time.Second        // what is held is long overdue by then
-	maxActiveReleases  = 64                     // requests for which calls are under way at once
-	maxWaitingReleases = 1024                   // and waiting; beyond that replicas free what they hold by themselves, later
-	unresponsiveFor    = time.Second            // a replica that left a call unanswered is asked last for so long
-	maxReleaseCalls    = 32                     // calls at once: each holds a connection that attempts want too
+	releaseCallTimeout = 250 * time.Millisecond // of one call
+	releaseHedgeDelay  = 40 * time.Millisecond  // after this without an answer the next replica is called as well
+	releaseRoundPause  = 50 * time.Millisecond  // once all replicas have been called
+	releaseTimeout     = 5 * time.Second        // of a release; its state is long overdue by then
+	maxActiveReleases  = 64                     // releases that make calls at once
+	// Beyond maxWaitingReleases no release is queued, and replicas free their state by themselves, later.
+	maxWaitingReleases = 1024
+	unresponsiveFor    = time.Second // a replica that left a call unanswered is called last for this long
+	maxReleaseCalls    = 32          // in flight at once; each uses a connection that attempts need too
 )
 
-// Releaser makes the calls that let go of what replicas hold for a request.
+// Releaser makes replicas release the state that they hold for requests.
 type Releaser struct {
 	pool      *Pool
-	slots     chan struct{} // held by a request for which calls are made
-	callSlots chan struct{} // held by a call
+	slots     chan struct{} // one for each release that makes calls
+	callSlots chan struct{} // one for each call in flight
 
-	mu           sync.Mutex           // for all below
-	open         int                  // releases under way or waiting
-	current      map[string]*release  // by request
-	unresponsive map[string]time.Time // when replicas last left a call unanswered
+	mu           sync.Mutex           // guards the fields below
+	open         int                  // releases in progress or waiting
+	current      map[string]*release  // the latest release of each request ID
+	unresponsive map[string]time.Time // when each replica last left a call unanswered
 }
 
-// release is what is under way for one request.
+// release is a release in progress for one request.
 type release struct {
 	id          string
 	addrs       []string
-	superseded  chan struct{} // closed when a later one for the same request has taken its place
-	onConfirmed []func()      // called when a replica has answered; guarded by the Releaser
+	superseded  chan struct{} // closed when a later release of the same request replaces this one
+	onConfirmed []func()      // called once a replica has answered; guarded by mu of the Releaser
 }
 
-// NewReleaser makes calls on the pool's connections.
+// NewReleaser returns a Releaser that makes its calls over connections of the pool.
 func NewReleaser(pool *Pool) *Releaser {
 	return &Releaser{pool: pool, slots: make(chan struct{}, maxActiveReleases), callSlots: make(chan struct{}, maxReleaseCalls), current: map[string]*release{}, unresponsive: map[string]time.Time{}}
 }
 
-// Release asks the replicas in turn, and again from the first, until one has answered: each of them can release everything. None of
-// them may be up at this moment, and those that hang must not keep the others from being asked in time.
+// Release calls the replicas in turn, over and over, until one has answered: each of them can release
+// everything. Possibly none of them is up yet, and replicas that hang must not delay the calls to the
+// others.
 func (l *Releaser) Release(id string, addrs []string) { l.start(id, addrs, func() {}) }
 
-// ReleaseThen is Release, and calls then once: when a replica has answered, or after a time, whichever comes first.
+// ReleaseThen is like Release and calls then once: when a replica has answered or after the time
+// within, whichever comes first.
 func (l *Releaser) ReleaseThen(id string, addrs []string, within time.Duration, then func(confirmed bool)) {
 	var once sync.Once
 	time.AfterFunc(within, func() { once.Do(func() { then(false) }) })
 	l.start(id, addrs, func() { once.Do(func() { then(true) }) })
 }
 
-// start begins a release. One that is under way for the same request ends: what confirms the later one confirms it too.
-func (l *Releaser) start(id string, addrs []string, confirmed func()) {
+// start begins a release. It replaces a release of the same request that is in progress, whose callback
+// is called once the new one is confirmed.
+func (l *Releaser) start(id string, addrs []string, onConfirmed func()) {
 	if len(addrs) == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= maxActiveReleases+maxWaitingReleases {
-		log.Printf("release %s: too many calls wait", id)
+		log.Printf("release %s: dropped, too many releases are waiting", id)
 		return
 	}
 	l.open++
 	addrs = l.responsiveFirst(addrs)
-	r := &release{id: id, addrs: slices.Insert(addrs, 0, addrs[0]), superseded: make(chan struct{}), onConfirmed: []func(){confirmed}}
+	r := &release{id: id, addrs: slices.Insert(addrs, 0, addrs[0]), superseded: make(chan struct{}), onConfirmed: []func(){onConfirmed}}
 	if before := l.current[id]; before != nil {
 		r.onConfirmed = append(r.onConfirmed, before.onConfirmed...)
 		close(before.superseded)
@@ -94,25 +98,26 @@
 	if l.current[r.id] == r {
 		delete(l.current, r.id)
 	} else {
-		answered = false // the later one tells
+		answered = false // the later release calls the callbacks
 	}
 	l.mu.Unlock()
 	if answered {
-		for _, tell := range r.onConfirmed {
-			tell()
+		for _, notify := range r.onConfirmed {
+			notify()
 		}
 	}
 }
 
-// callReplicas makes the calls for one request, and tells whether a replica has answered one. All open connections may have fallen silent: only the
-// first call goes out on an idle one, and the first replica is asked once more at once where that brings nothing. What fails for want of
-// something on this machine says nothing of the replica, which is asked again after a moment.
+// callReplicas makes the calls of one release and reports whether a replica has answered. All open
+// connections may be dead, so only the first call uses an idle connection; if it fails, the same
+// replica is called again over a new one. A call that fails for lack of a local resource says nothing
+// about the replica, and the next call is made only after the usual delay.
 func (l *Releaser) callReplicas(r *release) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	answers := make(chan error)
 	for i := 0; ; i++ {
-		addr, whole := r.addrs[i%len(r.addrs)], (i+1)%len(r.addrs) == 0
+		addr, lastOfRound := r.addrs[i%len(r.addrs)], (i+1)%len(r.addrs) == 0
 		go func() {
 			err := l.call(ctx, addr, r.id, i > 0)
 			select {
@@ -121,7 +126,7 @@
 			}
 		}()
 		next := time.After(releaseHedgeDelay)
-		if whole {
+		if lastOfRound {
 			next = time.After(releaseRoundPause)
 		}
 	wait:
@@ -131,53 +136,55 @@
 				if err == nil {
 					return true
 				}
-				if !whole && !localShortage(err) {
+				if !lastOfRound && !localShortage(err) {
 					break wait
 				}
 			case <-next:
-				l.recordAnswer(addr, errSlow) // until it answers
+				l.recordAnswer(addr, errSlow) // an answer undoes this
 				break wait
 			case <-r.superseded:
 				return false
 			case <-ctx.Done():
-				log.Printf("release %s: no replica has answered", r.id)
+				log.Printf("release %s: timed out, no replica has answered", r.id)
 				return false
 			}
 		}
 	}
 }
 
-// AwaitIdle returns when no call is under way, or when ctx ends.
+// AwaitIdle returns when no release is in progress, or when ctx ends.
 func (l *Releaser) AwaitIdle(ctx context.Context) {
 	for l.openReleases() > 0 && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// openReleases counts the releases that are under way or wait.
+// openReleases returns the number of releases in progress or waiting.
 func (l *Releaser) openReleases() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// responsiveFirst puts the replicas last that left a call unanswered lately: any of them can release everything. It needs mu.
+// responsiveFirst moves replicas that left a call unanswered recently to the end. The order is free, as
+// each replica can release everything. The caller holds mu.
 func (l *Releaser) responsiveFirst(addrs []string) []string {
 	order := make([]string, 0, len(addrs)+1)
-	var ill []string
+	var last []string
 	for _, addr := range addrs {
-		if at, is := l.unresponsive[addr]; is && time.Since(at) < unresponsiveFor {
-			ill = append(ill, addr)
+		if at, ok := l.unresponsive[addr]; ok && time.Since(at) < unresponsiveFor {
+			last = append(last, addr)
 		} else {
 			order = append(order, addr)
 		}
 	}
-	return append(order, ill...)
+	return append(order, last...)
 }
 
 var errSlow = errors.New("no answer yet")
 
-// recordAnswer books whether a replica has answered a call.
+// recordAnswer records whether a replica has answered a call. Local failures and cancelled calls say
+// nothing about the replica.
 func (l *Releaser) recordAnswer(addr string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,7 +195,7 @@
 	}
 }
 
-// ReleaseAt asks one replica once, and calls then with whether it has answered, from any goroutine.
+// ReleaseAt calls one replica once and passes to then, from another goroutine, whether it has answered.
 func (l *Releaser) ReleaseAt(id, addr string, then func(answered bool)) {
 	go func() {
 		err := l.doCall(context.Background(), addr, id, true)
@@ -196,25 +203,26 @@
 	}()
 }
 
-// call makes one call, on a new connection if that is wanted, once there is room for it.
-func (l *Releaser) call(ctx context.Context, addr, id string, fresh bool) error {
+// call makes one call as soon as a slot is free, over a new connection if newConn is set.
+func (l *Releaser) call(ctx context.Context, addr, id string, newConn bool) error {
 	select {
 	case l.callSlots <- struct{}{}:
 		defer func() { <-l.callSlots }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return l.doCall(ctx, addr, id, fresh)
+	return l.doCall(ctx, addr, id, newConn)
 }
 
-// doCall makes one call.
-func (l *Releaser) doCall(ctx context.Context, addr, id string, fresh bool) error {
-	status, err := l.pool.do(ctx, call{addr: addr, method: fasthttp.MethodDelete, path: "/bootstrap/rooms/" + id, timeout: releaseCallTimeout, urgent: true, newConn: fresh})
+// doCall makes one call and records whether the replica has answered. An answer other than 2xx is an
+// error.
+func (l *Releaser) doCall(ctx context.Context, addr, id string, newConn bool) error {
+	status, err := l.pool.do(ctx, call{addr: addr, method: fasthttp.MethodDelete, path: "/bootstrap/rooms/" + id, timeout: releaseCallTimeout, urgent: true, newConn: newConn})
 	if ctx.Err() != nil {
 		return ctx.Err() // another replica has answered
 	}
 	if err == nil && (status < fasthttp.StatusOK || status >= fasthttp.StatusMultipleChoices) {
-		err = fmt.Errorf("answered %d", status) // it came to somebody, who may have let go of nothing
+		err = fmt.Errorf("unexpected status %d", status) // whatever answered may have released nothing
 	}
 	l.recordAnswer(addr, err)
 	if err != nil {
--- a/internal/replica/release_test.go
+++ b/internal/replica/release_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// serverOf listens and serves each connection; those that came before silenceTime was set are silent.
-func serverOf(t *testing.T, serve func(c net.Conn, silent bool), silenceTime *atomic.Int64) string {
+// serverOf listens and serves each connection; those that came before suspectAfter was set are silent.
+func serverOf(t *testing.T, serve func(c net.Conn, silent bool), silence *atomic.Int64) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,7 +164,7 @@
 			if err != nil {
 				return
 			}
-			go serve(c, silenceTime.Load() == 0)
+			go serve(c, silence.Load() == 0)
 		}
 	}()
 	return ln.Addr().String()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -384,7 +384,7 @@
 	t.Error("each of 20 was written to a connection that was reset")
 }
 
-// Guards: a machine that is cut off leaves its connections open and silent: after one silenceTime the others are not used.
+// Guards: a machine that is cut off leaves its connections open and silent: after one suspectAfter the others are not used.
 func TestSilentConnectionsAreDoubted(t *testing.T) {
 	pool := NewPool(8, 0, 0)
 	quiet := startReplica(t, func(x *standin.Exchange) { x.Gone() })
@@ -398,7 +398,7 @@
 	if n := len(pool.idle[quiet.Addr]); n != 2 {
 		t.Fatalf("%d idle", n)
 	}
-	rep, _ := send(pool, quiet.Addr, silenceTime+200*time.Millisecond, "b")
+	rep, _ := send(pool, quiet.Addr, suspectAfter+200*time.Millisecond, "b")
 	if got := rep.result(t); got.Outcome != logic.TimedOut || len(pool.idle[quiet.Addr]) != 0 || pool.open != 0 {
 		t.Errorf("%+v, %d idle, %d open", got, len(pool.idle[quiet.Addr]), pool.open)
 	}
--- a/internal/replica/shortage.go
+++ b/internal/replica/shortage.go
@@ -5,11 +5,12 @@
 	"syscall"
 )
 
-// shortages are the errors by which this machine says that it can't make a connection now: it is out of descriptors, buffers, memory or
-// local ports. They prove that nothing was sent and say nothing of the replica.
+// shortages are the errors of a machine that can't open a connection because it is out of descriptors,
+// buffers, memory or local ports. They prove that nothing was sent and say nothing about the replica.
 var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// localShortage tells whether a connection failed for want of something on this machine.
+// localShortage reports whether a connection could not be made for lack of a resource of this machine
+// or of the pool.
 func localShortage(err error) bool {
 	if errors.Is(err, errPoolExhausted) {
 		return true
