--- a/internal/replica/dial_test.go
+++ b/internal/replica/dial_test.go
@@ -10,7 +10,8 @@
 	"standpulley/logic"
 )
 
-// unacceptingAddr gives an address whose connections never come up: its queue of new ones is full, and nobody takes any.
+// unacceptingAddr returns an address to which no connection can be established: the backlog of its
+// listening socket is full, and nothing accepts connections.
 func unacceptingAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -38,21 +39,21 @@
 	}
 }
 
-// A connection that does not come up in the settings' time proves that nothing ran, and holds no place of the pool; an attempt that is
-// given up meanwhile ends at once.
-func TestConnectionThatNeverComesUp(t *testing.T) {
+// A connection that is not established within the dial timeout proves that nothing ran, and is not
+// counted as open any more. An attempt that is cancelled while it connects ends at once.
+func TestDialTimeoutAndCancel(t *testing.T) {
 	addr, pool := unacceptingAddr(t), NewPool(4, 0, 50*time.Millisecond)
 	rep, _ := send(pool, addr, 10*time.Second, "b")
 	if got := rep.result(t); got.Outcome != logic.ConnectFailed {
-		t.Errorf("%+v", got)
+		t.Errorf("dial timeout: %+v", got)
 	}
 	pool.SetLimits(4, 0, time.Hour)
 	rep, a := send(pool, addr, time.Hour, "b")
 	a.Cancel()
 	if got := rep.result(t); got.Outcome != logic.NotSent {
-		t.Errorf("given up: %+v", got)
+		t.Errorf("cancelled: %+v", got)
 	}
 	if pool.open != 0 {
-		t.Errorf("%d places are held", pool.open)
+		t.Errorf("%d connections are counted as open", pool.open)
 	}
 }
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -8,7 +8,8 @@
 	"standpulley/logic"
 )
 
-// Guards: a probe tells in time whether a replica is well, whatever the replica does, and keeps no connection too many.
+// A probe must return the right outcome in time, whatever the replica does, and must not leak
+// connections.
 func TestProbes(t *testing.T) {
 	closed := startReplica(t, func(*standin.Exchange) {})
 	closed.Close()
@@ -16,7 +17,7 @@
 		act  func(*standin.Exchange)
 		want logic.Outcome
 	}{
-		"well":    {func(x *standin.Exchange) { x.Status(200, false, "") }, logic.Delivered},
+		"healthy": {func(x *standin.Exchange) { x.Status(200, false, "") }, logic.Delivered},
 		"busy":    {func(x *standin.Exchange) { x.Status(503, false, "") }, logic.Full},
 		"unknown": {func(x *standin.Exchange) { x.Status(404, false, "") }, logic.Full},
 		"silent":  {func(x *standin.Exchange) { x.Gone() }, logic.ConnectFailed},
@@ -28,15 +29,15 @@
 			r = startReplica(t, c.act)
 		}
 		pool := NewPool(1, 0, 0)
-		told := make(chan logic.Outcome, 2)
-		from := time.Now()
-		Prober{Pool: pool}.Probe(r.Addr, func(o logic.Outcome) { told <- o })
-		if got := <-told; got != c.want || time.Since(from) > probeTimeout+200*time.Millisecond {
-			t.Errorf("%s: %v after %v, want %v", name, got, time.Since(from), c.want)
+		outcomes := make(chan logic.Outcome, 2)
+		start := time.Now()
+		Prober{Pool: pool}.Probe(r.Addr, func(o logic.Outcome) { outcomes <- o })
+		if got := <-outcomes; got != c.want || time.Since(start) > probeTimeout+200*time.Millisecond {
+			t.Errorf("%s: %v after %v, want %v", name, got, time.Since(start), c.want)
 		}
 		if c.act != nil {
 			if calls := r.Calls("GET"); len(calls) != 1 || calls[0].Path != "/-/healthy" || calls[0].ID != "" {
-				t.Errorf("%s: the replica got %+v", name, calls)
+				t.Errorf("%s: calls at the replica: %+v", name, calls)
 			}
 		}
 		pool.mu.Lock()
--- a/internal/replica/release.go
+++ b/internal/replica/release.go
@@ -109,8 +109,8 @@
 }
 
 // callReplicas makes the calls of one release and reports whether a replica has answered. All open
-// connections may be dead, so only the first call uses an idle connection; if it fails, the same
-// replica is called again over a new one. A call that fails for lack of a local resource says nothing
+// connections may be dead, so only the first call uses an idle connection; if that brings no answer,
+// the same replica is called again over a new one. A call that fails for lack of a local resource says nothing
 // about the replica, and the next call is made only after the usual delay.
 func (l *Releaser) callReplicas(r *release) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
@@ -219,7 +219,7 @@
 func (l *Releaser) doCall(ctx context.Context, addr, id string, newConn bool) error {
 	status, err := l.pool.do(ctx, call{addr: addr, method: fasthttp.MethodDelete, path: "/bootstrap/rooms/" + id, timeout: releaseCallTimeout, urgent: true, newConn: newConn})
 	if ctx.Err() != nil {
-		return ctx.Err() // another replica has answered
+		return ctx.Err() // the release has ended, so this call says nothing about the replica
 	}
 	if err == nil && (status < fasthttp.StatusOK || status >= fasthttp.StatusMultipleChoices) {
 		err = fmt.Errorf("unexpected status %d", status) // whatever answered may have released nothing
--- a/internal/replica/release_test.go
+++ b/internal/replica/release_test.go
@@ -15,108 +15,109 @@
 	"standpulley/internal/standin"
 )
 
-// Guards: a release was tried once at up to four replicas. Where those had died, as in a restart of a part of the fleet, what a read had
-// left elsewhere stayed held.
-func TestReleaseGoesOnUntilItIsTaken(t *testing.T) {
+// Guards against a release that is tried only once at up to four replicas: if these were down, as during
+// a restart of a part of the fleet, the state that a read had left elsewhere was not released.
+func TestReleaseIsRepeatedUntilAnswered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	const refused = 3
-	taken := make(chan string, 1)
+	const failures = 3
+	received := make(chan string, 1)
 	go func() {
 		for n := 0; ; n++ {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if n < refused { // it is not up yet
+			if n < failures { // the replica is not up yet
 				_ = c.Close()
 				continue
 			}
-			line, _ := bufio.NewReader(c).ReadString('\n') // what it is tells
-			taken <- line
-			_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") // seen by the end of the release
+			line, _ := bufio.NewReader(c).ReadString('\n') // a failed read shows in the comparison
+			received <- line
+			_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") // an error keeps the release from ending
 		}
 	}()
 	l := NewReleaser(NewPool(4, 0, 0))
 	l.Release("id1", []string{ln.Addr().String()})
 	select {
-	case line := <-taken:
+	case line := <-received:
 		if line != "DELETE /bootstrap/rooms/id1 HTTP/1.1\r\n" {
-			t.Errorf("asked %q", line)
+			t.Errorf("received %q", line)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the release is given up")
+		t.Fatal("the release is not repeated")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if l.AwaitIdle(ctx); l.openReleases() != 0 {
-		t.Error("it goes on although it was taken")
+		t.Error("the release goes on although it was answered")
 	}
 }
 
-// Guards: replicas that hang took 100 ms each before the next was asked, and a state may be held for 500. Here 30 of them hang: 1.2 s,
-// for 3 s.
-func TestReleasePassesReplicasThatHang(t *testing.T) {
+// Guards against replicas that hang delaying a release: each once took 100 ms before the next replica
+// was called, while state may be held for 500 ms only. With 30 such replicas the release takes 1.2 s
+// now and took 3 s then.
+func TestReleasePassesUnresponsiveReplicas(t *testing.T) {
 	var addrs []string
 	for range 30 {
-		silent, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
+		unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = silent.Close() })
-		addrs = append(addrs, silent.Addr().String())
+		t.Cleanup(func() { _ = unresponsive.Close() })
+		addrs = append(addrs, unresponsive.Addr().String())
 	}
-	well := startReplica(t, func(*standin.Exchange) {})
+	healthy := startReplica(t, func(*standin.Exchange) {})
 	l := NewReleaser(NewPool(64, 0, 0))
-	began := time.Now()
-	l.Release("id1", append(addrs, well.Addr))
+	start := time.Now()
+	l.Release("id1", append(addrs, healthy.Addr))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	l.AwaitIdle(ctx)
-	if n := len(well.Calls("DELETE")); n != 1 {
-		t.Errorf("the replica that is well was asked %d times", n)
+	if n := len(healthy.Calls("DELETE")); n != 1 {
+		t.Errorf("the healthy replica was called %d times", n)
 	}
-	if took := time.Since(began); took > 2500*time.Millisecond {
-		t.Errorf("let go after %v", took)
+	if took := time.Since(start); took > 2500*time.Millisecond {
+		t.Errorf("released after %v", took)
 	}
 }
 
-// A release at no replica, or at none that ever answers, ends.
+// A release with no replica to call ends at once.
 func TestReleaseWithoutReplicas(t *testing.T) {
 	l := NewReleaser(NewPool(4, 0, 0))
 	l.Release("id1", nil)
 	if l.openReleases() != 0 {
-		t.Error("a call is under way")
+		t.Error("a release is in progress")
 	}
 }
 
-// Guards: where all open connections have fallen silent at once, each call went out on an idle one in turn, and what was held was let go
-// seconds late. A call that must not wait finds a connection also where attempts hold all of them.
-func TestReleaseGoesOutOnNewConnections(t *testing.T) {
+// Guards against releases that are seconds late because all open connections are dead and each call uses
+// another idle one. Urgent calls must get a connection even if attempts use all of the pool.
+func TestReleaseUsesNewConnections(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		pool := NewPool(8, 0, 0)
-		var first atomic.Int64 // connections that are silent: those that are open by then
+		var dead atomic.Int64 // set once the connections that were opened before no longer answer
 		var addrs []string
 		released := make(chan time.Time, 64)
 		for range 2 {
-			r := serverOf(t, func(c net.Conn, silent bool) {
+			r := startServer(t, func(c net.Conn, old bool) {
 				for br := bufio.NewReader(c); ; {
 					var req fasthttp.Request
 					if req.Read(br) != nil {
 						return
 					}
-					if silent && first.Load() > 0 {
+					if old && dead.Load() > 0 {
 						continue
 					}
-					if first.Load() > 0 {
+					if dead.Load() > 0 {
 						released <- time.Now()
 					}
 					_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 				}
-			}, &first)
+			}, &dead)
 			addrs = append(addrs, r)
 		}
 		var idle []*conn
@@ -130,28 +131,29 @@
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
-		first.Store(1)
+		dead.Store(1)
 		if !full {
 			for _, c := range idle {
 				pool.put(c)
 			}
 			time.Sleep(minRest)
 		}
-		began := time.Now()
+		start := time.Now()
 		NewReleaser(pool).Release("a", addrs)
 		select {
 		case at := <-released:
-			if took := at.Sub(began); took > 200*time.Millisecond {
+			if took := at.Sub(start); took > 200*time.Millisecond {
 				t.Errorf("pool full %v: released after %v", full, took)
 			}
 		case <-time.After(2 * time.Second):
-			t.Errorf("pool full %v: nothing was released", full)
+			t.Errorf("pool full %v: no release was received", full)
 		}
 	}
 }
 
-// serverOf listens and serves each connection; those that came before suspectAfter was set are silent.
-func serverOf(t *testing.T, serve func(c net.Conn, silent bool), silence *atomic.Int64) string {
+// startServer listens and serves each connection with serve. The argument old tells whether the
+// connection was accepted before dead was set.
+func startServer(t *testing.T, serve func(c net.Conn, old bool), dead *atomic.Int64) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,15 +166,16 @@
 			if err != nil {
 				return
 			}
-			go serve(c, silence.Load() == 0)
+			go serve(c, dead.Load() == 0)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// Guards: a connection that a release had made beyond those of attempts stood idle after it, an attempt took it and kept it, and in time
-// attempts had every place that is kept for releases (soak seed 519: states held for up to 1.9 s).
-func TestAttemptsDoNotTakeTheConnectionsOfReleases(t *testing.T) {
+// Guards against attempts taking over the connections that are reserved for releases: a connection that
+// a release had opened beyond the bound of attempts stayed idle, an attempt reused and kept it, and in
+// time attempts used all reserved connections (soak seed 519: state was held for up to 1.9 s).
+func TestAttemptsDoNotUseReservedConnections(t *testing.T) {
 	pool := NewPool(reserveFrom, 0, 0)
 	rep := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	for range reserveFrom - reserveFrom/reserveShare {
@@ -182,11 +185,11 @@
 	}
 	for range 3 * (maxExtra + reserveFrom/reserveShare) {
 		if _, err := pool.do(t.Context(), call{addr: rep.Addr, method: "DELETE", path: "/bootstrap/rooms/a", timeout: time.Second, urgent: true}); err != nil {
-			t.Fatalf("a release: %v", err)
+			t.Fatalf("release: %v", err)
 		}
 		time.Sleep(minRest)
 		if _, err := pool.get(t.Context(), rep.Addr, false); !errors.Is(err, errPoolExhausted) {
-			t.Fatalf("an attempt beyond the bound: %v", err)
+			t.Fatalf("attempt beyond the bound: error %v, want errPoolExhausted", err)
 		}
 	}
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -15,20 +15,20 @@
 	"standpulley/logic"
 )
 
-// report collects what an attempt tells of itself.
-type report struct {
+// recorder is an AttemptObserver that collects streams and results.
+type recorder struct {
 	began chan dispatch.Stream
 	ended chan dispatch.Result
 }
 
-func newReport() *report {
-	return &report{make(chan dispatch.Stream, 2), make(chan dispatch.Result, 2)}
+func newRecorder() *recorder {
+	return &recorder{make(chan dispatch.Stream, 2), make(chan dispatch.Result, 2)}
 }
-func (r *report) Written()                {}
-func (r *report) Began(s dispatch.Stream) { r.began <- s }
-func (r *report) Ended(d dispatch.Result) { r.ended <- d }
+func (r *recorder) Written()                {}
+func (r *recorder) Began(s dispatch.Stream) { r.began <- s }
+func (r *recorder) Ended(d dispatch.Result) { r.ended <- d }
 
-func (r *report) result(t *testing.T) dispatch.Result {
+func (r *recorder) result(t *testing.T) dispatch.Result {
 	t.Helper()
 	select {
 	case d := <-r.ended:
@@ -39,6 +39,7 @@
 	}
 }
 
+// startReplica starts a fake replica that handles each exchange with act.
 func startReplica(t *testing.T, act func(*standin.Exchange)) *standin.Replica {
 	t.Helper()
 	r, err := standin.Start("127.0.0.1:0", act)
@@ -49,35 +50,37 @@
 	return r
 }
 
-func send(pool *Pool, addr string, wait time.Duration, body string) (*report, dispatch.Attempt) {
-	rep := newReport()
+// send starts an attempt with the given timeout.
+func send(pool *Pool, addr string, timeout time.Duration, body string) (*recorder, dispatch.Attempt) {
+	rep := newRecorder()
 	p := &Request{Pool: pool, ID: "id1", Method: "POST", URI: "/v1/x?y=%2F", Body: []byte(body)}
-	return rep, p.Send(dispatch.Target{Server: "s", Addr: addr, Until: time.Now().Add(wait)}, rep)
+	return rep, p.Send(dispatch.Target{Server: "s", Addr: addr, Until: time.Now().Add(timeout)}, rep)
 }
 
-// Guards: what an attempt ends with decides whether it may be repeated, so each end has its exact outcome.
+// The outcome of an attempt decides whether it may be repeated, so it must be exact for each way in
+// which an attempt can end.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(*standin.Exchange)
 		want dispatch.Result
 	}{
-		"read":              {func(x *standin.Exchange) { x.Read(42) }, dispatch.Result{Outcome: logic.ReadDone, Tokens: 42}},
-		"error":             {func(x *standin.Exchange) { x.Status(500, false, "x") }, dispatch.Result{Outcome: logic.ServerError}},
-		"full":              {func(x *standin.Exchange) { x.Status(503, true, "x") }, dispatch.Result{Outcome: logic.Full}},
-		"over":              {func(x *standin.Exchange) { x.Status(504, true, "") }, dispatch.Result{Outcome: logic.Full}},
-		"503 without proof": {func(x *standin.Exchange) { x.Status(503, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
-		"no state":          {func(x *standin.Exchange) { x.Status(410, true, "") }, dispatch.Result{Outcome: logic.Full, NoState: true}},
-		"410 without proof": {func(x *standin.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
-		"reset":             {func(x *standin.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
-		"head, no event":    {func(x *standin.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
-		"no answer":         {func(x *standin.Exchange) { x.Gone() }, dispatch.Result{Outcome: logic.TimedOut}},
+		"read done":          {func(x *standin.Exchange) { x.Read(42) }, dispatch.Result{Outcome: logic.ReadDone, Tokens: 42}},
+		"error":              {func(x *standin.Exchange) { x.Status(500, false, "x") }, dispatch.Result{Outcome: logic.ServerError}},
+		"full":               {func(x *standin.Exchange) { x.Status(503, true, "x") }, dispatch.Result{Outcome: logic.Full}},
+		"timeout at replica": {func(x *standin.Exchange) { x.Status(504, true, "") }, dispatch.Result{Outcome: logic.Full}},
+		"503 without proof":  {func(x *standin.Exchange) { x.Status(503, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
+		"no state to fetch":  {func(x *standin.Exchange) { x.Status(410, true, "") }, dispatch.Result{Outcome: logic.Full, NoState: true}},
+		"410 without proof":  {func(x *standin.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
+		"reset":              {func(x *standin.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
+		"head, no event":     {func(x *standin.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
+		"no answer":          {func(x *standin.Exchange) { x.Gone() }, dispatch.Result{Outcome: logic.TimedOut}},
 	} {
 		r := startReplica(t, c.act)
-		wait := 5 * time.Second
+		timeout := 5 * time.Second
 		if c.want.Outcome == logic.TimedOut {
-			wait = 300 * time.Millisecond
+			timeout = 300 * time.Millisecond
 		}
-		rep, _ := send(NewPool(4, 0, 0), r.Addr, wait, "b")
+		rep, _ := send(NewPool(4, 0, 0), r.Addr, timeout, "b")
 		got := rep.result(t)
 		got.Detail = ""
 		if got != c.want || len(r.Calls("")) != 1 {
@@ -91,12 +94,13 @@
 // event is one chunk with one event.
 const event = "a\r\ndata: {}\n\n\r\n"
 
-// writeRaw plays an answer word by word and goes on saying the last word until nobody listens.
-func writeRaw(words ...string) func(*standin.Exchange) {
+// writeRaw returns a handler that writes the parts of an answer and then leaves the connection open and
+// silent.
+func writeRaw(parts ...string) func(*standin.Exchange) {
 	return func(x *standin.Exchange) {
-		for i, w := range words {
-			if i == len(words)-1 && w == "" {
-				break // the connection stays open and silent
+		for i, w := range parts {
+			if i == len(parts)-1 && w == "" {
+				break // nothing left to write
 			}
 			if _, err := io.WriteString(x.Conn, w); err != nil {
 				return
@@ -106,47 +110,49 @@
 	}
 }
 
-// Guards: an answer that is spoilt before its first event is a failed attempt that has run, and it says so soon.
-func TestSpoiltBeforeTheFirstEvent(t *testing.T) {
+// An answer that is malformed before the end of its first event must soon end the attempt as failed,
+// with a result that tells that the replica has run it.
+func TestMalformedBeforeFirstEvent(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
-		"noise":               writeRaw("\x00\x01\xff\xfe noise without end"),
-		"noise in lines":      writeRaw("what is this\r\nno head\r\n\r\n"),
-		"a head of no end":    writeRaw("HTTP/1.1 200 OK\r\nX-Filler: ", strings.Repeat("x", 1<<16)),
-		"a head that stops":   writeRaw("HTTP/1.1 200 OK\r\nContent-Type: te"),
-		"interim without end": writeRaw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 500)),
-		"no framing":          writeRaw("HTTP/1.1 200 OK\r\n\r\n" + "data: {}\n\n"),
-		"chunk of no size":    writeRaw(head + "\r\nzz\r\ndata: {}\n\n\r\n"),
-		"negative chunk":      writeRaw(head + "\r\n-5\r\ndata: {}\n\n\r\n"),
-		"signed chunk":        writeRaw(head + "\r\n+a\r\ndata: {}\n\n\r\n"),
-		"chunk too short":     writeRaw(head + "\r\n5\r\ndata: {}\n\n\r\n"),
-		"chunk too long":      writeRaw(head + "\r\nff\r\ndata: {}\n\n\r\n"),
-		"3 GB":                writeRaw(head + "\r\nc0000000\r\ndata: {}\n\n"),
-		"no event":            writeRaw(head + "\r\n0\r\n\r\n"),
+		"binary noise":       writeRaw("\x00\x01\xff\xfe noise without end"),
+		"lines of text":      writeRaw("what is this\r\nno head\r\n\r\n"),
+		"endless head":       writeRaw("HTTP/1.1 200 OK\r\nX-Filler: ", strings.Repeat("x", 1<<16)),
+		"incomplete head":    writeRaw("HTTP/1.1 200 OK\r\nContent-Type: te"),
+		"endless interim":    writeRaw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 500)),
+		"no framing":         writeRaw("HTTP/1.1 200 OK\r\n\r\n" + "data: {}\n\n"),
+		"invalid chunk size": writeRaw(head + "\r\nzz\r\ndata: {}\n\n\r\n"),
+		"negative chunk":     writeRaw(head + "\r\n-5\r\ndata: {}\n\n\r\n"),
+		"signed chunk":       writeRaw(head + "\r\n+a\r\ndata: {}\n\n\r\n"),
+		"chunk too short":    writeRaw(head + "\r\n5\r\ndata: {}\n\n\r\n"),
+		"chunk too long":     writeRaw(head + "\r\nff\r\ndata: {}\n\n\r\n"),
+		"3 GB":               writeRaw(head + "\r\nc0000000\r\ndata: {}\n\n"),
+		"no event":           writeRaw(head + "\r\n0\r\n\r\n"),
 	} {
 		pool := NewPool(4, 0, 0)
-		from := time.Now()
+		start := time.Now()
 		rep, _ := send(pool, startReplica(t, act).Addr, 5*time.Second, "b")
 		got := rep.result(t)
-		if got.Outcome != logic.ConnectionLost || !got.NoState || time.Since(from) > 2*time.Second || len(rep.began) > 0 {
-			t.Errorf("%s: %+v after %v", name, got, time.Since(from))
+		if got.Outcome != logic.ConnectionLost || !got.NoState || time.Since(start) > 2*time.Second || len(rep.began) > 0 {
+			t.Errorf("%s: %+v after %v", name, got, time.Since(start))
 		}
 		if pool.open != 0 {
-			t.Errorf("%s: the connection is kept", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 	}
 }
 
-// Guards: of a stream that is spoilt later only whole events pass, it ends as not whole, and soon.
-func TestSpoiltLater(t *testing.T) {
+// A stream that becomes malformed later must soon end as incomplete, and only complete events may be
+// passed on.
+func TestMalformedAfterFirstEvent(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
-		"chunk of no size":       writeRaw(head + "\r\n" + event + "zz\r\n" + event),
-		"chunk too short":        writeRaw(head + "\r\n" + event + "5\r\ndata: {}\n\n\r\n" + event),
-		"chunk too long":         writeRaw(head + "\r\n" + event + "ff\r\ndata: {}\n\n\r\n" + event),
-		"3 GB":                   writeRaw(head+"\r\n"+event+"c0000000\r\n", strings.Repeat("x", 1<<20)),
-		"size without end":       writeRaw(head+"\r\n"+event, strings.Repeat("0", 1<<16)),
-		"trailer without end":    writeRaw(head+"\r\n"+event+"0\r\n", strings.Repeat("a: b\r\n", 1<<10)),
-		"reset":                  func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); x.Break() },
-		"no last chunk, a close": func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); _ = x.Conn.Close() },
+		"invalid chunk size":       writeRaw(head + "\r\n" + event + "zz\r\n" + event),
+		"chunk too short":          writeRaw(head + "\r\n" + event + "5\r\ndata: {}\n\n\r\n" + event),
+		"chunk too long":           writeRaw(head + "\r\n" + event + "ff\r\ndata: {}\n\n\r\n" + event),
+		"3 GB":                     writeRaw(head+"\r\n"+event+"c0000000\r\n", strings.Repeat("x", 1<<20)),
+		"endless chunk size":       writeRaw(head+"\r\n"+event, strings.Repeat("0", 1<<16)),
+		"endless trailer":          writeRaw(head+"\r\n"+event+"0\r\n", strings.Repeat("a: b\r\n", 1<<10)),
+		"reset":                    func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); x.Break() },
+		"close without last chunk": func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); _ = x.Conn.Close() },
 	} {
 		pool := NewPool(4, 0, 0)
 		pool.StallTimeout = time.Second
@@ -167,27 +173,28 @@
 			t.Errorf("%s: %q, %v, %+v", name, text, err, got)
 		}
 		if pool.open != 0 {
-			t.Errorf("%s: the connection is kept", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 	}
 }
 
-// Guards: a good stream is served whole whatever else comes with it; what follows it spoils the connection only.
-func TestGoodStreamsWithExtras(t *testing.T) {
+// A valid stream must be served completely whatever else the replica sends with it. Bytes after its end
+// only keep the connection from being reused.
+func TestValidStreamsWithExtras(t *testing.T) {
 	good := head + "\r\n" + event + event + "0\r\n\r\n"
 	for name, c := range map[string]struct {
 		text string
-		kept int // connections
+		kept int // open connections at the end
 	}{
-		"plain":         {good, 1},
-		"100":           {"HTTP/1.1 100 Continue\r\n\r\n" + good, 1},
-		"103 and 102":   {"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + good, 1},
-		"odd report":    {head + "X-Load: {{\xff\xfe;;=,\r\n\r\n" + good[len(head)+2:], 1},
-		"extension":     {head + "\r\nA;a=\"b\"\r\ndata: {}\n\n\r\n" + event + "000;x\r\n\r\n", 1},
-		"trailer":       {head + "\r\n" + event + event + "0\r\nX-T: 1\r\n\r\n", 1},
-		"close":         {head + "Connection: close\r\n\r\n" + good[len(head)+2:], 0},
-		"bytes after":   {good + "junk", 0},
-		"second answer": {good + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0},
+		"plain":                 {good, 1},
+		"100":                   {"HTTP/1.1 100 Continue\r\n\r\n" + good, 1},
+		"103 and 102":           {"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + good, 1},
+		"malformed load header": {head + "X-Load: {{\xff\xfe;;=,\r\n\r\n" + good[len(head)+2:], 1},
+		"extension":             {head + "\r\nA;a=\"b\"\r\ndata: {}\n\n\r\n" + event + "000;x\r\n\r\n", 1},
+		"trailer":               {head + "\r\n" + event + event + "0\r\nX-T: 1\r\n\r\n", 1},
+		"close":                 {head + "Connection: close\r\n\r\n" + good[len(head)+2:], 0},
+		"bytes after":           {good + "junk", 0},
+		"second answer":         {good + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0},
 	} {
 		pool := NewPool(4, 0, 0)
 		rep, _ := send(pool, startReplica(t, writeRaw(c.text, "")).Addr, 5*time.Second, "b")
@@ -211,8 +218,8 @@
 	}
 }
 
-// Guards: only what was written to its last byte may have run.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
+// An attempt may have run only if its last byte was written.
+func TestBrokenBeforeLastByte(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -231,16 +238,17 @@
 	}()
 	rep, _ := send(NewPool(4, 0, 0), ln.Addr().String(), 3*time.Second, string(make([]byte, 64<<20)))
 	if got := rep.result(t); got.Outcome != logic.ConnectFailed {
-		t.Errorf("broken while it was written: %+v", got)
+		t.Errorf("connection broken during the write: %+v", got)
 	}
 	_ = ln.Close()
 	rep, _ = send(NewPool(4, 0, 0), ln.Addr().String(), 3*time.Second, "b")
 	if got := rep.result(t); got.Outcome != logic.ConnectFailed {
-		t.Errorf("refused: %+v", got)
+		t.Errorf("connection refused: %+v", got)
 	}
 }
 
-// Guards: an attempt that is given up closes its connection, and one that never left tells nothing of the replica.
+// A cancelled attempt must close its connection. The result of an attempt that was never sent must say
+// nothing about the replica.
 func TestCancel(t *testing.T) {
 	gone := make(chan bool, 1)
 	r := startReplica(t, func(x *standin.Exchange) { x.Gone(); gone <- true })
@@ -250,23 +258,23 @@
 	}
 	at.Cancel()
 	if got := rep.result(t); got.Outcome != logic.Cancelled {
-		t.Errorf("got %+v", got)
+		t.Errorf("outcome: %+v", got)
 	}
 	<-gone
 	rep, _ = send(NewPool(4, 0, 0), r.Addr, -time.Second, "b")
 	if got := rep.result(t); got.Outcome != logic.NotSent {
-		t.Errorf("its time was over before it left: %+v", got)
+		t.Errorf("deadline over before the send: %+v", got)
 	}
 	pool := NewPool(1, 0, 0)
 	pool.open = 1
 	rep, _ = send(pool, r.Addr, time.Second, "b")
 	if got := rep.result(t); got.Outcome != logic.NotSent {
-		t.Errorf("no room: %+v", got)
+		t.Errorf("pool exhausted: %+v", got)
 	}
 }
 
-// Guards: the attempt's time no longer runs once its stream is read, however long the stream.
-func TestLiveStreamIsNeverCut(t *testing.T) {
+// The deadline of an attempt must not cut its stream once the stream is read, however long it lasts.
+func TestDeadlineDoesNotCutStream(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) {
 		x.Head()
 		for range 5 {
@@ -283,16 +291,17 @@
 		_, err = s.Next()
 	}
 	if got := rep.result(t); err != io.EOF || got.Outcome != logic.Delivered {
-		t.Errorf("%v, %+v", err, got)
+		t.Errorf("stream ended with %v, result %+v", err, got)
 	}
-	s.Close() // after the end it does nothing
+	s.Close() // no effect after the end
 	if len(rep.ended) != 0 || len(pool.idle[r.Addr]) != 1 {
-		t.Errorf("%d further ends, %d idle connections", len(rep.ended), len(pool.idle[r.Addr]))
+		t.Errorf("%d further results, %d idle connections", len(rep.ended), len(pool.idle[r.Addr]))
 	}
 }
 
-// Guards: connections are used again once they have rested, but not when they have been idle for nearly as long as the replica allows.
-func TestConnectionsAreUsedAgainAndRetired(t *testing.T) {
+// Connections must be reused once they have been idle for minRest, but not if they have been idle for
+// nearly as long as the replica allows.
+func TestConnectionsAreReusedAndRetired(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	pool := NewPool(4, 100*time.Second, 0)
 	for range 3 {
@@ -301,17 +310,17 @@
 		pool.idle[r.Addr][0].idledAt = time.Now().Add(-minRest)
 	}
 	if pool.open != 1 {
-		t.Errorf("%d connections for requests in turn", pool.open)
+		t.Errorf("%d connections for consecutive requests", pool.open)
 	}
 	old := pool.idle[r.Addr][0]
 	old.idledAt = time.Now().Add(-81 * time.Second)
 	c, err := pool.get(context.Background(), r.Addr, false)
 	if err != nil || c == old || pool.open != 1 {
-		t.Errorf("%v, the old one %v, %d open", err, c == old, pool.open)
+		t.Errorf("error %v, expired connection reused %v, %d open", err, c == old, pool.open)
 	}
 }
 
-// Guards: the number of open connections is bounded; idle ones to other replicas make room.
+// The number of open connections must be bounded. Idle ones to other replicas are evicted for new ones.
 func TestPoolIsBounded(t *testing.T) {
 	a := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	b := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
@@ -319,19 +328,20 @@
 	for _, addr := range []string{a.Addr, b.Addr, a.Addr} {
 		rep, _ := send(pool, addr, time.Second, "b")
 		if got := rep.result(t); got.Outcome != logic.ReadDone {
-			t.Errorf("got %+v", got)
+			t.Errorf("outcome: %+v", got)
 		}
 	}
 	if pool.open != 1 {
-		t.Errorf("%d open", pool.open)
+		t.Errorf("%d connections open", pool.open)
 	}
 }
 
-// Guards: a kept connection may be reset by the next request. What must not run twice is lost on one that was.
-func TestOnceGoesOutOnNewConnections(t *testing.T) {
+// Guards against sending a request that must not run twice over an idle connection. The replica may
+// reset the connection, and the request is lost then, as it can't be repeated.
+func TestNoReuseUsesNewConnections(t *testing.T) {
 	var conns sync.Map
 	r := startReplica(t, func(x *standin.Exchange) {
-		if _, kept := conns.LoadOrStore(x.Conn, true); kept {
+		if _, reused := conns.LoadOrStore(x.Conn, true); reused {
 			x.Break()
 			return
 		}
@@ -339,7 +349,7 @@
 	})
 	pool := NewPool(32, 0, 0)
 	for i := range 20 {
-		rep := newReport()
+		rep := newRecorder()
 		p := &Request{Pool: pool, ID: "id", Method: "POST", URI: "/"}
 		p.Send(dispatch.Target{Addr: r.Addr, Until: time.Now().Add(time.Second), NoReuse: true}, rep)
 		select {
@@ -357,9 +367,9 @@
 	}
 }
 
-// Guards: a replica may reset a connection that its machine has accepted. What must not run twice is not written to
-// it, so it never ran.
-func TestNewConnectionThatIsReset(t *testing.T) {
+// Guards against writing a request that must not run twice to a new connection that the replica resets
+// after its machine has accepted it. If nothing is written, the request is known not to have run.
+func TestNoReuseDetectsResetOfNewConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -373,75 +383,77 @@
 	}()
 	pool := NewPool(4, 0, 0)
 	for range 20 {
-		rep := newReport()
+		rep := newRecorder()
 		p := &Request{Pool: pool, ID: "id", Method: "POST", URI: "/"}
 		p.Send(dispatch.Target{Addr: ln.Addr().String(), Until: time.Now().Add(time.Second), NoReuse: true}, rep)
-		// On a machine that is busy the reset may come later than that moment: then it may have run.
+		// On a busy machine the reset may come after settleTime, and then the request may have run.
 		if got := rep.result(t); got.Outcome == logic.ConnectFailed {
 			return
 		}
 	}
-	t.Error("each of 20 was written to a connection that was reset")
+	t.Error("each of 20 requests was written to a connection that was reset")
 }
 
-// Guards: a machine that is cut off leaves its connections open and silent: after one suspectAfter the others are not used.
-func TestSilentConnectionsAreDoubted(t *testing.T) {
+// Guards against reusing dead connections: a machine that is cut off leaves its connections open and
+// silent. After an attempt without an answer for suspectAfter the idle ones must be closed.
+func TestIdleConnectionsToSilentReplicaAreClosed(t *testing.T) {
 	pool := NewPool(8, 0, 0)
-	quiet := startReplica(t, func(x *standin.Exchange) { x.Gone() })
-	for range 2 { // two that idle, and one that falls silent
-		c, err := pool.dial(context.Background(), quiet.Addr, 0)
+	silent := startReplica(t, func(x *standin.Exchange) { x.Gone() })
+	for range 2 { // two idle connections, besides the one of the attempt
+		c, err := pool.dial(context.Background(), silent.Addr, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		pool.put(c)
 	}
-	if n := len(pool.idle[quiet.Addr]); n != 2 {
-		t.Fatalf("%d idle", n)
+	if n := len(pool.idle[silent.Addr]); n != 2 {
+		t.Fatalf("%d idle connections", n)
 	}
-	rep, _ := send(pool, quiet.Addr, suspectAfter+200*time.Millisecond, "b")
-	if got := rep.result(t); got.Outcome != logic.TimedOut || len(pool.idle[quiet.Addr]) != 0 || pool.open != 0 {
-		t.Errorf("%+v, %d idle, %d open", got, len(pool.idle[quiet.Addr]), pool.open)
+	rep, _ := send(pool, silent.Addr, suspectAfter+200*time.Millisecond, "b")
+	if got := rep.result(t); got.Outcome != logic.TimedOut || len(pool.idle[silent.Addr]) != 0 || pool.open != 0 {
+		t.Errorf("result %+v, %d idle and %d open connections", got, len(pool.idle[silent.Addr]), pool.open)
 	}
 }
 
-// Guards: a release that one replica can't take goes to another.
-func TestReleaseTriesAnother(t *testing.T) {
-	dead := startReplica(t, func(*standin.Exchange) {})
-	dead.Close()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
+// A release that one replica can't serve must be sent to another.
+func TestReleaseTriesOtherReplicas(t *testing.T) {
+	down := startReplica(t, func(*standin.Exchange) {})
+	down.Close()
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	well := startReplica(t, func(*standin.Exchange) {})
+	defer unresponsive.Close()
+	healthy := startReplica(t, func(*standin.Exchange) {})
 	l := NewReleaser(NewPool(4, 0, 0))
-	l.Release("id1", []string{dead.Addr, silent.Addr().String(), well.Addr})
-	for end := time.Now().Add(5 * time.Second); len(well.Calls("DELETE")) == 0; time.Sleep(time.Millisecond) {
+	l.Release("id1", []string{down.Addr, unresponsive.Addr().String(), healthy.Addr})
+	for end := time.Now().Add(5 * time.Second); len(healthy.Calls("DELETE")) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the replica that is well was not asked")
+			t.Fatal("the healthy replica was not called")
 		}
 	}
-	if p := well.Calls("DELETE")[0].Path; p != "/bootstrap/rooms/id1" {
-		t.Errorf("asked for %s", p)
+	if p := healthy.Calls("DELETE")[0].Path; p != "/bootstrap/rooms/id1" {
+		t.Errorf("called with path %s", p)
 	}
 }
 
-// Guards: leave is asked right before the first byte, and where there is none no byte leaves.
-func TestNoByteWithoutLeave(t *testing.T) {
+// BeforeSend must be called right before the first byte is written, and no byte may be written if it
+// returns an error.
+func TestBeforeSendCanPreventSend(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
-	pool, asked := NewPool(4, 0, 0), 0
-	for _, err := range []error{nil, errors.Join(dispatch.ErrNoLease, errors.New("over")), dispatch.ErrWithdrawn, dispatch.ErrRepeatWindowClosed} {
-		rep := newReport()
+	pool, checks := NewPool(4, 0, 0), 0
+	for _, err := range []error{nil, errors.Join(dispatch.ErrNoLease, errors.New("lease expired")), dispatch.ErrWithdrawn, dispatch.ErrRepeatWindowClosed} {
+		rep := newRecorder()
 		p := &Request{Pool: pool, ID: "id1", Method: "POST", URI: "/", Body: []byte(strings.Repeat("x", 100<<10))}
 		p.Send(dispatch.Target{Server: "s", Addr: r.Addr, Until: time.Now().Add(5 * time.Second), SettingsVersion: "3-ab",
-			BeforeSend: func() error { asked++; return err }}, rep)
+			BeforeSend: func() error { checks++; return err }}, rep)
 		got := rep.result(t)
 		if got.NoLease != errors.Is(err, dispatch.ErrNoLease) || got.Outcome != map[bool]logic.Outcome{true: logic.ReadDone, false: logic.NotSent}[err == nil] {
-			t.Errorf("leave %v: %+v", err, got)
+			t.Errorf("BeforeSend returns %v: %+v", err, got)
 		}
 	}
 	calls := r.Calls("")
-	if len(calls) != 1 || calls[0].Header["X-Settings"] != "3-ab" || asked != 4 {
-		t.Errorf("%d calls, asked %d times, %v", len(calls), asked, calls[0].Header)
+	if len(calls) != 1 || calls[0].Header["X-Settings"] != "3-ab" || checks != 4 {
+		t.Errorf("%d calls, BeforeSend called %d times, headers %v", len(calls), checks, calls[0].Header)
 	}
 }
--- a/internal/replica/shortage_test.go
+++ b/internal/replica/shortage_test.go
@@ -10,9 +10,10 @@
 	"standpulley/logic"
 )
 
-// Guards: a machine out of descriptors, buffers or ports took it for the replica's failure, which was left alone then. What the network says of
-// the replica stays the replica's. No errno makes an attempt that may have run one that has not.
-func TestShortagesHereAreNotTheReplicas(t *testing.T) {
+// Guards against a local lack of descriptors, buffers or ports being counted as a failure of the
+// replica, which was ejected for it. Network errors about the replica still count as its failures, and
+// no errno turns an attempt that may have run into one that has not.
+func TestLocalShortagesAreNotFailuresOfReplicas(t *testing.T) {
 	for _, c := range []struct {
 		call  string
 		errno syscall.Errno
@@ -41,7 +42,7 @@
 		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 		a := &attempt{ctx: context.Background()}
 		if got := a.failure(logic.ConnectionLost, err).Outcome; got != logic.ConnectionLost && got != logic.TimedOut {
-			t.Errorf("read, %v after the last byte: %v", errno, got)
+			t.Errorf("read error %v after the last byte was written: %v", errno, got)
 		}
 	}
 }
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -15,7 +15,7 @@
 	"standpulley/logic"
 )
 
-// chunked puts text into chunks of so many bytes.
+// chunked encodes text in chunks of at most size bytes.
 func chunked(text string, size int) string {
 	var b strings.Builder
 	for len(text) > 0 {
@@ -26,7 +26,7 @@
 	return b.String()
 }
 
-const whole = "data: {\"choices\":[{\"index\":0}]}\n\n"
+const fullEvent = "data: {\"choices\":[{\"index\":0}]}\n\n"
 
 func TestHasEvent(t *testing.T) {
 	for text, want := range map[string]bool{
@@ -47,22 +47,22 @@
 	}
 }
 
-// Guards: an answer whose connection broke inside its first event counted as begun. The client got a part of an event and the end of its
-// connection instead of an answer, and nobody tried again.
-func TestBreakInsideTheFirstEventIsNoAnswer(t *testing.T) {
-	for _, cut := range []int{1, 6, len(whole) - 1} {
+// Guards against counting an answer as begun whose connection breaks within its first event. The client
+// then got a part of an event and the end of its connection, and the attempt was not retried.
+func TestBreakWithinFirstEventIsNoAnswer(t *testing.T) {
+	for _, cut := range []int{1, 6, len(fullEvent) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
 			for name, end := range map[string]func(*standin.Exchange){
 				"reset": (*standin.Exchange).Break, "no answer": (*standin.Exchange).Gone,
 			} {
 				r := startReplica(t, func(x *standin.Exchange) {
-					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(whole[:cut], size)) // what the other side makes of it is the point
+					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent[:cut], size)) // an error shows in the result of the attempt
 					end(x)
 				})
 				rep, _ := send(NewPool(4, 0, 0), r.Addr, 5*time.Second, "b")
 				select {
 				case <-rep.began:
-					t.Errorf("%s after %d bytes in chunks of %d: it has begun", name, cut, size)
+					t.Errorf("%s after %d bytes in chunks of %d: a stream has begun", name, cut, size)
 				case got := <-rep.ended:
 					if got.Outcome != logic.ConnectionLost || !got.NoState {
 						t.Errorf("%s after %d bytes in chunks of %d: %+v", name, cut, size, got)
@@ -75,38 +75,40 @@
 	}
 }
 
-// An answer in pieces of any size passes unchanged, and its first event does not wait for the second.
-func TestAnswerInPiecesPassesUnchanged(t *testing.T) {
+// An answer in chunks of any size is passed on unchanged, and its first event is not held back until the
+// second.
+func TestChunkedAnswerIsPassedOnUnchanged(t *testing.T) {
 	for _, size := range []int{1, 7, 1 << 10} {
-		goOn := make(chan bool)
+		proceed := make(chan bool)
 		r := startReplica(t, func(x *standin.Exchange) {
-			_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(whole, size)) // seen by who reads it
-			<-goOn
-			_, _ = io.WriteString(x.Conn, chunked(whole, size)+"0\r\n\r\n")
+			_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent, size)) // an error shows in the stream
+			<-proceed
+			_, _ = io.WriteString(x.Conn, chunked(fullEvent, size)+"0\r\n\r\n")
 		})
 		rep, _ := send(NewPool(4, 0, 0), r.Addr, 5*time.Second, "b")
 		var s dispatch.Stream
 		select {
 		case s = <-rep.began:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the first event does not pass")
+			t.Fatal("the first event is not passed on")
 		}
 		text, err := s.Next()
 		got := string(text)
-		close(goOn)
+		close(proceed)
 		for err == nil {
 			text, err = s.Next()
 			got += string(text)
 		}
-		if err != io.EOF || got != whole+whole {
+		if err != io.EOF || got != fullEvent+fullEvent {
 			t.Errorf("chunks of %d: %v, %q", size, err, got)
 		}
 	}
 }
 
-// Guards: a replica that says a second answer, some milliseconds after the first, said it to the next request on that connection. The
-// next one goes out on another until the connection has rested, and by then what came shows.
-func TestSecondAnswerIsNotTakenForTheNext(t *testing.T) {
+// Guards against an unexpected second answer, sent some milliseconds after the first, being taken for
+// the answer to the next request on the connection. A connection is not reused until it has been idle
+// for minRest, and by then the second answer shows.
+func TestSecondAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
 	pool := NewPool(4, 0, 0)
 	c, err := pool.get(context.Background(), r.Addr, false)
@@ -114,48 +116,48 @@
 		t.Fatal(err)
 	}
 	pool.put(c)
-	c.idledAt = time.Now().Add(time.Hour) // however long this test takes, it has not rested
+	c.idledAt = time.Now().Add(time.Hour) // not idle for long enough, however slow this test is
 	other, err := pool.get(context.Background(), r.Addr, false)
 	if err != nil || other == c {
-		t.Fatalf("%v, the same connection: %v", err, other == c)
+		t.Fatalf("connection without rest: error %v, reused %v", err, other == c)
 	}
 	pool.drop(other)
-	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil { // whose answer stands for the second one
+	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil { // its answer plays the unexpected one
 		t.Fatal(err)
 	}
-	for isQuiet(c.Conn) { // until it is there
+	for isQuiet(c.Conn) { // until the answer has arrived
 		time.Sleep(time.Millisecond)
 	}
 	c.idledAt = time.Now().Add(-minRest)
 	other, err = pool.get(context.Background(), r.Addr, false)
 	if err != nil || other == c || pool.open != 1 {
-		t.Errorf("%v, the same connection: %v, %d open", err, other == c, pool.open)
+		t.Errorf("connection with a second answer: error %v, reused %v, %d open", err, other == c, pool.open)
 	}
 }
 
-// Guards: an attempt that was given up while it connected could write before it was interrupted. The sendGuard stands before its first byte;
-// what has begun to leave goes on.
-func TestNoByteOnceGivenUp(t *testing.T) {
-	for _, begun := range []bool{false, true} {
+// Guards against an attempt that is cancelled while it connects writing its request before it is
+// interrupted. The sendGuard blocks only the first write: a request that is partly written goes on.
+func TestNoByteIsSentAfterCancel(t *testing.T) {
+	for _, started := range []bool{false, true} {
 		ours, theirs := net.Pipe()
 		got := make(chan string, 1)
-		go func() { text, _ := io.ReadAll(theirs); got <- string(text) }() // its end is that of the pipe
+		go func() { text, _ := io.ReadAll(theirs); got <- string(text) }() // ends with the pipe
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &sendGuard{Conn: ours, ctx: ctx}
 		want := ""
-		if begun {
+		if started {
 			if _, err := f.Write([]byte("a")); err != nil {
 				t.Fatal(err)
 			}
 			want = "ab"
 		}
 		cancel()
-		if _, err := f.Write([]byte("b")); errors.Is(err, errSendNotAllowed) == begun {
-			t.Errorf("begun %v: %v", begun, err)
+		if _, err := f.Write([]byte("b")); errors.Is(err, errSendNotAllowed) == started {
+			t.Errorf("partly written %v: error %v", started, err)
 		}
 		_ = ours.Close()
 		if text := <-got; text != want {
-			t.Errorf("begun %v: %q left", begun, text)
+			t.Errorf("partly written %v: %q was sent", started, text)
 		}
 	}
 }
