--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers is the transport between dispatchers: calls over HTTP at an address of its own, with
-// bounded sizes, rates, connections and queues. Calls from another cluster or from an unknown sender
-// and calls that are too large are dropped, counted by cause, and logged at a limited rate. The
-// package makes no decisions of its own.
+// Package peers is the transport between dispatchers: calls over HTTP at an address of its own,
+// with bounded sizes, rates, connections and queues. Calls from another cluster or from an unknown
+// sender and calls that are too large are dropped, counted by cause, and logged at a limited rate.
+// The package makes no decisions of its own.
 package peers
 
 import (
@@ -33,7 +33,8 @@
 	maxCall     = 1 << 20 // bytes; RaftPath and ReadingPath allow maxLargeCall
 	// RaftPath is the path of Raft frames between voters, which may hold a snapshot.
 	RaftPath = "/agree/raft"
-	// ReadingPath is the path by which a dispatcher that reads the registry reports a complete list.
+	// ReadingPath is the path by which a dispatcher that reads the registry reports a complete
+	// list.
 	ReadingPath  = "/agree/reading"
 	maxLargeCall = 8 << 20
 	maxAnswer    = 16 << 20
@@ -62,7 +63,8 @@
 	logged  map[string]time.Time // last log line of each cause
 }
 
-// RecordDrop counts a dropped call or frame and logs it, at most one line per cause and logInterval.
+// RecordDrop counts a dropped call or frame and logs it, at most one line per cause and
+// logInterval.
 func (c *Counts) RecordDrop(cause, sender, detail string) {
 	c.mu.Lock()
 	if c.dropped == nil {
@@ -197,8 +199,8 @@
 	return l
 }
 
-// ErrRemote marks an error that the remote dispatcher has returned. Its text is empty, as the wrapping
-// error has the text of the remote one.
+// ErrRemote marks an error that the remote dispatcher has returned. Its text is empty, as the
+// wrapping error has the text of the remote one.
 var ErrRemote = errors.New("")
 
 // Link is the client side of the transport to one dispatcher.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Calls from another cluster or from an unknown sender, calls that are too large or too frequent, and
-// malformed ones must be dropped and counted by cause, and none of them may reach the handler.
+// Calls from another cluster or from an unknown sender, calls that are too large or too frequent,
+// and malformed ones must be dropped and counted by cause, and none of them may reach the handler.
 func TestOnlyCallsOfMembersAreHandled(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -13,7 +13,8 @@
 	// A token bucket holds what its rate yields in burstTime, but at least minBurst requests.
 	burstTime = 100 * time.Millisecond
 	minBurst  = 3
-	// Tenants within their shares may overdraw the common bucket by what its rate yields in this time.
+	// Tenants within their shares may overdraw the common bucket by what its rate yields in this
+	// time.
 	debtTime     = 250 * time.Millisecond
 	demandMargin = 1.1 // shares exceed the measured demand slightly, as that fluctuates randomly
 )
--- a/internal/recovery/ramp.go
+++ b/internal/recovery/ramp.go
@@ -10,20 +10,20 @@
 type Ramp struct {
 	ColdShare  float64       // guaranteed capacity of cold replicas, as a share of their warm capacity
 	WarmUpTime time.Duration // of a replica
-	// Capacity is the requests per second of this dispatcher that the warm fleet is known to serve; 0
-	// if nothing is known.
+	// Capacity is the requests per second of this dispatcher that the warm fleet is known to serve;
+	// 0 if nothing is known.
 	Capacity float64
 }
 
 // rampMargin is how much more is admitted than cold replicas are guaranteed to serve. The known
-// capacity is lower than the real one, because the random variation of counts is subtracted from it,
-// and most replicas warm up sooner than the settings allow for. The router's budget for cold servers
-// still enforces the limits of each replica.
+// capacity is lower than the real one, because the random variation of counts is subtracted from
+// it, and most replicas warm up sooner than the settings allow for. The router's budget for cold
+// servers still enforces the limits of each replica.
 const rampMargin = 2
 
 // Rate returns how many requests per second may be admitted, given the rate that replicas have
-// proven by serving it. It is the guaranteed capacity of replicas of this age, of which only half is
-// used until it is proven. Once the replicas are warm it doubles each second, so that a surge of
+// proven by serving it. It is the guaranteed capacity of replicas of this age, of which only half
+// is used until it is proven. Once the replicas are warm it doubles each second, so that a surge of
 // clients is admitted without a step; from there on the router bounds the load. If no capacity is
 // known, it is twice the proven rate.
 func (r Ramp) Rate(since time.Duration, proven float64) float64 {
@@ -55,8 +55,8 @@
 )
 
 // Shares splits an admitted rate among classes in the operator's order, each up to its demand, and
-// within a class evenly among tenants, each up to its demand (max-min fairness). The demand is a rate
-// for each tenant of each class.
+// within a class evenly among tenants, each up to its demand (max-min fairness). The demand is a
+// rate for each tenant of each class.
 func Shares(rate float64, demand []map[string]float64) []map[string]float64 {
 	shares := make([]map[string]float64, len(demand))
 	for i, tenants := range demand {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -19,9 +19,9 @@
 // The stages, in their order. A dispatcher returns to an earlier stage only by a restart.
 const (
 	CheckDisk  Stage = iota // reads and checks its own files
-	FindOthers              // finds out which voters are up, and whether other dispatchers serve already
+	FindOthers              // finds out which voters are up, and whether others serve already
 	Agree                   // waits for a version of the settings and a lease
-	Learn                   // waits for the list of replicas, the recorded intents and what others know of replicas
+	Learn                   // learns the list of replicas, the recorded intents and others' warm rates
 	Admit                   // admits requests at the rate of the ramp
 	Serving
 )
@@ -39,8 +39,8 @@
 	HasLease       bool
 	ListApplied    bool // a list of replicas is agreed on and applied here
 	ListFresh      bool // that list reflects what the registry reported after the recovery began
-	// IntentsKnown tells that a majority of the ledger holders has answered, so that it is known which
-	// of the requests that must not run twice may have run.
+	// IntentsKnown tells that a majority of the ledger holders has answered, so that it is known
+	// which of the requests that must not run twice may have run.
 	IntentsKnown bool
 	Throttled    bool // demand exceeds the rate of the ramp
 	ReplicasWarm bool // all listed replicas have warmed up, or prove it by the load that they serve
@@ -82,8 +82,8 @@
 // JoinedWarmFleet reports whether other dispatchers were serving already when this one started.
 func (m *Machine) JoinedWarmFleet() bool { return m.joinedWarmFleet }
 
-// Step advances through as many stages as the facts allow. It returns what the dispatcher may do and
-// what it waits for.
+// Step advances through as many stages as the facts allow. It returns what the dispatcher may do
+// and what it waits for.
 func (m *Machine) Step(now time.Duration, f Facts) Permissions {
 	for m.stage < Serving {
 		reason, expired := m.waitReason(now, f)
@@ -141,7 +141,8 @@
 // permissions returns what the dispatcher may do in the present stage while it waits for reason.
 func (m *Machine) permissions(f Facts, reason string) Permissions {
 	w := Permissions{AcceptRequests: m.stage >= Admit && f.HasLease, LimitRate: m.stage == Admit, Reason: reason}
-	// Requests that must not run twice are accepted only once it is known which of them may have run.
+	// Requests that must not run twice are accepted only once it is known which of them may have
+	// run.
 	w.AcceptAtMostOnce = w.AcceptRequests && f.IntentsKnown
 	if m.stage == Serving && m.timedOut && !f.ReplicasWarm {
 		w.LimitRate = true // replicas warm up later than configured; they keep the share of cold ones
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -59,8 +59,9 @@
 	}
 }
 
-// For any sequence of facts the stage never goes back, requests are accepted only after files, lease
-// and list were available, and requests that must not run twice only if the intents are known.
+// For any sequence of facts the stage never goes back, requests are accepted only after files,
+// lease and list were available, and requests that must not run twice only if the intents are
+// known.
 func TestStagesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine(0, timeouts)
@@ -141,8 +142,8 @@
 			t.Fatalf("shares add up to %v of %v", sum, rate)
 		}
 	})
-	// A tenant with a hundred times its fair share gets only what the others leave of the rate, and the
-	// next class gets nothing, as nothing is left.
+	// A tenant with a hundred times its fair share gets only what the others leave of the rate, and
+	// the next class gets nothing, as nothing is left.
 	got := Shares(10, []map[string]float64{{"big": 1000, "a": 2, "b": 3}, {"x": 9}})
 	if got[0]["a"] != 2 || got[0]["b"] != 3 || got[0]["big"] != 5 || got[1]["x"] != 0 {
 		t.Errorf("shares: %v", got)
--- a/internal/recovery/warmrates.go
+++ b/internal/recovery/warmrates.go
@@ -7,17 +7,17 @@
 	"standpulley/logic"
 )
 
-// WarmRates is, by kind, the requests per second of this dispatcher that a warm server with weight 1
-// is known to have served. It is learned while all servers are warm, and used to estimate their
+// WarmRates is, by kind, the requests per second of this dispatcher that a warm server with weight
+// 1 is known to have served. It is learned while all servers are warm, and used to estimate their
 // capacity while none is.
 type WarmRates map[string]float64
 
-// halfLife is the time after which a measured rate counts half. It is long because low load at night
-// doesn't mean a smaller fleet than at peak load.
+// halfLife is the time after which a measured rate counts half. It is long because low load at
+// night doesn't mean a smaller fleet than at peak load.
 const halfLife = 24 * time.Hour
 
-// MeasureWarmRates returns a safe estimate for each kind, given that n requests were served within a
-// period by the weights in service, by kind. Two standard deviations of n are subtracted, as
+// MeasureWarmRates returns a safe estimate for each kind, given that n requests were served within
+// a period by the weights in service, by kind. Two standard deviations of n are subtracted, as
 // otherwise the highest of many random counts would exceed the capacity. Each request passes one
 // reader and one other server, so the servers of a role share the whole rate by their weights.
 func MeasureWarmRates(n int, over time.Duration, weights map[string]float64, kinds []logic.Kind) WarmRates {
@@ -41,9 +41,9 @@
 	return sums
 }
 
-// Merge combines rates that were just measured with the known ones, which were updated some time ago
-// (since) and decay. The higher rate of each kind wins, because the served rate is limited by demand
-// and may be far below the capacity.
+// Merge combines rates that were just measured with the known ones, which were updated some time
+// ago (since) and decay. The higher rate of each kind wins, because the served rate is limited by
+// demand and may be far below the capacity.
 func (k WarmRates) Merge(measured WarmRates, since time.Duration) WarmRates {
 	decay := math.Exp2(-float64(since) / float64(halfLife))
 	next := WarmRates{}
@@ -56,8 +56,8 @@
 	return next
 }
 
-// Capacity returns the requests per second that the weights in service can serve once they are warm,
-// which is the capacity of the weaker role. It is 0 if nothing is known of a role.
+// Capacity returns the requests per second that the weights in service can serve once they are
+// warm, which is the capacity of the weaker role. It is 0 if nothing is known of a role.
 func (k WarmRates) Capacity(weights map[string]float64, kinds []logic.Kind) float64 {
 	each := map[string]float64{}
 	for name, x := range k {
--- a/internal/replica/answer.go
+++ b/internal/replica/answer.go
@@ -13,16 +13,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// fasthttp parses the heads of answers. Their bodies are parsed here, because fasthttp hides the sizes
-// of chunks: it would pass on data of a chunk whose size no replica can mean, and data of a chunk
-// before its end is seen. Parsing is strict: a violation of the framing is an error, and the data is
-// not passed on.
+// fasthttp parses the heads of answers. Their bodies are parsed here, because fasthttp hides the
+// sizes of chunks: it would pass on endless data after an implausible chunk size, and the data of a
+// chunk before its end is verified. Parsing is strict: data that violates the framing is an error
+// and is not passed on.
 
 const (
-	headTimeout     = 400 * time.Millisecond // replicas send a head at once; an incomplete one will not be completed
-	maxInterim      = 100                    // interim (1xx) answers before the final one
-	maxChunk        = 256 << 10              // bytes, the limit of any body
-	maxLine         = 1 << 10                // bytes of a chunk's size with its extension, or of a trailer field
+	// A replica sends a head at once, so one that is still incomplete after this time never ends.
+	headTimeout     = 400 * time.Millisecond
+	maxInterim      = 100       // interim (1xx) answers before the final one
+	maxChunk        = 256 << 10 // bytes, the limit of any body
+	maxLine         = 1 << 10   // bytes of a chunk size line or a trailer field
 	maxTrailerLines = 32
 )
 
@@ -50,8 +51,8 @@
 	return true, fmt.Errorf("%w: too many interim answers", errBadFraming)
 }
 
-// setReadTimeout bounds the time of the connection's next reads, within the deadline of the attempt.
-// It does nothing once the attempt is cancelled or its deadline is lifted.
+// setReadTimeout bounds the time of the connection's next reads, within the deadline of the
+// attempt. It does nothing once the attempt is cancelled or its deadline is lifted.
 func (a *attempt) setReadTimeout(timeout time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,7 +80,8 @@
 	return false
 }
 
-// bodyReader returns a reader of the answer's body that returns io.EOF only if the body is complete.
+// bodyReader returns a reader of the answer's body that returns io.EOF only if the body is
+// complete.
 func bodyReader(h *fasthttp.ResponseHeader, br *bufio.Reader) io.Reader {
 	switch n := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
@@ -92,8 +94,8 @@
 	return unframedBody{}
 }
 
-// unframedBody is a body that ends with its connection. It is not read, as a truncated one could not
-// be told from a complete one.
+// unframedBody is a body that ends with its connection. It is not read, as a truncated one could
+// not be told from a complete one.
 type unframedBody struct{}
 
 func (unframedBody) Read([]byte) (int, error) { return 0, errNoFraming }
@@ -121,9 +123,9 @@
 	return err
 }
 
-// chunkedBody reads a body in chunked encoding. The last bytes of a chunk are returned only once the
-// chunk is seen to end there, so a chunk that fits into the buffer of one Read is returned whole or
-// not at all.
+// chunkedBody reads a body in chunked encoding. The last bytes of a chunk are returned only once
+// the chunk is seen to end there, so a chunk that fits into the buffer of one Read is returned
+// whole or not at all.
 type chunkedBody struct {
 	br   *bufio.Reader
 	left int // bytes of the current chunk
--- a/internal/replica/attempt.go
+++ b/internal/replica/attempt.go
@@ -25,7 +25,8 @@
 	headerNeverRan = "X-Never-Ran"
 	headerSettings = "X-Settings" // version of the settings under which the attempt is sent
 
-	// After an attempt without an answer for this long the idle connections to the replica are suspect.
+	// After an attempt without an answer for this long the idle connections to the replica are
+	// suspect.
 	suspectAfter = 300 * time.Millisecond
 
 	maxAnswer    = 64 << 10 // bytes of a body that is not a stream
@@ -57,7 +58,7 @@
 	req           *Request
 	to            dispatch.Target
 	observer      dispatch.AttemptObserver
-	ctx           context.Context // ends at the deadline of the attempt, or when the attempt is cancelled
+	ctx           context.Context // ends at the deadline or when the attempt is cancelled
 	cancel        context.CancelFunc
 	c             *conn
 	resp          fasthttp.Response
@@ -109,7 +110,7 @@
 	a.stopInterrupt = context.AfterFunc(a.ctx, a.interrupt)
 	if err := a.write(); err != nil {
 		a.dropConn()
-		return a.failure(logic.ConnectFailed, err), nil // the last byte was not written, so the request can't have run
+		return a.failure(logic.ConnectFailed, err), nil // it can't have run without its last byte
 	}
 	a.observer.Written()
 	log.Printf("%s written to %s over %s", a.req.ID, a.to.Addr, c.age())
@@ -168,8 +169,8 @@
 	return bw.Flush()
 }
 
-// sendGuard checks right before the first byte of an attempt is written that the attempt has not been
-// cancelled and that beforeSend permits it.
+// sendGuard checks right before the first byte of an attempt is written that the attempt has not
+// been cancelled and that beforeSend permits it.
 type sendGuard struct {
 	net.Conn
 	ctx        context.Context
@@ -179,35 +180,35 @@
 
 var errSendNotAllowed = errors.New("no leave to send")
 
-func (f *sendGuard) Write(p []byte) (int, error) {
-	if !f.passed {
-		if err := f.ctx.Err(); err != nil {
+func (g *sendGuard) Write(p []byte) (int, error) {
+	if !g.passed {
+		if err := g.ctx.Err(); err != nil {
 			return 0, errors.Join(errSendNotAllowed, err)
 		}
-		if f.beforeSend != nil {
-			if err := f.beforeSend(); err != nil {
+		if g.beforeSend != nil {
+			if err := g.beforeSend(); err != nil {
 				return 0, errors.Join(errSendNotAllowed, err)
 			}
 		}
-		f.passed = true
+		g.passed = true
 	}
-	return f.Conn.Write(p)
+	return g.Conn.Write(p)
 }
 
-// failure returns the result of an attempt without an answer: the given outcome, unless the attempt was
-// cancelled or timed out. An attempt that was not sent for reasons within this dispatcher says nothing
-// about the replica.
-func (a *attempt) failure(as logic.Outcome, err error) dispatch.Result {
+// failure returns the result of an attempt without an answer: the given outcome, unless the attempt
+// was cancelled or timed out. An attempt that was not sent for reasons within this dispatcher says
+// nothing about the replica.
+func (a *attempt) failure(outcome logic.Outcome, err error) dispatch.Result {
 	switch {
-	case as == logic.ConnectFailed && (a.ctx.Err() != nil || localShortage(err) || errors.Is(err, errSendNotAllowed)):
-		as = logic.NotSent
-	case as == logic.ConnectFailed:
+	case outcome == logic.ConnectFailed && (a.ctx.Err() != nil || localShortage(err) || errors.Is(err, errSendNotAllowed)):
+		outcome = logic.NotSent
+	case outcome == logic.ConnectFailed:
 	case errors.Is(a.ctx.Err(), context.Canceled):
-		as = logic.Cancelled
+		outcome = logic.Cancelled
 	case a.ctx.Err() != nil || isTimeout(err):
-		as = logic.TimedOut
+		outcome = logic.TimedOut
 	}
-	return dispatch.Result{Outcome: as, NoLease: errors.Is(err, dispatch.ErrNoLease), ClientGone: errors.Is(err, dispatch.ErrClientGone), Detail: err.Error()}
+	return dispatch.Result{Outcome: outcome, NoLease: errors.Is(err, dispatch.ErrNoLease), ClientGone: errors.Is(err, dispatch.ErrClientGone), Detail: err.Error()}
 }
 
 func isTimeout(err error) bool {
@@ -219,13 +220,13 @@
 func (a *attempt) readAnswer(body io.Reader) dispatch.Result {
 	status := a.resp.StatusCode()
 	res := dispatch.Result{Outcome: logic.ServerError, Detail: strconv.Itoa(status)}
-	never := string(a.resp.Header.Peek(headerNeverRan)) == "1"
+	neverRan := string(a.resp.Header.Peek(headerNeverRan)) == "1"
 	switch {
 	case status == fasthttp.StatusAccepted:
 		res.Outcome = logic.ReadDone
-	case status == fasthttp.StatusGone && never:
+	case status == fasthttp.StatusGone && neverRan:
 		res.Outcome, res.NoState = logic.Full, true
-	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) && never:
+	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) && neverRan:
 		res.Outcome = logic.Full
 	}
 	text, err := io.ReadAll(io.LimitReader(body, maxAnswer))
@@ -241,8 +242,8 @@
 	return res
 }
 
-// releaseConn ends the attempt's use of its connection. The connection is reused only if the answer was
-// read to its end and neither side wants it closed.
+// releaseConn ends the attempt's use of its connection. The connection is reused only if the answer
+// was read to its end and neither side wants it closed.
 func (a *attempt) releaseConn(complete bool) {
 	if complete && a.stopInterrupt() && !a.resp.ConnectionClose() {
 		a.req.Pool.put(a.c)
@@ -269,8 +270,8 @@
 	ended bool
 }
 
-// open reads the answer up to the end of its first event, which may arrive in several reads. Nothing is
-// passed on before that: an answer that breaks off earlier counts as no answer.
+// open reads the answer up to the end of its first event, which may arrive in several reads.
+// Nothing is passed on before that: an answer that breaks off earlier counts as no answer.
 func (s *stream) open() error {
 	if _, err := s.a.c.br.Peek(1); err != nil {
 		return err
@@ -303,7 +304,7 @@
 	}
 	if s.err == nil {
 		var n int
-		_ = s.a.c.SetReadDeadline(time.Now().Add(s.a.req.Pool.StallTimeout)) // a failure shows in the read
+		_ = s.a.c.SetReadDeadline(time.Now().Add(s.a.req.Pool.StallTimeout)) // an error recurs in the read
 		n, s.err = s.body.Read(s.buf)
 		if n > 0 {
 			return s.buf[:n], nil
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -14,7 +14,7 @@
 	addr, method, path string
 	timeout            time.Duration
 	urgent             bool // may use the pool's reserved and extra connections
-	newConn            bool // likewise, over a new connection, as an idle one may be dead
+	newConn            bool // with urgent: always open a new connection, as an idle one may be dead
 }
 
 // do makes a call and returns the status of its answer. When ctx ends, the call is aborted and its
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -1,5 +1,5 @@
-// Package replica sends attempts, probes and release calls to replicas over a pool of connections. It
-// never repeats an attempt by itself: each send is one attempt with one exact outcome.
+// Package replica sends attempts, probes and release calls to replicas over a pool of connections.
+// It never repeats an attempt by itself: each send is one attempt with one exact outcome.
 package replica
 
 import (
@@ -15,8 +15,8 @@
 
 // Pool is a pool of connections to replicas. A connection carries one request at a time.
 type Pool struct {
-	// StallTimeout ends a stream without an event for this long. A client may wait for at most 5 s after
-	// the last event of an incomplete stream.
+	// StallTimeout ends a stream without an event for this long. A client may wait for at most 5 s
+	// after the last event of an incomplete stream.
 	StallTimeout time.Duration
 
 	mu          sync.Mutex
@@ -58,17 +58,19 @@
 }
 
 const (
-	retireShare       = 0.8                  // of the replicas' idle timeout, after which the pool closes a connection first
-	maxIdlePerReplica = 8                    // each idle connection also occupies a connection slot of the replica
+	// The pool closes a connection after this share of the replicas' idle timeout, before they do.
+	retireShare       = 0.8
+	maxIdlePerReplica = 8                    // an idle connection also uses up a place at the replica
 	settleTime        = 2 * time.Millisecond // a few round trips
-	// minRest is how long a connection must have been idle before it is reused. A replica may send an
-	// unexpected second answer some milliseconds after the first. It must be noticed before the next
-	// request is sent, or it would be taken for the answer to that one.
+	// minRest is how long a connection must have been idle before it is reused. A replica may send
+	// an unexpected second answer some milliseconds after the first. It must be noticed before the
+	// next request is sent, or it would be taken for the answer to that one.
 	minRest = 30 * time.Millisecond
-	// maxExtra is how many connections beyond the bound urgent calls may open, so that they don't wait
-	// behind attempts. They use descriptors that the process keeps free.
+	// maxExtra is how many connections beyond the bound urgent calls may open, so that they don't
+	// wait behind attempts. They use descriptors that the process keeps free.
 	maxExtra = 8
-	// A pool of at least reserveFrom connections reserves one in reserveShare of them for urgent calls.
+	// A pool of at least reserveFrom connections reserves one in reserveShare of them for urgent
+	// calls.
 	reserveFrom  = 32
 	reserveShare = 32
 	readBuffer   = 8 << 10
@@ -80,8 +82,8 @@
 	errClosedAtOnce  = errors.New("the new connection was closed at once")
 )
 
-// NewPool returns a pool of at most maxOpen connections to replicas that close connections after the
-// given idle timeout. Defaults replace timeouts that are not positive.
+// NewPool returns a pool of at most maxOpen connections to replicas that close connections after
+// the given idle timeout. Defaults replace timeouts that are not positive.
 func NewPool(maxOpen int, idle, dialTimeout time.Duration) *Pool {
 	p := &Pool{StallTimeout: 4 * time.Second, idle: map[string][]*conn{}}
 	p.SetLimits(maxOpen, idle, dialTimeout)
@@ -101,11 +103,12 @@
 	p.maxOpen, p.maxIdleTime, p.dialTimeout = maxOpen, time.Duration(retireShare*float64(idle)), dialTimeout
 }
 
-// get returns an idle connection that the replica has not closed, or a new one. An idle connection may
-// be reset by the next request, or be dead because the machine of the replica is cut off. Either way a
-// request that was written to it may have run. With noReuse, for requests that must not run twice, get
-// returns a new connection, as dialing fails in these cases before anything is sent. It also waits for
-// settleTime, because a replica may reset a connection that its machine has accepted.
+// get returns an idle connection that the replica has not closed, or a new one. An idle connection
+// may be reset by the next request, or be dead because the machine of the replica is cut off.
+// Either way a request that was written to it may have run. With noReuse, for requests that must
+// not run twice, get returns a new connection, as dialing fails in these cases before anything is
+// sent. It also waits for settleTime, because a replica may reset a connection that its machine has
+// accepted.
 func (p *Pool) get(ctx context.Context, addr string, noReuse bool) (*conn, error) {
 	if noReuse {
 		c, err := p.dial(ctx, addr, 0)
@@ -138,10 +141,10 @@
 	defer p.mu.Unlock()
 	all := p.idle[addr]
 	for i, c := range slices.Backward(all) {
-		if rested := time.Since(c.idledAt); rested >= minRest {
+		if idleFor := time.Since(c.idledAt); idleFor >= minRest {
 			p.idle[addr] = slices.Delete(all, i, i+1)
 			p.counts.Reused++
-			return c, rested < p.maxIdleTime
+			return c, idleFor < p.maxIdleTime
 		}
 	}
 	return nil, false
@@ -191,13 +194,13 @@
 		return 0, errPoolExhausted
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
-	_ = oldest.Close() // the connection is not needed any more
+	_ = oldest.Close() // errors don't matter on a discarded connection
 	p.counts.Evicted++
 	return p.dialTimeout, nil
 }
 
-// maxAttemptConns returns the bound for attempts: some connections of the pool are reserved for urgent
-// calls, which must not wait behind attempts. The caller holds mu.
+// maxAttemptConns returns the bound for attempts: some connections of the pool are reserved for
+// urgent calls, which must not wait behind attempts. The caller holds mu.
 func (p *Pool) maxAttemptConns() int {
 	if p.maxOpen < reserveFrom {
 		return p.maxOpen
@@ -212,9 +215,9 @@
 	p.mu.Unlock()
 }
 
-// put returns a connection whose answer has been read to its end to the pool. If more connections are
-// open than attempts may use, it is closed instead: an attempt would take it from the idle ones and so
-// occupy a connection that is reserved for urgent calls.
+// put returns a connection whose answer has been read to its end to the pool. If more connections
+// are open than attempts may use, it is closed instead: an attempt would take it from the idle ones
+// and so occupy a connection that is reserved for urgent calls.
 func (p *Pool) put(c *conn) {
 	if c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.drop(c)
@@ -224,13 +227,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open > p.maxAttemptConns() {
-		_ = c.Close() // the connection is not needed any more
+		_ = c.Close() // errors don't matter on a discarded connection
 		p.open--
 		return
 	}
 	all := append(p.idle[c.addr], c)
 	if len(all) > maxIdlePerReplica {
-		_ = all[0].Close() // the connection is not needed any more
+		_ = all[0].Close() // errors don't matter on a discarded connection
 		all = slices.Delete(all, 0, 1)
 		p.open--
 	}
@@ -239,7 +242,7 @@
 
 // drop closes a connection and uncounts it.
 func (p *Pool) drop(c *conn) {
-	_ = c.Close() // the connection is not needed any more
+	_ = c.Close() // errors don't matter on a discarded connection
 	p.free()
 }
 
@@ -251,7 +254,7 @@
 	p.idle[addr] = slices.DeleteFunc(p.idle[addr], func(c *conn) bool {
 		suspect := c.idledAt.Before(since)
 		if suspect {
-			_ = c.Close() // the connection is not needed any more
+			_ = c.Close() // errors don't matter on a discarded connection
 			p.open--
 		}
 		return suspect
@@ -291,8 +294,9 @@
 	return expired
 }
 
-// isQuiet reports whether the replica has neither closed an idle connection nor sent anything on it. A
-// request written to a closed connection would end in a reset, which doesn't tell whether it ran.
+// isQuiet reports whether the replica has neither closed an idle connection nor sent anything on
+// it. A request written to a closed connection would end in a reset, which doesn't tell whether it
+// ran.
 func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -9,8 +9,8 @@
 	"standpulley/logic"
 )
 
-// probeTimeout bounds a probe. A later answer is of no use, as a read that is sent meanwhile would be
-// queued behind the probe.
+// probeTimeout bounds a probe. A later answer is of no use, as a read that is sent meanwhile would
+// be queued behind the probe.
 const probeTimeout = 300 * time.Millisecond
 
 // Prober checks the health of replicas over the connections of a pool.
--- a/internal/replica/release.go
+++ b/internal/replica/release.go
@@ -14,13 +14,14 @@
 
 const (
 	releaseCallTimeout = 250 * time.Millisecond // of one call
-	releaseHedgeDelay  = 40 * time.Millisecond  // after this without an answer the next replica is called as well
+	releaseHedgeDelay  = 40 * time.Millisecond  // after this the next replica is called as well
 	releaseRoundPause  = 50 * time.Millisecond  // once all replicas have been called
 	releaseTimeout     = 5 * time.Second        // of a release; its state is long overdue by then
 	maxActiveReleases  = 64                     // releases that make calls at once
-	// Beyond maxWaitingReleases no release is queued, and replicas free their state by themselves, later.
+	// Beyond maxWaitingReleases no release is queued, and replicas free their state by themselves,
+	// later.
 	maxWaitingReleases = 1024
-	unresponsiveFor    = time.Second // a replica that left a call unanswered is called last for this long
+	unresponsiveFor    = time.Second // after an unanswered call the replica is called last
 	maxReleaseCalls    = 32          // in flight at once; each uses a connection that attempts need too
 )
 
@@ -49,9 +50,9 @@
 	return &Releaser{pool: pool, slots: make(chan struct{}, maxActiveReleases), callSlots: make(chan struct{}, maxReleaseCalls), current: map[string]*release{}, unresponsive: map[string]time.Time{}}
 }
 
-// Release calls the replicas in turn, over and over, until one has answered: each of them can release
-// everything. Possibly none of them is up yet, and replicas that hang must not delay the calls to the
-// others.
+// Release calls the replicas in turn, over and over, until one has answered: each of them can
+// release everything. Possibly none of them is up yet, and replicas that hang must not delay the
+// calls to the others.
 func (l *Releaser) Release(id string, addrs []string) { l.start(id, addrs, func() {}) }
 
 // ReleaseThen is like Release and calls then once: when a replica has answered or after the time
@@ -62,8 +63,8 @@
 	l.start(id, addrs, func() { once.Do(func() { then(true) }) })
 }
 
-// start begins a release. It replaces a release of the same request that is in progress, whose callback
-// is called once the new one is confirmed.
+// start begins a release. It replaces a release of the same request that is in progress, whose
+// callback is called once the new one is confirmed.
 func (l *Releaser) start(id string, addrs []string, onConfirmed func()) {
 	if len(addrs) == 0 {
 		return
@@ -109,9 +110,9 @@
 }
 
 // callReplicas makes the calls of one release and reports whether a replica has answered. All open
-// connections may be dead, so only the first call uses an idle connection; if that brings no answer,
-// the same replica is called again over a new one. A call that fails for lack of a local resource says nothing
-// about the replica, and the next call is made only after the usual delay.
+// connections may be dead, so only the first call uses an idle connection; if that brings no
+// answer, the same replica is called again over a new one. A call that fails for lack of a local
+// resource says nothing about the replica, and the next call is made only after the usual delay.
 func (l *Releaser) callReplicas(r *release) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -166,8 +167,8 @@
 	return l.open
 }
 
-// responsiveFirst moves replicas that left a call unanswered recently to the end. The order is free, as
-// each replica can release everything. The caller holds mu.
+// responsiveFirst moves replicas that left a call unanswered recently to the end. The order is
+// free, as each replica can release everything. The caller holds mu.
 func (l *Releaser) responsiveFirst(addrs []string) []string {
 	order := make([]string, 0, len(addrs)+1)
 	var last []string
@@ -183,8 +184,8 @@
 
 var errSlow = errors.New("no answer yet")
 
-// recordAnswer records whether a replica has answered a call. Local failures and cancelled calls say
-// nothing about the replica.
+// recordAnswer records whether a replica has answered a call. Local failures and cancelled calls
+// say nothing about the replica.
 func (l *Releaser) recordAnswer(addr string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,7 +196,8 @@
 	}
 }
 
-// ReleaseAt calls one replica once and passes to then, from another goroutine, whether it has answered.
+// ReleaseAt calls one replica once and passes to then, from another goroutine, whether it has
+// answered.
 func (l *Releaser) ReleaseAt(id, addr string, then func(answered bool)) {
 	go func() {
 		err := l.doCall(context.Background(), addr, id, true)
@@ -214,8 +216,8 @@
 	return l.doCall(ctx, addr, id, newConn)
 }
 
-// doCall makes one call and records whether the replica has answered. An answer other than 2xx is an
-// error.
+// doCall makes one call and records whether the replica has answered. An answer other than 2xx is
+// an error.
 func (l *Releaser) doCall(ctx context.Context, addr, id string, newConn bool) error {
 	status, err := l.pool.do(ctx, call{addr: addr, method: fasthttp.MethodDelete, path: "/bootstrap/rooms/" + id, timeout: releaseCallTimeout, urgent: true, newConn: newConn})
 	if ctx.Err() != nil {
--- a/internal/replica/release_test.go
+++ b/internal/replica/release_test.go
@@ -15,8 +15,9 @@
 	"standpulley/internal/standin"
 )
 
-// Guards against a release that is tried only once at up to four replicas: if these were down, as during
-// a restart of a part of the fleet, the state that a read had left elsewhere was not released.
+// Guards against a release that is tried only once at up to four replicas: if these were down, as
+// during a restart of a part of the fleet, the state that a read had left elsewhere was not
+// released.
 func TestReleaseIsRepeatedUntilAnswered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +38,7 @@
 			}
 			line, _ := bufio.NewReader(c).ReadString('\n') // a failed read shows in the comparison
 			received <- line
-			_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") // an error keeps the release from ending
+			_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") // an error shows in AwaitIdle
 		}
 	}()
 	l := NewReleaser(NewPool(4, 0, 0))
@@ -57,9 +58,9 @@
 	}
 }
 
-// Guards against replicas that hang delaying a release: each once took 100 ms before the next replica
-// was called, while state may be held for 500 ms only. With 30 such replicas the release takes 1.2 s
-// now and took 3 s then.
+// Guards against replicas that hang delaying a release: each once took 100 ms before the next
+// replica was called, while state may be held for 500 ms only. With 30 such replicas the release
+// takes 1.2 s now and took 3 s then.
 func TestReleasePassesUnresponsiveReplicas(t *testing.T) {
 	var addrs []string
 	for range 30 {
@@ -94,8 +95,8 @@
 	}
 }
 
-// Guards against releases that are seconds late because all open connections are dead and each call uses
-// another idle one. Urgent calls must get a connection even if attempts use all of the pool.
+// Guards against releases that are seconds late because all open connections are dead and each call
+// uses another idle one. Urgent calls must get a connection even if attempts use all of the pool.
 func TestReleaseUsesNewConnections(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		pool := NewPool(8, 0, 0)
@@ -172,9 +173,10 @@
 	return ln.Addr().String()
 }
 
-// Guards against attempts taking over the connections that are reserved for releases: a connection that
-// a release had opened beyond the bound of attempts stayed idle, an attempt reused and kept it, and in
-// time attempts used all reserved connections (soak seed 519: state was held for up to 1.9 s).
+// Guards against attempts taking over the connections that are reserved for releases: a connection
+// that a release had opened beyond the bound of attempts stayed idle, an attempt reused and kept
+// it, and in time attempts used all reserved connections (soak seed 519: state was held for up to
+// 1.9 s).
 func TestAttemptsDoNotUseReservedConnections(t *testing.T) {
 	pool := NewPool(reserveFrom, 0, 0)
 	rep := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -94,8 +94,8 @@
 // event is one chunk with one event.
 const event = "a\r\ndata: {}\n\n\r\n"
 
-// writeRaw returns a handler that writes the parts of an answer and then leaves the connection open and
-// silent.
+// writeRaw returns a handler that writes the parts of an answer and then leaves the connection open
+// and silent.
 func writeRaw(parts ...string) func(*standin.Exchange) {
 	return func(x *standin.Exchange) {
 		for i, w := range parts {
@@ -110,8 +110,8 @@
 	}
 }
 
-// An answer that is malformed before the end of its first event must soon end the attempt as failed,
-// with a result that tells that the replica has run it.
+// An answer that is malformed before the end of its first event must soon end the attempt as
+// failed, with a result that tells that the replica has run it.
 func TestMalformedBeforeFirstEvent(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
 		"binary noise":       writeRaw("\x00\x01\xff\xfe noise without end"),
@@ -141,8 +141,8 @@
 	}
 }
 
-// A stream that becomes malformed later must soon end as incomplete, and only complete events may be
-// passed on.
+// A stream that becomes malformed later must soon end as incomplete, and only complete events may
+// be passed on.
 func TestMalformedAfterFirstEvent(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
 		"invalid chunk size":       writeRaw(head + "\r\n" + event + "zz\r\n" + event),
@@ -178,8 +178,8 @@
 	}
 }
 
-// A valid stream must be served completely whatever else the replica sends with it. Bytes after its end
-// only keep the connection from being reused.
+// A valid stream must be served completely whatever else the replica sends with it. Bytes after its
+// end only keep the connection from being reused.
 func TestValidStreamsWithExtras(t *testing.T) {
 	good := head + "\r\n" + event + event + "0\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -247,8 +247,8 @@
 	}
 }
 
-// A cancelled attempt must close its connection. The result of an attempt that was never sent must say
-// nothing about the replica.
+// A cancelled attempt must close its connection. The result of an attempt that was never sent must
+// say nothing about the replica.
 func TestCancel(t *testing.T) {
 	gone := make(chan bool, 1)
 	r := startReplica(t, func(x *standin.Exchange) { x.Gone(); gone <- true })
@@ -273,7 +273,8 @@
 	}
 }
 
-// The deadline of an attempt must not cut its stream once the stream is read, however long it lasts.
+// The deadline of an attempt must not cut its stream once the stream is read, however long it
+// lasts.
 func TestDeadlineDoesNotCutStream(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) {
 		x.Head()
@@ -299,8 +300,8 @@
 	}
 }
 
-// Connections must be reused once they have been idle for minRest, but not if they have been idle for
-// nearly as long as the replica allows.
+// Connections must be reused once they have been idle for minRest, but not if they have been idle
+// for nearly as long as the replica allows.
 func TestConnectionsAreReusedAndRetired(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	pool := NewPool(4, 100*time.Second, 0)
@@ -320,7 +321,8 @@
 	}
 }
 
-// The number of open connections must be bounded. Idle ones to other replicas are evicted for new ones.
+// The number of open connections must be bounded. Idle ones to other replicas are evicted for new
+// ones.
 func TestPoolIsBounded(t *testing.T) {
 	a := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
 	b := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
@@ -367,8 +369,9 @@
 	}
 }
 
-// Guards against writing a request that must not run twice to a new connection that the replica resets
-// after its machine has accepted it. If nothing is written, the request is known not to have run.
+// Guards against writing a request that must not run twice to a new connection that the replica
+// resets after its machine has accepted it. If nothing is written, the request is known not to have
+// run.
 func TestNoReuseDetectsResetOfNewConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -394,8 +397,8 @@
 	t.Error("each of 20 requests was written to a connection that was reset")
 }
 
-// Guards against reusing dead connections: a machine that is cut off leaves its connections open and
-// silent. After an attempt without an answer for suspectAfter the idle ones must be closed.
+// Guards against reusing dead connections: a machine that is cut off leaves its connections open
+// and silent. After an attempt without an answer for suspectAfter the idle ones must be closed.
 func TestIdleConnectionsToSilentReplicaAreClosed(t *testing.T) {
 	pool := NewPool(8, 0, 0)
 	silent := startReplica(t, func(x *standin.Exchange) { x.Gone() })
@@ -437,8 +440,8 @@
 	}
 }
 
-// BeforeSend must be called right before the first byte is written, and no byte may be written if it
-// returns an error.
+// BeforeSend must be called right before the first byte is written, and no byte may be written if
+// it returns an error.
 func TestBeforeSendCanPreventSend(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
 	pool, checks := NewPool(4, 0, 0), 0
--- a/internal/replica/shortage_test.go
+++ b/internal/replica/shortage_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against a local lack of descriptors, buffers or ports being counted as a failure of the
-// replica, which was ejected for it. Network errors about the replica still count as its failures, and
-// no errno turns an attempt that may have run into one that has not.
+// replica, which was ejected for it. Network errors about the replica still count as its failures,
+// and no errno turns an attempt that may have run into one that has not.
 func TestLocalShortagesAreNotFailuresOfReplicas(t *testing.T) {
 	for _, c := range []struct {
 		call  string
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// Guards against counting an answer as begun whose connection breaks within its first event. The client
-// then got a part of an event and the end of its connection, and the attempt was not retried.
+// Guards against counting an answer as begun whose connection breaks within its first event. The
+// client then got a part of an event and the end of its connection, and the attempt was not
+// retried.
 func TestBreakWithinFirstEventIsNoAnswer(t *testing.T) {
 	for _, cut := range []int{1, 6, len(fullEvent) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
@@ -56,7 +57,7 @@
 				"reset": (*standin.Exchange).Break, "no answer": (*standin.Exchange).Gone,
 			} {
 				r := startReplica(t, func(x *standin.Exchange) {
-					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent[:cut], size)) // an error shows in the result of the attempt
+					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent[:cut], size)) // errors show in the result
 					end(x)
 				})
 				rep, _ := send(NewPool(4, 0, 0), r.Addr, 5*time.Second, "b")
@@ -75,8 +76,8 @@
 	}
 }
 
-// An answer in chunks of any size is passed on unchanged, and its first event is not held back until the
-// second.
+// An answer in chunks of any size is passed on unchanged, and its first event is not held back
+// until the second.
 func TestChunkedAnswerIsPassedOnUnchanged(t *testing.T) {
 	for _, size := range []int{1, 7, 1 << 10} {
 		proceed := make(chan bool)
@@ -105,9 +106,9 @@
 	}
 }
 
-// Guards against an unexpected second answer, sent some milliseconds after the first, being taken for
-// the answer to the next request on the connection. A connection is not reused until it has been idle
-// for minRest, and by then the second answer shows.
+// Guards against an unexpected second answer, sent some milliseconds after the first, being taken
+// for the answer to the next request on the connection. A connection is not reused until it has
+// been idle for minRest, and by then the second answer shows.
 func TestSecondAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
 	pool := NewPool(4, 0, 0)
