--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -25,21 +25,21 @@
 // times the demand of the others takes nothing from them. An AdmissionLimiter is not safe for
 // concurrent use.
 type AdmissionLimiter struct {
-	classes []map[string]*tenant // the classes of first tries, followed by the same classes of retries
-	rate    float64
-	tokens  float64 // of all tenants together
-	demand  float64 // recent requests per second of all tenants ...
-	refused float64 // ... and how many of them were refused
-	at      time.Duration
-	tracked int // tenants in all classes
+	classes   []map[string]*tenant // by class for first tries, then by class for retries; keyed by tenant
+	rate      float64
+	tokens    float64 // of all tenants together
+	demand    float64 // recent requests per second of all tenants ...
+	refused   float64 // ... and how many of them were refused
+	updatedAt time.Duration
+	tracked   int // tenants in all classes
 }
 
 // tenant is the state of one tenant in one class.
 type tenant struct {
-	demand float64 // recent requests per second
-	share  float64 // requests per second that are admitted
-	tokens float64
-	at     time.Duration
+	demand    float64 // recent requests per second
+	share     float64 // requests per second that are admitted
+	tokens    float64
+	updatedAt time.Duration
 }
 
 // NewAdmissionLimiter returns a limiter for the given number of classes. It admits nothing before
@@ -108,7 +108,7 @@
 		a = tenants[name]
 	}
 	if a == nil {
-		a = &tenant{tokens: 1, at: now}
+		a = &tenant{tokens: 1, updatedAt: now}
 		tenants[name] = a
 		g.tracked++
 	}
@@ -126,16 +126,16 @@
 
 // advance decays the averages and refills the bucket up to now.
 func (g *AdmissionLimiter) advance(now time.Duration) {
-	decay := math.Exp(-float64(now-g.at) / float64(demandWindow))
+	decay := math.Exp(-float64(now-g.updatedAt) / float64(demandWindow))
 	g.demand, g.refused = g.demand*decay, g.refused*decay
-	g.tokens = min(g.tokens+(now-g.at).Seconds()*g.rate, max(g.rate*burstTime.Seconds(), minBurst))
-	g.at = now
+	g.tokens = min(g.tokens+(now-g.updatedAt).Seconds()*g.rate, max(g.rate*burstTime.Seconds(), minBurst))
+	g.updatedAt = now
 }
 
 // advance decays the average and refills the bucket up to now.
 func (a *tenant) advance(now time.Duration) {
-	elapsed := now - a.at
-	a.at = now
+	elapsed := now - a.updatedAt
+	a.updatedAt = now
 	a.demand *= math.Exp(-float64(elapsed) / float64(demandWindow))
 	a.tokens = min(a.tokens+elapsed.Seconds()*a.share, max(a.share*burstTime.Seconds(), minBurst))
 }
--- a/internal/recovery/ramp.go
+++ b/internal/recovery/ramp.go
@@ -22,10 +22,10 @@
 const rampMargin = 2
 
 // Rate returns how many requests per second may be admitted, given the rate that replicas have
-// proven by serving it. It is the guaranteed capacity of replicas of this age, of which only half
-// is used until it is proven. Once the replicas are warm it doubles each second, so that a surge of
-// clients is admitted without a step; from there on the router bounds the load. If no capacity is
-// known, it is twice the proven rate.
+// proven by serving it. It is the guaranteed capacity of replicas of this age times rampMargin, of
+// which only half is used until it is proven. Once the replicas are warm it doubles each second, so
+// that a surge of clients is admitted without a step; from there on the router bounds the load. If
+// no capacity is known, it is twice the proven rate.
 func (r Ramp) Rate(since time.Duration, proven float64) float64 {
 	if r.Capacity == 0 {
 		return max(2*proven, 1)
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -18,10 +18,10 @@
 
 // The stages, in their order. A dispatcher returns to an earlier stage only by a restart.
 const (
-	CheckDisk  Stage = iota // reads and checks its own files
+	CheckDisk  Stage = iota // reads and checks the dispatcher's own files
 	FindOthers              // finds out which voters are up, and whether others serve already
 	Agree                   // waits for a version of the settings and a lease
-	Learn                   // learns the list of replicas, the recorded intents and others' warm rates
+	Learn                   // learns the list of replicas, the recorded intents and warm rates of others
 	Admit                   // admits requests at the rate of the ramp
 	Serving
 )
@@ -32,9 +32,9 @@
 
 // Facts is what a dispatcher knows at a given moment.
 type Facts struct {
-	DiskChecked    bool // its own files are checked, or there are none
-	Voters         int  // number of voters ...
-	VotersAnswered int  // ... and how many of them, including itself, have answered since the start
+	DiskChecked    bool // the dispatcher's own files are checked, or there are none
+	Voters         int  // in the cluster ...
+	VotersAnswered int  // ... and how many, including this dispatcher, have answered since the start
 	WarmMember     bool // a member that answered has served for longer than replicas take to warm up
 	HasLease       bool
 	ListApplied    bool // a list of replicas is agreed on and applied here
--- a/internal/replica/release.go
+++ b/internal/replica/release.go
@@ -14,14 +14,14 @@
 
 const (
 	releaseCallTimeout = 250 * time.Millisecond // of one call
-	releaseHedgeDelay  = 40 * time.Millisecond  // after this the next replica is called as well
-	releaseRoundPause  = 50 * time.Millisecond  // once all replicas have been called
+	releaseHedgeDelay  = 40 * time.Millisecond  // wait for an answer before the next replica is called too
+	releaseRoundPause  = 50 * time.Millisecond  // the same wait once all replicas have been called
 	releaseTimeout     = 5 * time.Second        // of a release; its state is long overdue by then
 	maxActiveReleases  = 64                     // releases that make calls at once
 	// Beyond maxWaitingReleases no release is queued, and replicas free their state by themselves,
 	// later.
 	maxWaitingReleases = 1024
-	unresponsiveFor    = time.Second // after an unanswered call the replica is called last
+	unresponsiveFor    = time.Second // a replica is called last for this long after an unanswered call
 	maxReleaseCalls    = 32          // in flight at once; each uses a connection that attempts need too
 )
 
@@ -51,8 +51,8 @@
 }
 
 // Release calls the replicas in turn, over and over, until one has answered: each of them can
-// release everything. Possibly none of them is up yet, and replicas that hang must not delay the
-// calls to the others.
+// release everything. It may be that none of them is up at the moment. Replicas that hang must not
+// delay the calls to the others.
 func (l *Releaser) Release(id string, addrs []string) { l.start(id, addrs, func() {}) }
 
 // ReleaseThen is like Release and calls then once: when a replica has answered or after the time
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -48,8 +48,8 @@
 }
 
 // Guards against counting an answer as begun whose connection breaks within its first event. The
-// client then got a part of an event and the end of its connection, and the attempt was not
-// retried.
+// client would get a part of an event and the end of its connection instead of an answer, and the
+// attempt would not be retried.
 func TestBreakWithinFirstEventIsNoAnswer(t *testing.T) {
 	for _, cut := range []int{1, 6, len(fullEvent) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
