--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -9,31 +9,32 @@
 	"github.com/valyala/fasthttp"
 )
 
-// call is one without a body, which is no attempt.
+// call is a request without a body that is not an attempt: a probe or a release.
 type call struct {
 	addr, method, path string
-	limit              time.Duration
-	urgent             bool // if need be beyond the pool's bound
-	fresh              bool // likewise, and on a new connection, as an idle one may have fallen silent
+	timeout            time.Duration
+	urgent             bool // may use the pool's reserved and extra connections
+	newConn            bool // with urgent: always open a new connection, as an idle one may be dead
 }
 
-// make makes a call and gives the status of its answer. The end of ctx ends it, and gives its connection's place free.
-func (p *Pool) make(ctx context.Context, q call) (status int, err error) {
-	until := time.Now().Add(q.limit)
+// do makes a call and returns the status of its answer. When ctx ends, the call is aborted and its
+// connection is closed, so that it no longer counts against the bound of the pool.
+func (p *Pool) do(ctx context.Context, q call) (status int, err error) {
+	until := time.Now().Add(q.timeout)
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
-	c, err := (*conn)(nil), errNoRoom
-	if !q.fresh {
+	c, err := (*conn)(nil), errPoolExhausted
+	if !q.newConn {
 		c, err = p.get(ctx, q.addr, false)
 	}
-	if errors.Is(err, errNoRoom) && q.urgent {
-		c, err = p.dial(ctx, q.addr, freshMost)
+	if errors.Is(err, errPoolExhausted) && q.urgent {
+		c, err = p.dial(ctx, q.addr, maxExtra)
 	}
 	if err != nil {
 		return 0, err
 	}
-	_ = c.SetDeadline(until) // a failure shows in the write
-	unhook := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(-time.Second)) })
+	_ = c.SetDeadline(until) // an error recurs in the write
+	stopInterrupt := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(-time.Second)) })
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -46,9 +47,9 @@
 		err = bw.Flush()
 	}
 	if err == nil {
-		err = resp.ReadLimitBody(c.br, smallAnswer)
+		err = resp.ReadLimitBody(c.br, maxAnswer)
 	}
-	if !unhook() || err != nil || resp.ConnectionClose() {
+	if !stopInterrupt() || err != nil || resp.ConnectionClose() {
 		p.drop(c)
 	} else {
 		p.put(c)
