--- a/cmd/proving/main.go
+++ b/cmd/proving/main.go
@@ -63,7 +63,7 @@
 
 // subject is the program that a script is played with.
 func (c *cli) subject(s proving.Script) (proving.Program, error) {
-	if s.Fault == "" && !s.Power {
+	if s.Fault == "" && !s.PowerLoss {
 		path, err := filepath.Abs(c.Binary)
 		return proving.Program{Path: path}, err
 	}
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -28,15 +28,15 @@
 
 // Dispatcher is one process with its files.
 type Dispatcher struct {
-	Name    string
-	Listen  string
-	Peers   string // where it listens for others, if it votes
-	dir     appliance.Dir
-	file    map[string]any
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	stopped atomic.Bool
-	leaving atomic.Bool // it was sent SIGTERM
+	Name        string
+	Listen      string
+	Peers       string // where it listens for others, if it votes
+	dir         appliance.Dir
+	config      map[string]any
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	stopped     atomic.Bool
+	terminating atomic.Bool // it was sent SIGTERM
 }
 
 // Fleet is all dispatchers with the links between them.
@@ -45,20 +45,20 @@
 	folder      string
 	Dispatchers []*Dispatcher
 	voters      []string
-	links       map[[2]string]*Relay // from a dispatcher to a voter
+	relays      map[[2]string]*Relay // from a dispatcher to a voter
 	replicas    []standin.Entry
-	reg         *registry // nil where lists are not agreed on
+	registry    *registry // nil where lists are not agreed on
 	start       time.Time
 
-	mu    sync.Mutex
-	downs map[string][][2]time.Duration
+	mu        sync.Mutex
+	downtimes map[string][][2]time.Duration
 }
 
 // Now is the machine's monotonic clock since the fleet was made.
 func (f *Fleet) Now() time.Duration { return time.Since(f.start) }
 
 // settings are those of version 1.
-func settings(dispatchers int) map[string]any {
+func initialSettings(dispatchers int) map[string]any {
 	class := func(name, repeat string, worth float64) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "goal_time_us": 1500000, "deadline_us": 4000000, "credit": worth, "late_worth": 0.3}
 	}
@@ -74,10 +74,10 @@
 // freePorts gives loopback addresses on which nothing listens, below those that the system gives to connections.
 func freePorts(n int) ([]string, error) {
 	var addrs []string
-	given.Lock()
-	defer given.Unlock()
+	reservedPorts.Lock()
+	defer reservedPorts.Unlock()
 	for tries := 0; len(addrs) < n; tries++ {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(highest-lowest)))
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(maxPort-minPort)))
 		if err != nil {
 			if tries > 100*n {
 				return nil, err
@@ -85,8 +85,8 @@
 			continue
 		}
 		_ = ln.Close()
-		if addr := ln.Addr().String(); !given.addrs[addr] {
-			given.addrs[addr] = true
+		if addr := ln.Addr().String(); !reservedPorts.addrs[addr] {
+			reservedPorts.addrs[addr] = true
 			addrs = append(addrs, addr)
 		}
 	}
@@ -94,16 +94,16 @@
 }
 
 // given are the addresses of all fleets of this process: one of a dispatcher that is dead for a while is not free.
-var given = struct {
+var reservedPorts = struct {
 	sync.Mutex
 	addrs map[string]bool
 }{addrs: map[string]bool{}}
 
-const lowest, highest = 10000, 32000
+const minPort, maxPort = 10000, 32000
 
 // NewFleet writes the files of a script's dispatchers and lays the links. Nothing runs yet.
 func NewFleet(s Script, program Program, folder string, replicas, spare []standin.Entry) (*Fleet, error) {
-	f := &Fleet{program: program, folder: folder, links: map[[2]string]*Relay{}, replicas: replicas, start: time.Now(), downs: map[string][][2]time.Duration{}}
+	f := &Fleet{program: program, folder: folder, relays: map[[2]string]*Relay{}, replicas: replicas, start: time.Now(), downtimes: map[string][][2]time.Duration{}}
 	total := s.Voters + s.Others
 	ports, err := freePorts(3 * total)
 	if err != nil {
@@ -125,7 +125,7 @@
 		for _, d := range f.Dispatchers {
 			names = append(names, d.Name)
 		}
-		if f.reg, err = newRegistry(replicas, spare, names); err != nil {
+		if f.registry, err = newRegistry(replicas, spare, names); err != nil {
 			return nil, err
 		}
 	}
@@ -140,42 +140,42 @@
 			if err != nil {
 				return nil, err
 			}
-			f.links[[2]string{d.Name, v.Name}] = r
+			f.relays[[2]string{d.Name, v.Name}] = r
 			voters[v.Name] = r.Addr
 		}
-		d.file = map[string]any{"name": d.Name, "listen": d.Listen, "known": map[string]any{"servers": replicas},
+		d.config = map[string]any{"name": d.Name, "listen": d.Listen, "known": map[string]any{"servers": replicas},
 			"agree":    map[string]any{"cluster": "proving", "voters": voters, "others": []string{"o*"}, "within": s.Within, "alone": s.Alone},
-			"settings": settings(total), "limits": map[string]any{"sockets": 16384}}
+			"settings": initialSettings(total), "limits": map[string]any{"sockets": 16384}}
 		if d.Peers != "" {
-			d.file["peers"] = map[string]any{"listen": d.Peers}
+			d.config["peers"] = map[string]any{"listen": d.Peers}
 		}
-		if f.reg != nil {
-			delete(d.file, "known")
-			d.file["discovery"] = f.reg.agents[d.Name].Addr
-			d.file["agree"].(map[string]any)["lists"] = map[string]any{"readers": 2}
+		if f.registry != nil {
+			delete(d.config, "known")
+			d.config["discovery"] = f.registry.agents[d.Name].Addr
+			d.config["agree"].(map[string]any)["lists"] = map[string]any{"readers": 2}
 		}
 		if s.Ledger != "" && s.Ledger != ledgerOff {
-			d.file["ledger"] = map[string]any{"keep": "1h", "survive": s.Ledger}
+			d.config["ledger"] = map[string]any{"keep": "1h", "survive": s.Ledger}
 		}
 		if s.OrderedRecovery {
-			d.file["recovery"] = map[string]any{}
+			d.config["recovery"] = map[string]any{}
 		}
 		if s.Standalone {
-			delete(d.file, "agree")
-			delete(d.file, "peers")
+			delete(d.config, "agree")
+			delete(d.config, "peers")
 		}
-		if slices.Contains(s.Picky, d.Name) {
-			d.file["chat"] = map[string]any{"listen": ports[3*i+2], "models": map[string]any{"act": "instruction"}}
+		if slices.Contains(s.NeedClass, d.Name) {
+			d.config["chat"] = map[string]any{"listen": ports[3*i+2], "models": map[string]any{"act": "instruction"}}
 		}
-		if err := d.write(); err != nil {
+		if err := d.writeConfig(); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-func (d *Dispatcher) write() error {
-	text, err := jsoniter.Marshal(d.file)
+func (d *Dispatcher) writeConfig() error {
+	text, err := jsoniter.Marshal(d.config)
 	if err != nil {
 		return err
 	}
@@ -194,11 +194,11 @@
 }
 
 // logOf is the file of a dispatcher's log.
-func (f *Fleet) logOf(d *Dispatcher) string { return filepath.Join(f.folder, d.Name+".log") }
+func (f *Fleet) logPath(d *Dispatcher) string { return filepath.Join(f.folder, d.Name+".log") }
 
 // Start starts a dispatcher.
 func (f *Fleet) Start(d *Dispatcher) error {
-	log, err := os.OpenFile(f.logOf(d), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(f.logPath(d), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -208,20 +208,20 @@
 	if err := d.cmd.Start(); err != nil {
 		return err
 	}
-	d.ended = make(chan struct{})
+	d.exited = make(chan struct{})
 	d.stopped.Store(false)
-	d.leaving.Store(false)
+	d.terminating.Store(false)
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		_ = cmd.Wait() // how it ended is judged by who ended it
 		close(ended)
 		_ = log.Close()
-	}(d.cmd, d.ended)
-	go f.comes(d, d.ended)
+	}(d.cmd, d.exited)
+	go f.waitUp(d, d.exited)
 	return nil
 }
 
 // comes notes that a dispatcher is back once it takes connections: its start takes as long as its disk does.
-func (f *Fleet) comes(d *Dispatcher, ended chan struct{}) {
+func (f *Fleet) waitUp(d *Dispatcher, ended chan struct{}) {
 	for {
 		select {
 		case <-ended:
@@ -230,7 +230,7 @@
 		}
 		if c, err := net.Dial("tcp", d.Listen); err == nil {
 			_ = c.Close() // nothing was said on it
-			f.up(d)
+			f.markUp(d)
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -243,24 +243,24 @@
 		return false
 	}
 	select {
-	case <-d.ended:
+	case <-d.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-func (f *Fleet) down(d *Dispatcher) {
+func (f *Fleet) markDown(d *Dispatcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.downs[d.Name] = append(f.downs[d.Name], [2]time.Duration{f.Now(), 0})
+	f.downtimes[d.Name] = append(f.downtimes[d.Name], [2]time.Duration{f.Now(), 0})
 }
 
 // up notes that a dispatcher is back; requests may still meet its start for a while.
-func (f *Fleet) up(d *Dispatcher) {
+func (f *Fleet) markUp(d *Dispatcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l := f.downs[d.Name]; len(l) > 0 && l[len(l)-1][1] == 0 && !d.stopped.Load() {
+	if l := f.downtimes[d.Name]; len(l) > 0 && l[len(l)-1][1] == 0 && !d.stopped.Load() {
 		l[len(l)-1][1] = f.Now() + 3*time.Second
 	}
 }
@@ -273,16 +273,16 @@
 	switch sig {
 	case syscall.SIGCONT:
 		d.stopped.Store(false)
-		defer f.up(d)
+		defer f.markUp(d)
 	case syscall.SIGHUP:
 	default:
-		f.down(d)
+		f.markDown(d)
 		d.stopped.Store(sig == syscall.SIGSTOP)
-		d.leaving.Store(sig == syscall.SIGTERM)
+		d.terminating.Store(sig == syscall.SIGTERM)
 	}
 	_ = d.cmd.Process.Signal(sig) // it may end this moment
 	if sig == syscall.SIGKILL {
-		<-d.ended
+		<-d.exited
 	}
 }
 
@@ -291,44 +291,44 @@
 	for _, d := range f.Dispatchers {
 		if d.Running() {
 			_ = d.cmd.Process.Kill()
-			<-d.ended
+			<-d.exited
 		}
 	}
-	for _, r := range f.links {
+	for _, r := range f.relays {
 		r.Close()
 	}
-	if f.reg != nil {
-		f.reg.close()
+	if f.registry != nil {
+		f.registry.close()
 	}
 }
 
 // Ask sends a command about settings to a dispatcher, as the command line does.
-func (f *Fleet) Ask(d *Dispatcher, c agreement.Command) (agreement.Reply, error) {
+func (f *Fleet) SendCommand(d *Dispatcher, c agreement.Command) (agreement.Reply, error) {
 	var r agreement.Reply
 	err := d.dir.Settings(c, &r)
 	return r, err
 }
 
 // named gives the dispatchers of a word: a name, "leader" or "*".
-func (f *Fleet) named(word string) []*Dispatcher {
-	var some []*Dispatcher
+func (f *Fleet) resolve(name string) []*Dispatcher {
+	var matches []*Dispatcher
 	for _, d := range f.Dispatchers {
-		if word == "*" || d.Name == word {
-			some = append(some, d)
+		if name == "*" || d.Name == name {
+			matches = append(matches, d)
 		}
 	}
-	if word == "reader" {
-		return f.reader()
+	if name == "reader" {
+		return f.currentReader()
 	}
-	if word != "leader" {
-		return some
+	if name != "leader" {
+		return matches
 	}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, d := range f.Dispatchers {
 			if !d.Running() || d.stopped.Load() {
 				continue
 			}
-			if r, err := f.Ask(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
+			if r, err := f.SendCommand(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
 				return []*Dispatcher{d}
 			}
 		}
@@ -337,14 +337,14 @@
 }
 
 // reader gives one of those who read the register for all, waiting for there to be one.
-func (f *Fleet) reader() []*Dispatcher {
+func (f *Fleet) currentReader() []*Dispatcher {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, d := range f.Dispatchers {
 			if !d.Running() || d.stopped.Load() || time.Now().After(end) {
 				continue
 			}
-			if r, err := f.Ask(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
-				return f.named(r.View.RegistryReaders[0])
+			if r, err := f.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
+				return f.resolve(r.View.RegistryReaders[0])
 			}
 		}
 	}
@@ -352,14 +352,14 @@
 }
 
 // between calls set for each direction of a link by which what from sends gets to to.
-func (f *Fleet) between(from, to []*Dispatcher, set func(r *Relay, way int)) {
+func (f *Fleet) eachRelay(from, to []*Dispatcher, set func(r *Relay, dir int)) {
 	for _, a := range from {
 		for _, b := range to {
-			if r := f.links[[2]string{a.Name, b.Name}]; r != nil {
-				set(r, there)
+			if r := f.relays[[2]string{a.Name, b.Name}]; r != nil {
+				set(r, toVoter)
 			}
-			if r := f.links[[2]string{b.Name, a.Name}]; r != nil {
-				set(r, back)
+			if r := f.relays[[2]string{b.Name, a.Name}]; r != nil {
+				set(r, fromVoter)
 			}
 		}
 	}
--- a/internal/proving/draw.go
+++ b/internal/proving/generate.go
@@ -31,7 +31,7 @@
 		st.At = at(d)
 		s.Steps = append(s.Steps, st)
 	}
-	someone := func() string {
+	anyDispatcher := func() string {
 		switch n := r.IntN(10); {
 		case n < 2:
 			return "leader"
@@ -45,7 +45,7 @@
 	}
 	for range 2 + r.IntN(3) {
 		d, long := span(0.1, 4), span(0.3, 3)
-		who := someone()
+		who := anyDispatcher()
 		switch r.IntN(8) {
 		case 0:
 			add(d, Step{Do: doCut, Who: who, To: "*"})
@@ -82,41 +82,41 @@
 		}
 	}
 	if len(s.Steps)%3 == 0 && others > 0 {
-		s.Picky = []string{"o1"}
+		s.NeedClass = []string{"o1"}
 	}
 	for range 3 + r.IntN(4) {
-		st := Step{Do: doPropose, Who: someone(), Key: "limits.try_limit", Value: fmt.Sprint(1 + r.IntN(6)), Wants: "?"}
-		if len(s.Picky) > 0 && r.IntN(3) == 0 {
+		st := Step{Do: doPropose, Who: anyDispatcher(), Key: "limits.try_limit", Value: fmt.Sprint(1 + r.IntN(6)), WantError: "?"}
+		if len(s.NeedClass) > 0 && r.IntN(3) == 0 {
 			st.Key, st.Value = "services.1.name", `"transfer"` // turned down, or in force while o1 has no lease
 			st.Who = fmt.Sprintf("v%d", 1+r.IntN(voters))
 		}
 		if r.IntN(6) == 0 {
-			st = Step{Do: doRollback, Who: st.Who, Base: 1, Wants: "?"}
+			st = Step{Do: doRollback, Who: st.Who, Base: 1, WantError: "?"}
 		}
 		add(span(0.1, 5), st)
 	}
 	if shape.Lists {
 		s.Lists = true
-		s.drawRegister(r, someone, span, add)
+		s.addRegistryChanges(r, anyDispatcher, span, add)
 	}
 	if shape.OrderedRecovery {
 		s.Lists, s.OrderedRecovery = true, true
 	}
 	if shape.Ledger != "" && shape.OrderedRecovery {
-		s.Ledger, s.Power, s.Rate = shape.Ledger, true, 12
-		last = s.drawReturn(r, add)
+		s.Ledger, s.PowerLoss, s.Rate = shape.Ledger, true, 12
+		last = s.addPowerRecovery(r, add)
 	} else if shape.Ledger != "" {
-		s.Ledger, s.Power, s.Rate = shape.Ledger, shape.Ledger != "process", 24
-		s.drawPower(r, span, add)
+		s.Ledger, s.PowerLoss, s.Rate = shape.Ledger, shape.Ledger != "process", 24
+		s.addLedgerFaults(r, span, add)
 	}
-	sort.SliceStable(s.Steps, func(i, j int) bool { return length(s.Steps[i].At) < length(s.Steps[j].At) })
+	sort.SliceStable(s.Steps, func(i, j int) bool { return duration(s.Steps[i].At) < duration(s.Steps[j].At) })
 	s.Last = last.String()
 	return s
 }
 
 // drawReturn adds a loss of power of all, or of one site, after all were in service for long enough to know what replicas bear, and the
 // return of everything in any order with some trouble more. It gives how long the trial takes.
-func (s *Script) drawReturn(r *rand.Rand, add func(time.Duration, Step)) time.Duration {
+func (s *Script) addPowerRecovery(r *rand.Rand, add func(time.Duration, Step)) time.Duration {
 	sec := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*r.Float64()) * float64(time.Second))
 	}
@@ -127,31 +127,31 @@
 	for o := range s.Others {
 		all = append(all, fmt.Sprintf("o%d", o+1))
 	}
-	gone := all
+	lost := all
 	if r.IntN(4) == 0 { // one site, with a minority of the voters
-		gone = []string{"v1", "o1"}
+		lost = []string{"v1", "o1"}
 	}
 	d := sec(6, 7)
-	kill := func(at time.Duration, back float64) {
-		for _, who := range gone {
+	kill := func(at time.Duration, maxDown float64) {
+		for _, who := range lost {
 			add(at, Step{Do: doKill, Who: who})
-			add(at+sec(0.1, back), Step{Do: doStart, Who: who})
+			add(at+sec(0.1, maxDown), Step{Do: doStart, Who: who})
 		}
 	}
 	kill(d, 2.5)
-	if len(gone) == len(all) {
-		add(d+sec(0, 2), Step{Do: doRegister, Who: "*", Value: "restart"})
+	if len(lost) == len(all) {
+		add(d+sec(0, 2), Step{Do: doRegistry, Who: "*", Value: "restart"})
 	}
 	if r.IntN(3) == 0 { // the register comes last
-		add(d, Step{Do: doRegister, Who: "*", Value: "mute"})
-		add(d+sec(1, 5), Step{Do: doRegister, Who: "*", Value: "unmute"})
+		add(d, Step{Do: doRegistry, Who: "*", Value: "mute"})
+		add(d+sec(1, 5), Step{Do: doRegistry, Who: "*", Value: "unmute"})
 	}
 	if r.IntN(3) == 0 { // power goes again
 		kill(d+sec(2.6, 5), 1)
 	}
 	switch from := d + sec(0.5, 4); r.IntN(5) {
 	case 0:
-		add(d+50*time.Millisecond, Step{Do: doLose, Who: "o2"})
+		add(d+50*time.Millisecond, Step{Do: doLoseDisk, Who: "o2"})
 	case 1:
 		for _, who := range []string{"v1", "o1", "o2"} {
 			for _, to := range all[1:s.Voters] {
@@ -167,15 +167,15 @@
 		add(d+sec(3, 6), Step{Do: doTerm, Who: "o1"})
 		add(d+sec(7, 8), Step{Do: doStart, Who: "o1"})
 	case 4:
-		add(d, Step{Do: doCrowd, Who: "*", Rate: 4})
-		add(d+sec(4, 7), Step{Do: doCrowd, Who: "*", Rate: 1})
+		add(d, Step{Do: doSurge, Who: "*", Rate: 4})
+		add(d+sec(4, 7), Step{Do: doSurge, Who: "*", Rate: 1})
 	}
 	return d + 11*time.Second
 }
 
 // drawPower adds losses of power everywhere or of some, a stall of a disk, and at most one ledger that is lost or put back as it was:
 // more than one at once is beyond what is promised.
-func (s *Script) drawPower(r *rand.Rand, span func(from, to float64) time.Duration, add func(time.Duration, Step)) {
+func (s *Script) addLedgerFaults(r *rand.Rand, span func(from, to float64) time.Duration, add func(time.Duration, Step)) {
 	voter := func() string { return fmt.Sprintf("v%d", 1+r.IntN(s.Voters)) }
 	for range 1 + r.IntN(2) {
 		d, long := span(0.5, 4), span(0.1, 0.8)
@@ -188,50 +188,50 @@
 	}
 	if r.IntN(2) == 0 {
 		d, who := span(0.3, 4), voter()
-		add(d, Step{Do: doDisk, Who: who, Value: "stall"})
-		add(d+span(0.2, 2), Step{Do: doDisk, Who: who, Value: "well"})
+		add(d, Step{Do: doLedgerDisk, Who: who, Value: "stall"})
+		add(d+span(0.2, 2), Step{Do: doLedgerDisk, Who: who, Value: "well"})
 	}
 	who := voter()
 	switch d := span(1.5, 4); r.IntN(4) {
 	case 0:
-		add(d, Step{Do: doForget, Who: who})
+		add(d, Step{Do: doLoseLedger, Who: who})
 		add(d+span(0.1, 0.5), Step{Do: doStart, Who: who})
 	case 1:
-		add(span(0.3, 1), Step{Do: doCopy, Who: who})
-		add(d, Step{Do: doRestore, Who: who})
+		add(span(0.3, 1), Step{Do: doCopyLedger, Who: who})
+		add(d, Step{Do: doRestoreLedger, Who: who})
 		add(d+span(0.1, 0.5), Step{Do: doStart, Who: who})
 	}
 }
 
 // drawRegister adds what the register does: drains, ends and newcomers, of which all or only one hear, and agents that fall
 // silent. Two writers and one reader stay in service throughout.
-func (s *Script) drawRegister(r *rand.Rand, someone func() string, span func(from, to float64) time.Duration, add func(time.Duration, Step)) {
+func (s *Script) addRegistryChanges(r *rand.Rand, anyDispatcher func() string, span func(from, to float64) time.Duration, add func(time.Duration, Step)) {
 	who := func() string {
 		if r.IntN(3) == 0 {
-			return someone()
+			return anyDispatcher()
 		}
 		return "*"
 	}
 	for _, replica := range []string{"writer-4", "reader-1"} {
 		d := span(0.2, 2.5)
 		if r.IntN(3) == 0 {
-			add(d, Step{Do: doRegister, Who: who(), Key: replica, Value: "gone"})
+			add(d, Step{Do: doRegistry, Who: who(), Key: replica, Value: "gone"})
 			continue
 		}
-		add(d, Step{Do: doRegister, Who: who(), Key: replica, Value: "terminating"})
+		add(d, Step{Do: doRegistry, Who: who(), Key: replica, Value: "terminating"})
 		if r.IntN(2) == 0 {
-			add(d+span(1.2, 2.5), Step{Do: doRegister, Who: "*", Key: replica, Value: "in_service"})
+			add(d+span(1.2, 2.5), Step{Do: doRegistry, Who: "*", Key: replica, Value: "in_service"})
 		}
 	}
 	for range r.IntN(3) {
-		add(span(0.2, 4), Step{Do: doRegister, Who: who(), Value: "new"})
+		add(span(0.2, 4), Step{Do: doRegistry, Who: who(), Value: "new"})
 	}
 	if r.IntN(2) == 0 {
 		d := span(0.2, 3)
-		add(d, Step{Do: doRegister, Who: "reader", Value: "mute"})
-		add(d+span(0.5, 2), Step{Do: doRegister, Who: "*", Value: "unmute"})
+		add(d, Step{Do: doRegistry, Who: "reader", Value: "mute"})
+		add(d+span(0.5, 2), Step{Do: doRegistry, Who: "*", Value: "unmute"})
 	}
 	if r.IntN(3) == 0 {
-		add(span(0.5, 4), Step{Do: doRegister, Who: "*", Value: "back:1"})
+		add(span(0.5, 4), Step{Do: doRegistry, Who: "*", Value: "back:1"})
 	}
 }
--- /dev/null
+++ b/internal/proving/instructions.go
@@ -0,0 +1,252 @@
+package proving
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"standpulley/internal/agreement"
+	"standpulley/internal/boltfile"
+	"standpulley/internal/front/once"
+	"standpulley/internal/ledger"
+	"standpulley/internal/ledgerlog"
+	"standpulley/internal/program"
+	"standpulley/internal/standin"
+)
+
+// Order is one instruction as its client means it. It is sent under a key, and again under the same key to other dispatchers until
+// the client knows its fate or gives up.
+type Instruction struct {
+	Name          string
+	Sends         int
+	Served        int // whole answers
+	MayHaveRun    int // 424: it may have run
+	Runs          int // as the writers counted
+	Fate          ledger.Status
+	ListedUnknown bool // among the unknown ones in the end
+	FateRead      bool // its fate could be asked for in the end
+}
+
+// Orders sums them up.
+type InstructionCounts struct {
+	Sent, Served, MayHaveRun, GivenUp, RanTwice, Unknown int
+}
+
+// Add adds another trial's.
+func (o *InstructionCounts) Add(x InstructionCounts) {
+	o.Sent, o.Served, o.MayHaveRun, o.GivenUp, o.RanTwice, o.Unknown = o.Sent+x.Sent, o.Served+x.Served, o.MayHaveRun+x.MayHaveRun, o.GivenUp+x.GivenUp, o.RanTwice+x.RanTwice, o.Unknown+x.Unknown
+}
+
+func (o InstructionCounts) String() string {
+	return fmt.Sprintf("instructions %d: served %d, told that they may have run %d, given up %d; ran twice %d, unknown in the end %d", o.Sent, o.Served, o.MayHaveRun,
+		o.GivenUp, o.RanTwice, o.Unknown)
+}
+
+// orders are those of a trial.
+type instructionSet struct {
+	fleet  *Fleet
+	mu     sync.Mutex
+	rand   *rand.Rand
+	byName map[string]*Instruction
+}
+
+const (
+	ledgerOff      = "off" // of a script: clients repeat, and each dispatcher goes by itself
+	maxRepeats     = 8
+	maxRepeatDelay = 400 * time.Millisecond // at most
+	twinOneIn      = 5                      // of so many one is sent to two dispatchers in one instant
+)
+
+func newInstructionSet(seed uint64, f *Fleet) *instructionSet {
+	return &instructionSet{fleet: f, rand: rand.New(rand.NewPCG(seed, 22)), byName: map[string]*Instruction{}}
+}
+
+// ran counts a run of an order at a writer.
+func (o *instructionSet) countRun(x *standin.Exchange) {
+	name := string(x.Req.Body())
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if instr := o.byName[strings.Trim(name, "\"")]; instr != nil {
+		instr.Runs++
+	}
+}
+
+// order sends an instruction and repeats it until its fate is known.
+func (t *traffic) instr(d *Dispatcher, n int) {
+	defer t.inFlight.Done()
+	o := t.instructions
+	instr := &Instruction{Name: fmt.Sprintf("%s-%06d", d.Name, n)}
+	o.mu.Lock()
+	o.byName[instr.Name] = instr
+	twin := o.rand.IntN(twinOneIn) == 0
+	o.mu.Unlock()
+	if twin {
+		var both sync.WaitGroup
+		both.Go(func() { t.trySendInstruction(instr, d) })
+		both.Go(func() { t.trySendInstruction(instr, o.otherDispatcher(d)) })
+		both.Wait()
+	}
+	for range maxRepeats {
+		if t.trySendInstruction(instr, d) {
+			return
+		}
+		o.mu.Lock()
+		wait := time.Duration(o.rand.Float64() * float64(maxRepeatDelay))
+		o.mu.Unlock()
+		select {
+		case <-t.stop:
+			return
+		case <-time.After(wait):
+		}
+		d = o.otherDispatcher(d)
+	}
+}
+
+func (o *instructionSet) otherDispatcher(except *Dispatcher) *Dispatcher {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for {
+		if d := o.fleet.Dispatchers[o.rand.IntN(len(o.fleet.Dispatchers))]; d != except {
+			return d
+		}
+	}
+}
+
+// ordered sends it once, and tells whether its client knows enough.
+func (t *traffic) trySendInstruction(instr *Instruction, d *Dispatcher) bool {
+	o := t.instructions
+	o.mu.Lock()
+	instr.Sends++
+	id := fmt.Sprintf("%s-%d", instr.Name, instr.Sends)
+	o.mu.Unlock()
+	a := t.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: id, AtMostOnce: true}, instr.Name, "\""+instr.Name+"\"")
+	t.mu.Lock()
+	t.requests = append(t.requests, a)
+	t.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	switch {
+	case a.Status == http.StatusOK && a.Complete:
+		instr.Served++
+		return true
+	case a.Status == http.StatusFailedDependency:
+		instr.MayHaveRun++
+		return true
+	}
+	return false
+}
+
+// settle asks, once all is well again, what the dispatchers say of each order whose client does not know its fate.
+func (o *instructionSet) collectFates(p *play, off bool) []Instruction {
+	listed := map[string]bool{}
+	var err error
+	if off {
+		err = errors.New("off")
+	}
+	for end := time.Now().Add(eventualTimeout); time.Now().Before(end) && !off; time.Sleep(100 * time.Millisecond) {
+		var r agreement.Reply
+		if r, err = o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
+			for _, row := range r.Ledger {
+				listed[row.Key.String()] = true
+			}
+			err = nil
+			break
+		}
+		if err == nil {
+			err = errors.New(r.Error)
+		}
+	}
+	if err != nil && !off {
+		p.problemf("the unknown ones are not listed: %v", err)
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	var all []Instruction
+	for name, instr := range o.byName {
+		if instr.Served == 0 && err == nil {
+			var h fasthttp.RequestHeader
+			h.Set("Idempotency-Key", name)
+			key, _ := once.Key(&h, "", nil)
+			r, err := o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
+			if err == nil && r.Error == "" && len(r.Ledger) == 1 {
+				instr.Fate, instr.FateRead = r.Ledger[0].Entry.Status(), true
+			}
+			instr.ListedUnknown = listed[key.String()]
+		}
+		all = append(all, *instr)
+	}
+	return all
+}
+
+// judgeOrders finds instructions that ran twice, and such that ran and are not known to have, or maybe to have.
+func (r *Record) checkInstructions(report func(rule, form string, args ...any), j *Judgement) {
+	for _, o := range r.Instructions {
+		j.Instructions.Sent++
+		switch {
+		case o.Served > 0:
+			j.Instructions.Served++
+		case o.MayHaveRun > 0:
+			j.Instructions.MayHaveRun++
+		default:
+			j.Instructions.GivenUp++
+		}
+		if o.Runs > 1 {
+			j.Instructions.RanTwice++
+			report("twice", "instruction %s ran %d times in %d sends", o.Name, o.Runs, o.Sends)
+		}
+		if !o.FateRead {
+			continue
+		}
+		if o.Fate == ledger.Unknown {
+			j.Instructions.Unknown++
+			if !o.ListedUnknown {
+				report("unknown", "instruction %s is unknown and not listed", o.Name)
+			}
+		}
+		if o.Runs > 0 && (o.Fate == ledger.NeverSent || o.Fate == ledger.NotRun) {
+			report("forgotten", "instruction %s ran, and the ledger says: %v", o.Name, o.Fate)
+		}
+	}
+}
+
+// disk carries out a step on a dispatcher's ledger.
+func (f *Fleet) applyLedgerStep(s Step, d *Dispatcher) error {
+	path := ledgerlog.Path(string(d.dir))
+	copyPath := path + ".copy"
+	remove := func(path string) error {
+		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+		return nil
+	}
+	switch s.Do {
+	case doLoseLedger:
+		f.Signal(d, syscall.SIGKILL)
+		return remove(path)
+	case doCopyLedger:
+		text, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		return os.WriteFile(copyPath, text, 0o600)
+	case doRestoreLedger:
+		f.Signal(d, syscall.SIGKILL)
+		return os.Rename(copyPath, path)
+	}
+	switch s.Value {
+	case "stall":
+		return os.WriteFile(path+boltfile.StallSuffix, nil, 0o600)
+	case "full":
+		return os.WriteFile(path+boltfile.FullSuffix, nil, 0o600)
+	}
+	return errors.Join(remove(path+boltfile.StallSuffix), remove(path+boltfile.FullSuffix))
+}
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -12,52 +12,52 @@
 
 // Act is what was seen from outside of one thing that a dispatcher did by the settings that it named. It was done between
 // From and To, by the machine's monotonic clock.
-type Act struct {
-	Who      string // the dispatcher, "" where a replica can't tell
-	What     string // take, send
-	ID       string // of the request
-	Where    string // the replica, for a send
-	Mark     string // version and fingerprint
-	From, To time.Duration
+type Action struct {
+	Dispatcher string // the dispatcher, "" where a replica can't tell
+	Kind       string // take, send
+	ID         string // of the request
+	Replica    string // the replica, for a send
+	VersionTag string // version and fingerprint
+	From, To   time.Duration
 }
 
 // Asked is one request as its client saw it.
-type Asked struct {
-	Who        string
+type ClientRequest struct {
+	Dispatcher string
 	ID         string
 	Customer   string
-	Once       bool // must not run twice
+	AtMostOnce bool // must not run twice
 	Sent, Done time.Duration
 	Status     int   // 0: the connection ended without an answer ...
-	Why        error // ... for this reason, as the client saw it
-	Mark       string
-	Whole      bool
-	Unread     string // id of a sending before it, whose connection had ended before the dispatcher read it
+	Err        error // ... for this reason, as the client saw it
+	VersionTag string
+	Complete   bool
+	ResendOf   string // id of a sending before it, whose connection had ended before the dispatcher read it
 }
 
 // Version is what the voters say of one in the end.
 type Version struct {
-	Number uint64
-	Print  string
-	State  agree.State
-	Keys   map[string]string
-	Acked  time.Duration // when an operator was told that it is in force; 0: never
+	Number         uint64
+	Fingerprint    string
+	State          agree.State
+	Keys           map[string]string
+	AcknowledgedAt time.Duration // when an operator was told that it is in force; 0: never
 }
 
 // Record is all that was seen.
 type Record struct {
-	Within   time.Duration
-	Alone    string
-	Acts     []Act
-	Asked    []Asked
-	Read     map[string]bool // ids that dispatchers took, by their logs
-	Runs     map[string]int  // of writers, by request
-	Drains   []*Drained
-	Cold     []Cold
-	Orders   []Order
-	Versions []Version
-	Downs    map[string][][2]time.Duration // when a dispatcher was killed, stopped or sent away, and until when it was back
-	Wrong    []string                      // what the play itself found wrong
+	Within       time.Duration
+	Alone        string
+	Actions      []Action
+	Requests     []ClientRequest
+	ReadIDs      map[string]bool // ids that dispatchers took, by their logs
+	Runs         map[string]int  // of writers, by request
+	Drains       []*Drain
+	ColdReplicas []ColdReplica
+	Instructions []Instruction
+	Versions     []Version
+	Downtimes    map[string][][2]time.Duration // when a dispatcher was killed, stopped or sent away, and until when it was back
+	Problems     []string                      // what the play itself found wrong
 }
 
 // Finding is one breach.
@@ -83,142 +83,142 @@
 
 // answerWithin bounds how long a client waits for an answer of a dispatcher that is up, beyond any deadline. It is no
 // safety rule, so it is generous.
-const answerWithin = 20 * time.Second
+const maxAnswerTime = 20 * time.Second
 
 // Judge holds a record against the promise. Versions that contradict each other may both be acted on only for Within after
 // the later one was decided; that was no later than it was first seen in force.
 func Judge(r Record) Judgement {
 	j := Judgement{}
-	find := func(rule, form string, args ...any) {
+	report := func(rule, form string, args ...any) {
 		if len(j.Findings) < 20 {
 			j.Findings = append(j.Findings, Finding{rule, fmt.Sprintf(form, args...)})
 		}
 	}
-	for _, text := range r.Wrong {
-		find("play", "%s", text)
+	for _, text := range r.Problems {
+		report("play", "%s", text)
 	}
 	versions := map[uint64]*Version{}
 	for i := range r.Versions {
 		versions[r.Versions[i].Number] = &r.Versions[i]
 	}
-	acts := slices.Clone(r.Acts)
-	for _, a := range r.Asked {
-		if a.Mark != "" && a.Mark != "none" {
-			acts = append(acts, Act{Who: a.Who, What: "take", ID: a.ID, Mark: a.Mark, From: a.Sent, To: a.Done})
+	actions := slices.Clone(r.Actions)
+	for _, a := range r.Requests {
+		if a.VersionTag != "" && a.VersionTag != "none" {
+			actions = append(actions, Action{Dispatcher: a.Dispatcher, Kind: "take", ID: a.ID, VersionTag: a.VersionTag, From: a.Sent, To: a.Done})
 		}
 	}
-	seen := map[uint64]time.Duration{} // by when a version was surely in force
-	prints := map[uint64]string{}
-	for _, a := range acts {
-		n, print, err := split(a.Mark)
+	inForceBy := map[uint64]time.Duration{} // by when a version was surely in force
+	fingerprints := map[uint64]string{}
+	for _, a := range actions {
+		n, fingerprint, err := parseVersionTag(a.VersionTag)
 		if err != nil {
-			find("mark", "%s of %s by %s: %v", a.What, a.ID, a.Who, err)
+			report("mark", "%s of %s by %s: %v", a.Kind, a.ID, a.Dispatcher, err)
 			continue
 		}
-		if p, ok := prints[n]; ok && p != print {
-			find("one content", "version %d stands for %s and for %s", n, p, print)
+		if p, ok := fingerprints[n]; ok && p != fingerprint {
+			report("one content", "version %d stands for %s and for %s", n, p, fingerprint)
 		}
-		prints[n] = print
-		if t, ok := seen[n]; !ok || a.To < t {
-			seen[n] = a.To
+		fingerprints[n] = fingerprint
+		if t, ok := inForceBy[n]; !ok || a.To < t {
+			inForceBy[n] = a.To
 		}
 		v := versions[n]
 		switch {
 		case v == nil:
-			find("known", "%s acted on version %d, which the voters do not know", a.Who, n)
+			report("known", "%s acted on version %d, which the voters do not know", a.Dispatcher, n)
 		case v.State == agree.TurnedDown || v.State == agree.Pending:
-			find("turned down", "%s acted on version %d, which is %s", a.Who, n, v.State)
-		case !strings.HasPrefix(v.Print, print):
-			find("one content", "%s acted on version %d as %s, and the voters hold %s", a.Who, n, print, v.Print)
+			report("turned down", "%s acted on version %d, which is %s", a.Dispatcher, n, v.State)
+		case !strings.HasPrefix(v.Fingerprint, fingerprint):
+			report("one content", "%s acted on version %d as %s, and the voters hold %s", a.Dispatcher, n, fingerprint, v.Fingerprint)
 		}
 	}
 	for _, v := range r.Versions {
-		if v.Acked != 0 {
-			if t, ok := seen[v.Number]; !ok || v.Acked < t {
-				seen[v.Number] = v.Acked
+		if v.AcknowledgedAt != 0 {
+			if t, ok := inForceBy[v.Number]; !ok || v.AcknowledgedAt < t {
+				inForceBy[v.Number] = v.AcknowledgedAt
 			}
 			if v.State != agree.InForce && v.State != agree.Superseded {
-				find("lost", "version %d was acknowledged as in force and is %s", v.Number, v.State)
+				report("lost", "version %d was acknowledged as in force and is %s", v.Number, v.State)
 			}
 		}
 	}
-	harmless := map[string]bool{}
-	for _, a := range r.Asked {
-		harmless[a.ID] = r.Alone == "safe" && !a.Once // what a dispatcher goes on with that has lost contact
+	exempt := map[string]bool{}
+	for _, a := range r.Requests {
+		exempt[a.ID] = r.Alone == "safe" && !a.AtMostOnce // what a dispatcher goes on with that has lost contact
 	}
-	contrary := map[[2]uint64]bool{}
+	contradictions := map[[2]uint64]bool{}
 	contradicts := func(a, b uint64) bool {
 		key := [2]uint64{a, b}
-		is, ok := contrary[key]
+		is, ok := contradictions[key]
 		if !ok {
 			va, vb := versions[a], versions[b]
 			is = va != nil && vb != nil && len(agree.ConflictingKeys(va.Keys, vb.Keys)) > 0
-			contrary[key] = is
+			contradictions[key] = is
 		}
 		return is
 	}
 	// restored tells whether a still later version, in force by a time, has brought back what one version held and another did not: a
 	// dispatcher whose newest version brought it down twice serves by the last good one, if that contradicts nothing in force.
 	restored := func(n, later uint64, by time.Duration) bool {
-		for w, t := range seen {
+		for w, t := range inForceBy {
 			if w > later && t <= by && !contradicts(n, w) {
 				return true
 			}
 		}
 		return false
 	}
-	for _, a := range acts {
-		n, _, err := split(a.Mark)
+	for _, a := range actions {
+		n, _, err := parseVersionTag(a.VersionTag)
 		if err != nil {
 			continue
 		}
-		for later, t := range seen {
-			if later <= n || !contradicts(n, later) || a.From <= t || harmless[a.ID] || restored(n, later, a.To) {
+		for later, t := range inForceBy {
+			if later <= n || !contradicts(n, later) || a.From <= t || exempt[a.ID] || restored(n, later, a.To) {
 				continue
 			}
 			j.LongestContradiction = max(j.LongestContradiction, a.From-t)
 			if a.From > t+r.Within {
-				find("within", "%s: %s of %s by version %d at %v, and version %d was in force at %v: %v later, allowed is %v", a.Who, a.What, a.ID, n,
+				report("within", "%s: %s of %s by version %d at %v, and version %d was in force at %v: %v later, allowed is %v", a.Dispatcher, a.Kind, a.ID, n,
 					a.From, later, t, a.From-t, r.Within)
 			}
 		}
 	}
-	r.judgeDrains(harmless, find)
-	r.judgeOrders(find, &j)
-	j.PeakColdLoad = r.judgeCold(find).Part
-	j.Actions = len(acts)
-	for _, a := range r.Asked {
-		if a.Unread != "" && r.Read[a.Unread] && !r.down(a) {
-			find("lost", "%s at %s was taken, and its connection ended without an answer", a.Unread, a.Who)
+	r.checkDrains(exempt, report)
+	r.checkInstructions(report, &j)
+	j.PeakColdLoad = r.checkColdLoad(report).Ratio
+	j.Actions = len(actions)
+	for _, a := range r.Requests {
+		if a.ResendOf != "" && r.ReadIDs[a.ResendOf] && !r.wasDown(a) {
+			report("lost", "%s at %s was taken, and its connection ended without an answer", a.ResendOf, a.Dispatcher)
 		}
 		switch {
-		case a.Status == 200 && a.Whole:
+		case a.Status == 200 && a.Complete:
 			j.Served++
 		case a.Status == 503:
 			j.Refused++
 		case a.Status != 0:
 			j.Failed++
-		case r.down(a):
+		case r.wasDown(a):
 			j.Unanswered++
 		default:
-			find("lost", "%s at %s, sent at %v, ended at %v without an answer: %v", a.ID, a.Who, a.Sent, a.Done, a.Why)
+			report("lost", "%s at %s, sent at %v, ended at %v without an answer: %v", a.ID, a.Dispatcher, a.Sent, a.Done, a.Err)
 		}
-		if a.Status == 200 && !a.Whole && !r.down(a) {
-			find("lost", "%s at %s: a stream was cut", a.ID, a.Who)
+		if a.Status == 200 && !a.Complete && !r.wasDown(a) {
+			report("lost", "%s at %s: a stream was cut", a.ID, a.Dispatcher)
 		}
-		if a.Done-a.Sent > answerWithin && !r.down(a) {
-			find("lost", "%s at %s took %v", a.ID, a.Who, a.Done-a.Sent)
+		if a.Done-a.Sent > maxAnswerTime && !r.wasDown(a) {
+			report("lost", "%s at %s took %v", a.ID, a.Dispatcher, a.Done-a.Sent)
 		}
-		if a.Once && r.Runs[a.ID] > 1 {
-			find("twice", "%s ran %d times", a.ID, r.Runs[a.ID])
+		if a.AtMostOnce && r.Runs[a.ID] > 1 {
+			report("twice", "%s ran %d times", a.ID, r.Runs[a.ID])
 		}
 	}
 	return j
 }
 
 // down tells whether a request's dispatcher was not there at some time while it was open.
-func (r *Record) down(a Asked) bool {
-	for _, d := range r.Downs[a.Who] {
+func (r *Record) wasDown(a ClientRequest) bool {
+	for _, d := range r.Downtimes[a.Dispatcher] {
 		if a.Done >= d[0] && (d[1] == 0 || a.Sent <= d[1]) {
 			return true
 		}
@@ -226,11 +226,11 @@
 	return false
 }
 
-func split(mark string) (uint64, string, error) {
-	number, print, ok := strings.Cut(mark, "-")
+func parseVersionTag(tag string) (uint64, string, error) {
+	number, fingerprint, ok := strings.Cut(tag, "-")
 	n, err := strconv.ParseUint(number, 10, 64)
 	if !ok || err != nil || n == 0 {
-		return 0, "", fmt.Errorf("%q is no version", mark)
+		return 0, "", fmt.Errorf("%q is no version", tag)
 	}
-	return n, print, nil
+	return n, fingerprint, nil
 }
--- a/internal/proving/register.go
+++ b/internal/proving/linearizable.go
@@ -12,7 +12,7 @@
 // the base to a new number, or fails. Unknown is that nobody learned whether it did.
 type Operation struct {
 	Kind         string
-	Who          string
+	Dispatcher   string
 	Call, Return time.Duration
 	Base, Number uint64
 	Unknown      bool
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -19,11 +19,11 @@
 // Bench is a fleet that is measured: no script, no judge.
 type Bench struct {
 	*Fleet
-	t      *traffic
-	Script Script
-	next   int
+	traffic  *traffic
+	Script   Script
+	sequence int
 
-	restarted []Cold // replicas, by the last restart of all
+	restartedReplicas []ColdReplica // replicas, by the last restart of all
 }
 
 // NewBench starts a fleet, with traffic if the script has a rate, and waits until it serves.
@@ -37,9 +37,9 @@
 		return nil, err
 	}
 	t.now = f.Now
-	b := &Bench{Fleet: f, t: t, Script: s}
+	b := &Bench{Fleet: f, traffic: t, Script: s}
 	if s.Standalone {
-		return b, b.startApart()
+		return b, b.startStandalone()
 	}
 	if text, err := f.Run(f.Dispatchers[0], "settings", "init"); err != nil {
 		return b, fmt.Errorf("settings init: %w: %s", err, text)
@@ -52,31 +52,31 @@
 	if err := b.WaitVersion(1); err != nil {
 		return b, err
 	}
-	time.Sleep(length(s.Within)) // a new leader waits for leases that it knows nothing of
-	b.askAll()
+	time.Sleep(duration(s.Within)) // a new leader waits for leases that it knows nothing of
+	b.startTraffic()
 	return b, nil
 }
 
-func (b *Bench) askAll() {
+func (b *Bench) startTraffic() {
 	for _, d := range b.Dispatchers {
 		if b.Script.Rate > 0 {
-			b.t.open.Add(1)
-			go b.t.ask(d, b.Script.Rate)
+			b.traffic.inFlight.Add(1)
+			go b.traffic.sendLoop(d, b.Script.Rate)
 		}
 	}
 }
 
 // Close ends traffic and fleet.
 func (b *Bench) Close() {
-	close(b.t.stop)
-	b.t.open.Wait()
+	close(b.traffic.stop)
+	b.traffic.inFlight.Wait()
 	b.Fleet.Close()
-	b.t.close()
+	b.traffic.close()
 }
 
 // Own asks a dispatcher how it stands.
 func (b *Bench) Status(d *Dispatcher) (agreement.Status, error) {
-	r, err := b.Ask(d, agreement.Command{Do: "own"})
+	r, err := b.SendCommand(d, agreement.Command{Do: "own"})
 	if err != nil || r.Status == nil {
 		return agreement.Status{}, fmt.Errorf("%s: %w %s", d.Name, err, r.Error)
 	}
@@ -85,44 +85,44 @@
 
 // All waits until every dispatcher that runs acts on a version.
 func (b *Bench) WaitVersion(number uint64) error {
-	var work sync.WaitGroup
+	var waiters sync.WaitGroup
 	var mu sync.Mutex
-	var late error
+	var waitErr error
 	for _, d := range b.Dispatchers {
 		if !d.Running() {
 			continue
 		}
-		work.Go(func() {
-			for end := time.Now().Add(generous); ; time.Sleep(2 * time.Millisecond) {
+		waiters.Go(func() {
+			for end := time.Now().Add(eventualTimeout); ; time.Sleep(2 * time.Millisecond) {
 				if o, err := b.Status(d); err == nil && o.Version == number && o.LeaseMS > 0 {
 					return
 				}
 				if time.Now().After(end) {
 					mu.Lock()
-					late = fmt.Errorf("%s never acts on version %d", d.Name, number)
+					waitErr = fmt.Errorf("%s never acts on version %d", d.Name, number)
 					mu.Unlock()
 					return
 				}
 			}
 		})
 	}
-	work.Wait()
-	return late
+	waiters.Wait()
+	return waitErr
 }
 
 // Change proposes another version at the first dispatcher and gives the time until all act on it.
 func (b *Bench) ProposeChange() (time.Duration, error) {
-	r, err := b.Ask(b.Dispatchers[0], agreement.Command{Do: "view"})
+	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view"})
 	if err != nil || r.View == nil {
 		return 0, fmt.Errorf("no view: %w %s", err, r.Error)
 	}
-	b.next++
-	content, err := edited(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.next)) // which changes nothing of what is served
+	b.sequence++
+	content, err := editContent(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.sequence)) // which changes nothing of what is served
 	if err != nil {
 		return 0, err
 	}
 	began := time.Now()
-	r, err = b.Ask(b.Dispatchers[0], agreement.Command{Do: "propose", Base: r.View.Record.InForceNumber, Content: content, By: "measure"})
+	r, err = b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "propose", Base: r.View.Record.InForceNumber, Content: content, By: "measure"})
 	if err != nil || r.Error != "" {
 		return 0, fmt.Errorf("propose: %w %s", err, r.Error)
 	}
@@ -138,7 +138,7 @@
 	if err := b.Start(d); err != nil {
 		return err
 	}
-	r, err := b.Ask(b.Dispatchers[0], agreement.Command{Do: "view"})
+	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view"})
 	if err != nil || r.View == nil {
 		return fmt.Errorf("no view: %w %s", err, r.Error)
 	}
@@ -147,27 +147,27 @@
 
 // Worth gives what the requests earned that were sent to a dispatcher in a stretch of time, of what they could have, and
 // the times that the served ones took. An enquiry is worth 3, an instruction 2. It waits until they are answered.
-func (b *Bench) EarnedShare(who []*Dispatcher, from, to time.Duration) (share float64, took []time.Duration) {
-	time.Sleep(to + askLimit + 500*time.Millisecond - b.Now())
-	b.t.mu.Lock()
-	defer b.t.mu.Unlock()
-	earned, asked := 0.0, 0.0
-	for _, a := range b.t.asked {
-		if a.Sent < from || a.Sent >= to || !slices.ContainsFunc(who, func(d *Dispatcher) bool { return d.Name == a.Who }) {
+func (b *Bench) EarnedShare(dispatchers []*Dispatcher, from, to time.Duration) (share float64, took []time.Duration) {
+	time.Sleep(to + clientTimeout + 500*time.Millisecond - b.Now())
+	b.traffic.mu.Lock()
+	defer b.traffic.mu.Unlock()
+	earned, possible := 0.0, 0.0
+	for _, a := range b.traffic.requests {
+		if a.Sent < from || a.Sent >= to || !slices.ContainsFunc(dispatchers, func(d *Dispatcher) bool { return d.Name == a.Dispatcher }) {
 			continue
 		}
 		worth := 3.0
-		if a.Once {
+		if a.AtMostOnce {
 			worth = 2
 		}
-		asked += worth
-		if a.Status == 200 && a.Whole {
+		possible += worth
+		if a.Status == 200 && a.Complete {
 			earned += worth
 			took = append(took, a.Done-a.Sent)
 		}
 	}
 	slices.Sort(took)
-	return earned / max(asked, 1), took
+	return earned / max(possible, 1), took
 }
 
 // Memory gives the resident memory of a dispatcher, in MB.
@@ -215,17 +215,17 @@
 // crowd is members without a program behind them, for the load that many put on the one that leads.
 type memberGroup struct{ nodes []*agreement.Node }
 
-type idle struct{}
+type nopProgram struct{}
 
-func (idle) Check(string) *agree.Fault                  { return nil }
-func (idle) Activate(agree.Version, *agree.Lease) error { return nil }
-func (idle) ApplyList(membership.List, int, bool) error { return nil }
-func (idle) SetReading(bool)                            {}
-func (idle) LeaseLost()                                 {}
-func (idle) RegistrySilent() bool                       { return false }
-func (idle) Phase() string                              { return "ready" }
-func (idle) ServingTime() time.Duration                 { return 0 }
-func (idle) WarmRates() map[string]float64              { return nil }
+func (nopProgram) Check(string) *agree.Fault                  { return nil }
+func (nopProgram) Activate(agree.Version, *agree.Lease) error { return nil }
+func (nopProgram) ApplyList(membership.List, int, bool) error { return nil }
+func (nopProgram) SetReading(bool)                            {}
+func (nopProgram) LeaseLost()                                 {}
+func (nopProgram) RegistrySilent() bool                       { return false }
+func (nopProgram) Phase() string                              { return "ready" }
+func (nopProgram) ServingTime() time.Duration                 { return 0 }
+func (nopProgram) WarmRates() map[string]float64              { return nil }
 
 // Crowd adds so many members to the fleet, all in this process; each has a log and links of its own.
 func (b *Bench) AddMembers(size int) (*memberGroup, error) {
@@ -246,12 +246,12 @@
 			return c, err
 		}
 		n, err := agreement.Open(agreement.Options{Name: fmt.Sprintf("o-%d", i), Cluster: "proving", Voters: voters,
-			Timing: agree.TimingOf(length(b.Script.Within)), OnLeaseLoss: agree.Stop, Folder: folder, Lists: lists})
+			Timing: agree.TimingOf(duration(b.Script.Within)), OnLeaseLoss: agree.Stop, Folder: folder, Lists: lists})
 		if err != nil {
 			return c, err
 		}
 		c.nodes = append(c.nodes, n)
-		if err := n.Run(idle{}); err != nil {
+		if err := n.Run(nopProgram{}); err != nil {
 			return c, err
 		}
 	}
@@ -263,7 +263,7 @@
 	began := time.Now()
 	for _, n := range c.nodes {
 		for o := n.Status(); o.Version != number || o.LeaseMS == 0; o = n.Status() {
-			if time.Since(began) > generous {
+			if time.Since(began) > eventualTimeout {
 				return 0, fmt.Errorf("%s: %+v", o.Name, o)
 			}
 			time.Sleep(time.Millisecond)
@@ -277,7 +277,7 @@
 	began := time.Now()
 	for _, n := range c.nodes {
 		for n.Status().ListVersion < number {
-			if time.Since(began) > generous {
+			if time.Since(began) > eventualTimeout {
 				return fmt.Errorf("%s never goes by list %d", n.Status().Name, number)
 			}
 			time.Sleep(time.Millisecond)
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -20,26 +20,26 @@
 	n := 0
 	for end := b.Now() + span; b.Now() < end; n++ {
 		<-tick.C
-		d, key := b.Dispatchers[n%len(b.Dispatchers)], fmt.Sprintf("m-%d-%d-%d", rate, b.next, n)
+		d, key := b.Dispatchers[n%len(b.Dispatchers)], fmt.Sprintf("m-%d-%d-%d", rate, b.sequence, n)
 		all.Go(func() {
-			a := b.t.send(d, Asked{Who: d.Name, ID: key, Once: true}, key, "{}")
+			a := b.traffic.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: key, AtMostOnce: true}, key, "{}")
 			mu.Lock()
 			defer mu.Unlock()
-			if a.Status == 200 && a.Whole {
+			if a.Status == 200 && a.Complete {
 				took = append(took, a.Done-a.Sent)
 			} else {
 				failed++
 			}
 		})
 	}
-	b.next++
+	b.sequence++
 	all.Wait()
 	return took, failed
 }
 
 // LedgerFigures gives those of one dispatcher.
 func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Stats, error) {
-	r, err := b.Ask(d, agreement.Command{Do: program.LedgerStatus})
+	r, err := b.SendCommand(d, agreement.Command{Do: program.LedgerStatus})
 	if err != nil || r.Figures == nil {
 		return bookkeeping.Stats{}, fmt.Errorf("no figures: %w %s", err, r.Error)
 	}
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -16,37 +16,37 @@
 )
 
 // generous is how long what must happen in the end may take: liveness is not judged by the clock.
-const generous = 30 * time.Second
+const eventualTimeout = 30 * time.Second
 
 // ErrStart says that a fleet did not come up: nothing was tried.
 var ErrStart = errors.New("the fleet does not start")
 
 // play is one trial under way.
 type play struct {
-	s       Script
-	f       *Fleet
-	t       *traffic
-	began   time.Duration
-	mu      sync.Mutex
-	wrong   []string
-	acked   map[uint64]time.Duration
-	history []Operation
-	work    sync.WaitGroup // proposals under way
+	script         Script
+	fleet          *Fleet
+	traffic        *traffic
+	began          time.Duration
+	mu             sync.Mutex
+	problems       []string
+	acknowledgedAt map[uint64]time.Duration
+	operations     []Operation
+	background     sync.WaitGroup // proposals under way
 
-	reg     *registry
-	drains  []*Drained
-	cold    []Cold
-	follows sync.WaitGroup
-	over    atomic.Bool
+	registry      *registry
+	drains        []*Drain
+	coldReplicas  []ColdReplica
+	drainWatchers sync.WaitGroup
+	finished      atomic.Bool
 
-	leader   []*Dispatcher
-	leaderAt time.Duration
-	leaderAs string
+	resolved     []*Dispatcher
+	resolvedAt   time.Duration
+	resolvedName string
 }
 
-func (p *play) fault(form string, args ...any) {
+func (p *play) problemf(form string, args ...any) {
 	p.mu.Lock()
-	p.wrong = append(p.wrong, fmt.Sprintf(form, args...))
+	p.problems = append(p.problems, fmt.Sprintf(form, args...))
 	p.mu.Unlock()
 }
 
@@ -60,8 +60,8 @@
 	if s.Fault != "" {
 		program.Env = append(slices.Clone(program.Env), FaultEnv+"="+s.Fault)
 	}
-	if s.Power {
-		program.Env = append(slices.Clone(program.Env), fmt.Sprintf("%s=%d", PowerEnv, s.Seed))
+	if s.PowerLoss {
+		program.Env = append(slices.Clone(program.Env), fmt.Sprintf("%s=%d", PowerLossEnv, s.Seed))
 	}
 	f, err := NewFleet(s, program, folder, t.list, t.spare)
 	if err != nil {
@@ -70,9 +70,9 @@
 	defer f.Close()
 	t.now = f.Now
 	if s.Ledger != "" {
-		t.orders = newOrders(s.Seed, f)
+		t.instructions = newInstructionSet(s.Seed, f)
 	}
-	p := &play{s: s, f: f, t: t, reg: f.reg, acked: map[uint64]time.Duration{}}
+	p := &play{script: s, fleet: f, traffic: t, registry: f.registry, acknowledgedAt: map[uint64]time.Duration{}}
 	if text, err := f.Run(f.Dispatchers[0], "settings", "init"); err != nil {
 		return Record{}, nil, fmt.Errorf("settings init: %w: %s", err, text)
 	}
@@ -81,221 +81,221 @@
 			return Record{}, nil, err
 		}
 	}
-	if late := p.await(func(o *agreement.Status) bool { return o.Version == 1 && o.LeaseMS > 0 }); late != "" {
-		return Record{}, nil, fmt.Errorf("%w: %s", ErrStart, late)
+	if pending := p.waitAll(func(o *agreement.Status) bool { return o.Version == 1 && o.LeaseMS > 0 }); pending != "" {
+		return Record{}, nil, fmt.Errorf("%w: %s", ErrStart, pending)
 	}
-	go t.meter()
+	go t.measureStalls()
 	for _, d := range f.Dispatchers {
-		t.open.Add(1)
-		go t.ask(d, s.Rate)
+		t.inFlight.Add(1)
+		go t.sendLoop(d, s.Rate)
 	}
 	p.began = f.Now()
 	for _, step := range s.Steps {
-		time.Sleep(p.began + length(step.At) - f.Now())
-		p.do(step)
-	}
-	time.Sleep(p.began + length(s.Last) - f.Now())
-	p.mend()
-	p.work.Wait()
-	p.settle()
-	p.over.Store(true)
-	p.follows.Wait()
+		time.Sleep(p.began + duration(step.At) - f.Now())
+		p.runStep(step)
+	}
+	time.Sleep(p.began + duration(s.Last) - f.Now())
+	p.repair()
+	p.background.Wait()
+	p.waitAgreed()
+	p.finished.Store(true)
+	p.drainWatchers.Wait()
 	close(t.stop)
-	t.open.Wait()
+	t.inFlight.Wait()
 	r := p.record()
-	if t.orders != nil {
-		r.Orders = t.orders.settle(p, s.Ledger == ledgerOff)
+	if t.instructions != nil {
+		r.Instructions = t.instructions.collectFates(p, s.Ledger == ledgerOff)
 	}
-	return r, p.history, nil
+	return r, p.operations, nil
 }
 
 // do carries out one step.
-func (p *play) do(s Step) {
-	who, to := p.named(s.Who), p.named(s.To)
-	weather := Weather{Delay: length(s.Delay), Jitter: length(s.Delay) / 2, Rate: s.Rate}
-	switch s.Do {
+func (p *play) runStep(step Step) {
+	from, to := p.resolve(step.Who), p.resolve(step.To)
+	conditions := LinkConditions{Delay: duration(step.Delay), Jitter: duration(step.Delay) / 2, Rate: step.Rate}
+	switch step.Do {
 	case doCut:
-		p.f.between(who, to, func(r *Relay, way int) { r.Set(way, Weather{Lost: true}) })
+		p.fleet.eachRelay(from, to, func(r *Relay, dir int) { r.Set(dir, LinkConditions{Drop: true}) })
 	case doDelay, doThrottle:
-		p.f.between(who, to, func(r *Relay, way int) { r.Set(way, weather) })
+		p.fleet.eachRelay(from, to, func(r *Relay, dir int) { r.Set(dir, conditions) })
 	case doReset:
-		p.f.between(who, to, func(r *Relay, _ int) { r.Reset(true) })
+		p.fleet.eachRelay(from, to, func(r *Relay, _ int) { r.Reset(true) })
 	case doMend:
-		for _, way := range [][2][]*Dispatcher{{who, to}, {to, who}} {
-			p.f.between(way[0], way[1], func(r *Relay, way int) {
-				r.Set(way, Weather{})
+		for _, dir := range [][2][]*Dispatcher{{from, to}, {to, from}} {
+			p.fleet.eachRelay(dir[0], dir[1], func(r *Relay, dir int) {
+				r.Set(dir, LinkConditions{})
 				r.Reset(false) // connections with a hole in them end
 			})
 		}
 	}
-	if s.Do == doRegister {
-		p.register(s, who)
+	if step.Do == doRegistry {
+		p.changeRegistry(step, from)
 		return
 	}
-	if s.Do == doKill { // all in one instant
+	if step.Do == doKill { // all in one instant
 		var all sync.WaitGroup
-		for _, d := range who {
-			all.Go(func() { p.f.Signal(d, syscall.SIGKILL) })
+		for _, d := range from {
+			all.Go(func() { p.fleet.Signal(d, syscall.SIGKILL) })
 		}
 		all.Wait()
 		return
 	}
-	for _, d := range who {
-		p.one(s, d)
+	for _, d := range from {
+		p.runStepOn(step, d)
 	}
 }
 
 // register changes the register, and watches what becomes of a drain.
-func (p *play) register(s Step, who []*Dispatcher) {
-	switch s.Value {
+func (p *play) changeRegistry(step Step, who []*Dispatcher) {
+	switch step.Value {
 	case "terminating", "gone":
-		p.followDrain(s.Key, false)
+		p.watchDrain(step.Key, false)
 	case "in_service":
-		p.endDrain(s.Key, p.f.Now())
+		p.markDrainEnd(step.Key, p.fleet.Now())
 	}
-	switch s.Value {
+	switch step.Value {
 	case "new":
-		if e, ok := p.reg.next(); ok {
-			p.cold = append(p.cold, Cold{e.ID, e.Kind, p.f.Now()})
+		if e, ok := p.registry.nextSpare(); ok {
+			p.coldReplicas = append(p.coldReplicas, ColdReplica{e.ID, e.Kind, p.fleet.Now()})
 		}
 	case "restart":
-		p.endAll()
-		for _, e := range p.reg.listed() {
-			p.cold = append(p.cold, Cold{e.ID, e.Kind, p.f.Now()})
+		p.endRegistryDrains()
+		for _, e := range p.registry.entries() {
+			p.coldReplicas = append(p.coldReplicas, ColdReplica{e.ID, e.Kind, p.fleet.Now()})
 		}
 	case "reborn":
-		p.cold = append(p.cold, Cold{s.Key, kindOf(s.Key), p.f.Now()})
+		p.coldReplicas = append(p.coldReplicas, ColdReplica{step.Key, kindOf(step.Key), p.fleet.Now()})
 	}
-	if err := p.reg.step(s.Key, s.Value, who); err != nil {
-		p.fault("register %s %s: %v", s.Key, s.Value, err)
+	if err := p.registry.apply(step.Key, step.Value, who); err != nil {
+		p.problemf("register %s %s: %v", step.Key, step.Value, err)
 	}
 }
 
 // named is the fleet's, but that the leader or reader stays who it was when a script named it first at that time: a cut takes two steps.
-func (p *play) named(word string) []*Dispatcher {
-	if word != "leader" && word != "reader" {
-		return p.f.named(word)
+func (p *play) resolve(name string) []*Dispatcher {
+	if name != "leader" && name != "reader" {
+		return p.fleet.resolve(name)
 	}
-	if now := p.f.Now(); p.leaderAs != word || now-p.leaderAt > 50*time.Millisecond {
-		p.leader, p.leaderAt, p.leaderAs = p.f.named(word), now, word
+	if now := p.fleet.Now(); p.resolvedName != name || now-p.resolvedAt > 50*time.Millisecond {
+		p.resolved, p.resolvedAt, p.resolvedName = p.fleet.resolve(name), now, name
 	}
-	return p.leader
+	return p.resolved
 }
 
 // one carries out a step that one dispatcher is concerned with.
-func (p *play) one(s Step, d *Dispatcher) {
+func (p *play) runStepOn(step Step, d *Dispatcher) {
 	var err error
-	switch s.Do {
-	case doForget, doCopy, doRestore, doDisk:
-		err = p.f.disk(s, d)
-	case doAccept:
-		p.work.Go(func() { p.accept(d) })
-	case doCrowd:
-		p.t.crowds.Store(d.Name, s.Rate)
+	switch step.Do {
+	case doLoseLedger, doCopyLedger, doRestoreLedger, doLedgerDisk:
+		err = p.fleet.applyLedgerStep(step, d)
+	case doAcceptLedger:
+		p.background.Go(func() { p.acceptLedger(d) })
+	case doSurge:
+		p.traffic.surges.Store(d.Name, step.Rate)
 	case doStop:
-		p.f.Signal(d, syscall.SIGSTOP)
+		p.fleet.Signal(d, syscall.SIGSTOP)
 	case doCont:
-		p.f.Signal(d, syscall.SIGCONT)
+		p.fleet.Signal(d, syscall.SIGCONT)
 	case doTerm:
-		p.f.Signal(d, syscall.SIGTERM)
+		p.fleet.Signal(d, syscall.SIGTERM)
 	case doStart:
-		if d.Running() && !d.leaving.Load() {
+		if d.Running() && !d.terminating.Load() {
 			return // another step has started it
 		}
 		if d.Running() {
-			<-d.ended
+			<-d.exited
 		}
-		err = p.f.Start(d)
-	case doLose:
-		p.f.Signal(d, syscall.SIGKILL)
+		err = p.fleet.Start(d)
+	case doLoseDisk:
+		p.fleet.Signal(d, syscall.SIGKILL)
 		err = os.Remove(agreement.LogPath(string(d.dir)))
-	case doAway:
+	case doRemoveDisk:
 		err = os.Rename(agreement.LogPath(string(d.dir)), agreement.LogPath(string(d.dir))+".away")
-	case doBack:
-		p.f.Signal(d, syscall.SIGKILL)
+	case doReturnDisk:
+		p.fleet.Signal(d, syscall.SIGKILL)
 		err = os.Rename(agreement.LogPath(string(d.dir))+".away", agreement.LogPath(string(d.dir)))
-	case doRefound:
-		err = p.refound(d)
+	case doRebootstrap:
+		err = p.rebootstrap(d)
 	case doReplace:
-		if err = p.f.Start(d); err == nil {
-			p.work.Go(func() { p.seat(d) })
+		if err = p.fleet.Start(d); err == nil {
+			p.background.Go(func() { p.assignSeat(d) })
 		}
 	case doHup:
-		p.hup(s, d)
+		p.changeFileAndReload(step, d)
 	case doPropose, doRollback:
-		p.work.Go(func() { p.propose(s, d) })
-	case doList:
-		p.work.Go(func() { p.order(s, d) })
+		p.background.Go(func() { p.propose(step, d) })
+	case doListOrder:
+		p.background.Go(func() { p.changeList(step, d) })
 	case doExpect:
-		p.expect(s, d)
+		p.expect(step, d)
 	}
 	if err != nil {
-		p.fault("%s %s: %v", s.Do, d.Name, err)
+		p.problemf("%s %s: %v", step.Do, d.Name, err)
 	}
 }
 
 // view reads all of the record at a dispatcher, and notes the read.
 func (p *play) view(d *Dispatcher) (*agreement.View, error) {
-	call := p.f.Now()
-	r, err := p.f.Ask(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+	call := p.fleet.Now()
+	r, err := p.fleet.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	if err != nil {
 		return nil, err
 	}
 	if r.View == nil || r.View.Record.InForce() == nil {
 		return nil, fmt.Errorf("%s", r.Error)
 	}
-	p.note(Operation{Call: call, Return: p.f.Now(), Kind: "show", Number: r.View.Record.InForceNumber, Who: d.Name})
+	p.recordOperation(Operation{Call: call, Return: p.fleet.Now(), Kind: "show", Number: r.View.Record.InForceNumber, Dispatcher: d.Name})
 	return r.View, nil
 }
 
-func (p *play) note(o Operation) {
+func (p *play) recordOperation(o Operation) {
 	p.mu.Lock()
-	p.history = append(p.history, o)
+	p.operations = append(p.operations, o)
 	p.mu.Unlock()
 }
 
 // mend makes everything well again: links, stopped and dead processes. A voter whose disk was lost stays as it is.
-func (p *play) mend() {
-	all := p.f.named("*")
-	p.do(Step{Do: doMend, Who: "*", To: "*"})
-	if p.reg != nil {
+func (p *play) repair() {
+	all := p.fleet.resolve("*")
+	p.runStep(Step{Do: doMend, Who: "*", To: "*"})
+	if p.registry != nil {
 		for _, value := range []string{"unmute", "again"} {
-			if err := p.reg.step("", value, all); err != nil {
-				p.fault("register %s: %v", value, err)
+			if err := p.registry.apply("", value, all); err != nil {
+				p.problemf("register %s: %v", value, err)
 			}
 		}
 	}
 	for _, d := range all {
-		if err := p.f.disk(Step{Do: doDisk, Value: "well"}, d); err != nil {
-			p.fault("%s: %v", d.Name, err)
+		if err := p.fleet.applyLedgerStep(Step{Do: doLedgerDisk, Value: "well"}, d); err != nil {
+			p.problemf("%s: %v", d.Name, err)
 		}
 		if d.Running() && d.stopped.Load() {
-			p.f.Signal(d, syscall.SIGCONT)
+			p.fleet.Signal(d, syscall.SIGCONT)
 		}
 		if !d.Running() {
-			if err := p.f.Start(d); err != nil {
-				p.fault("start %s: %v", d.Name, err)
+			if err := p.fleet.Start(d); err != nil {
+				p.problemf("start %s: %v", d.Name, err)
 			}
 		}
 	}
 }
 
 // settle waits until all dispatchers hold the version in force under a lease: nothing was undone and all agree again.
-func (p *play) settle() {
+func (p *play) waitAgreed() {
 	var force uint64
-	late := p.await(func(o *agreement.Status) bool {
+	pending := p.waitAll(func(o *agreement.Status) bool {
 		if force == 0 {
-			for _, d := range p.f.Dispatchers {
+			for _, d := range p.fleet.Dispatchers {
 				if v, err := p.view(d); err == nil && v.Record.InProgress() == nil {
 					force = v.Record.InForceNumber
 					break
 				}
 			}
 		}
-		if slices.Contains(p.s.Astray, o.Name) {
+		if slices.Contains(p.script.Stranded, o.Name) {
 			return o.LeaseMS == 0
 		}
-		if slices.Contains(p.s.Picky, o.Name) && o.Unfit != nil && o.LeaseMS == 0 {
+		if slices.Contains(p.script.NeedClass, o.Name) && o.Unfit != nil && o.LeaseMS == 0 {
 			return true // the version came into force while it had no lease; it can't act on it, and does not
 		}
 		if o.Unfit != nil && strings.Contains(o.Unfit.Reason, "brought this dispatcher down twice") && o.LeaseMS == 0 {
@@ -303,67 +303,67 @@
 		}
 		return force != 0 && o.Version == force && o.LeaseMS > 0
 	})
-	if late != "" {
-		p.fault("in the end not all agree: %s", late)
+	if pending != "" {
+		p.problemf("in the end not all agree: %s", pending)
 	}
 }
 
 // await waits until something holds for all dispatchers, generously, and names one for which it does not.
-func (p *play) await(holds func(o *agreement.Status) bool) (late string) {
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		late = ""
-		for _, d := range p.f.Dispatchers {
-			if r, err := p.f.Ask(d, agreement.Command{Do: "own"}); err != nil {
-				late = fmt.Sprintf("%s: %v", d.Name, err)
+func (p *play) waitAll(holds func(o *agreement.Status) bool) (pending string) {
+	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		pending = ""
+		for _, d := range p.fleet.Dispatchers {
+			if r, err := p.fleet.SendCommand(d, agreement.Command{Do: "own"}); err != nil {
+				pending = fmt.Sprintf("%s: %v", d.Name, err)
 			} else if r.Status == nil || !holds(r.Status) {
-				late = fmt.Sprintf("%s: %+v %s", d.Name, r.Status, r.Error)
+				pending = fmt.Sprintf("%s: %+v %s", d.Name, r.Status, r.Error)
 			}
-			if late != "" {
+			if pending != "" {
 				break
 			}
 		}
-		if late == "" {
+		if pending == "" {
 			return ""
 		}
 	}
-	return late
+	return pending
 }
 
 // read gives the ids of requests, of those that were sent once more, that a dispatcher's log tells of.
-func (p *play) read() map[string]bool {
-	read := map[string]bool{}
-	for _, a := range p.t.asked {
-		if a.Unread != "" {
-			read[a.Unread] = false
+func (p *play) found() map[string]bool {
+	found := map[string]bool{}
+	for _, a := range p.traffic.requests {
+		if a.ResendOf != "" {
+			found[a.ResendOf] = false
 		}
 	}
-	if len(read) == 0 {
-		return read
+	if len(found) == 0 {
+		return found
 	}
-	for _, d := range p.f.Dispatchers {
-		text, err := os.ReadFile(p.f.logOf(d))
+	for _, d := range p.fleet.Dispatchers {
+		text, err := os.ReadFile(p.fleet.logPath(d))
 		if err != nil {
-			p.fault("%v", err)
+			p.problemf("%v", err)
 		}
 		for word := range bytes.FieldsSeq(text) {
-			if _, asked := read[string(word)]; asked {
-				read[string(word)] = true
+			if _, wanted := found[string(word)]; wanted {
+				found[string(word)] = true
 			}
 		}
 	}
-	return read
+	return found
 }
 
 func (p *play) record() Record {
-	r := Record{Read: p.read(), Within: length(p.s.Within), Alone: p.s.Alone, Acts: p.t.acts, Asked: p.t.asked, Runs: p.t.runs, Drains: p.drains, Cold: p.cold, Downs: p.f.downs, Wrong: p.wrong}
-	for _, d := range p.f.Dispatchers {
+	r := Record{ReadIDs: p.found(), Within: duration(p.script.Within), Alone: p.script.Alone, Actions: p.traffic.actions, Requests: p.traffic.requests, Runs: p.traffic.runs, Drains: p.drains, ColdReplicas: p.coldReplicas, Downtimes: p.fleet.downtimes, Problems: p.problems}
+	for _, d := range p.fleet.Dispatchers {
 		if view, err := p.view(d); err == nil {
 			for _, v := range view.Record.Versions {
-				r.Versions = append(r.Versions, Version{v.Number, v.Fingerprint, v.State, v.Keys, p.acked[v.Number]})
+				r.Versions = append(r.Versions, Version{v.Number, v.Fingerprint, v.State, v.Keys, p.acknowledgedAt[v.Number]})
 			}
 			return r
 		}
 	}
-	r.Wrong = append(r.Wrong, "in the end nobody shows the versions")
+	r.Problems = append(r.Problems, "in the end nobody shows the versions")
 	return r
 }
--- a/internal/proving/subject.go
+++ b/internal/proving/program.go
@@ -13,7 +13,7 @@
 
 // AsDispatcher stands for the program's command line, with the fault that is to be put in, if any: what Fleet runs of it.
 func RunDispatcher(args []string) error {
-	PutIn()
+	InjectFault()
 	dir := appliance.Dir(args[len(args)-1])
 	switch do := strings.Join(args[:2], " "); do {
 	case "settings init":
@@ -42,22 +42,22 @@
 }
 
 // refound makes a new cluster with a voter as its first, out of what the folders of all know; the others that know the lost one leave it.
-func (p *play) refound(d *Dispatcher) error {
+func (p *play) rebootstrap(d *Dispatcher) error {
 	own, err := agreement.Survey(string(d.dir))
 	if err != nil {
 		return err
 	}
 	lost := strconv.FormatUint(own.Cluster, 16)
-	args, left := []string{"recovery", "refound", "--lost", lost}, []*Dispatcher{}
-	for _, x := range p.f.Dispatchers {
+	args, members := []string{"recovery", "refound", "--lost", lost}, []*Dispatcher{}
+	for _, x := range p.fleet.Dispatchers {
 		if r, err := agreement.Survey(string(x.dir)); err == nil && x != d && r.Cluster == own.Cluster {
-			args, left = append(args, "--from", string(x.dir)), append(left, x)
+			args, members = append(args, "--from", string(x.dir)), append(members, x)
 		}
 	}
-	text, err := p.f.Run(d, args...)
-	for _, x := range left {
+	text, err := p.fleet.Run(d, args...)
+	for _, x := range members {
 		if err == nil {
-			text, err = p.f.Run(x, "recovery", "join", "--lost", lost)
+			text, err = p.fleet.Run(x, "recovery", "join", "--lost", lost)
 		}
 	}
 	if err != nil {
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -13,7 +13,7 @@
 )
 
 // change gives the file's settings with one key changed.
-func change(settings map[string]any, key, value string) (map[string]any, error) {
+func changeSetting(settings map[string]any, key, value string) (map[string]any, error) {
 	text, err := jsoniter.Marshal(settings)
 	if err != nil {
 		return nil, err
@@ -52,16 +52,16 @@
 // propose makes a proposal from the version in force by then, or from Base, and waits for what becomes of it. Where another
 // one is under way it tries again, unless any refusal will do.
 func (p *play) propose(s Step, d *Dispatcher) {
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if !d.Running() || d.stopped.Load() || !p.tries(s, d) {
+	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if !d.Running() || d.stopped.Load() || !p.tryPropose(s, d) {
 			return // nobody is there to ask, or it is done
 		}
 	}
-	p.fault("propose %s=%s at %s: others are under way all the time", s.Key, s.Value, d.Name)
+	p.problemf("propose %s=%s at %s: others are under way all the time", s.Key, s.Value, d.Name)
 }
 
 // command words a proposal by what is in force.
-func command(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
+func buildCommand(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
 	c = agreement.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
 	if s.Do == doRollback {
 		if v := view.Record.Version(s.Base); v != nil {
@@ -73,42 +73,42 @@
 	if s.Base != 0 {
 		c.Base = s.Base
 	}
-	c.Content, err = edited(view.Record.InForce().Content, s.Key, s.Value)
+	c.Content, err = editContent(view.Record.InForce().Content, s.Key, s.Value)
 	return c, err
 }
 
 // tries makes one proposal; it tells whether to try again.
-func (p *play) tries(s Step, d *Dispatcher) (again bool) {
+func (p *play) tryPropose(s Step, d *Dispatcher) (again bool) {
 	view, err := p.view(d)
 	if err != nil {
-		return s.Wants != "?" // nobody can know now what to propose it from
+		return s.WantError != "?" // nobody can know now what to propose it from
 	}
-	c, err := command(s, d, view)
+	c, err := buildCommand(s, d, view)
 	if err != nil {
-		p.fault("propose: %v", err)
+		p.problemf("propose: %v", err)
 		return false
 	}
-	op := Operation{Call: p.f.Now(), Base: c.Base, Kind: "propose", Who: d.Name}
-	r, err := p.f.Ask(d, c)
-	crossed := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // by another proposal
+	op := Operation{Call: p.fleet.Now(), Base: c.Base, Kind: "propose", Dispatcher: d.Name}
+	r, err := p.fleet.SendCommand(d, c)
+	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // by another proposal
 	switch {
 	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
-		p.note(op)
+		p.recordOperation(op)
 	case r.Error == "":
-		p.follow(d, r.Number, op, s)
-	case s.Wants == "?" || s.Wants != "" && strings.Contains(r.Error, s.Wants):
-	case crossed:
+		p.waitDecided(d, r.Number, op, s)
+	case s.WantError == "?" || s.WantError != "" && strings.Contains(r.Error, s.WantError):
+	case conflict:
 		return true
 	default:
-		p.fault("propose %s=%s at %s: %s", s.Key, s.Value, d.Name, r.Error)
+		p.problemf("propose %s=%s at %s: %s", s.Key, s.Value, d.Name, r.Error)
 	}
 	return false
 }
 
 // follow waits until a version that was entered is in force or turned down.
-func (p *play) follow(d *Dispatcher, number uint64, op Operation, s Step) {
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+func (p *play) waitDecided(d *Dispatcher, number uint64, op Operation, s Step) {
+	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !d.Running() {
 			break
 		}
@@ -118,42 +118,42 @@
 		}
 		v := view.Record.Version(number)
 		if v == nil {
-			p.fault("version %d was entered and is not there", number)
+			p.problemf("version %d was entered and is not there", number)
 			return
 		}
 		switch v.State {
 		case agree.InForce, agree.Superseded:
-			now := p.f.Now()
+			now := p.fleet.Now()
 			p.mu.Lock()
-			if _, ok := p.acked[number]; !ok {
-				p.acked[number] = now
+			if _, ok := p.acknowledgedAt[number]; !ok {
+				p.acknowledgedAt[number] = now
 			}
 			p.mu.Unlock()
 			op.Return, op.Number = now, number
-			p.note(op)
-			if s.Wants != "" && s.Wants != "?" {
-				p.fault("version %d (%s=%s) is in force, wanted was: %s", number, s.Key, s.Value, s.Wants)
+			p.recordOperation(op)
+			if s.WantError != "" && s.WantError != "?" {
+				p.problemf("version %d (%s=%s) is in force, wanted was: %s", number, s.Key, s.Value, s.WantError)
 			}
 			return
 		case agree.TurnedDown, agree.Withdrawn:
-			if s.Wants == "" {
-				p.fault("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
-			} else if s.Wants != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.Wants) {
-				p.fault("version %d: turned down for %v, wanted was %s", number, v.Fault, s.Wants)
+			if s.WantError == "" {
+				p.problemf("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
+			} else if s.WantError != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.WantError) {
+				p.problemf("version %d: turned down for %v, wanted was %s", number, v.Fault, s.WantError)
 			}
 			return
 		}
 	}
 	op.Unknown = true
-	p.note(op)
+	p.recordOperation(op)
 }
 
-func edited(content, key, value string) (string, error) {
+func editContent(content, key, value string) (string, error) {
 	var all map[string]any
 	if err := jsoniter.UnmarshalFromString(content, &all); err != nil {
 		return "", err
 	}
-	all, err := change(all, key, value)
+	all, err := changeSetting(all, key, value)
 	if err != nil {
 		return "", err
 	}
--- a/internal/proving/proving_test.go
+++ b/internal/proving/proving_test.go
@@ -24,7 +24,7 @@
 }
 
 // atOnce is how many trials run together: their processes mostly wait.
-const atOnce = 4
+const maxParallel = 4
 
 // The hard cases, each a script with a name: several processes, with faults between them, judged from outside.
 func TestNamedScripts(t *testing.T) {
@@ -32,7 +32,7 @@
 	if err != nil || len(files) < 14 {
 		t.Fatalf("%d scripts, %v", len(files), err)
 	}
-	room := make(chan bool, atOnce)
+	slots := make(chan bool, maxParallel)
 	for _, file := range files {
 		s, err := Load(file)
 		if err != nil {
@@ -40,8 +40,8 @@
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			room <- true
-			defer func() { <-room }()
+			slots <- true
+			defer func() { <-slots }()
 			folder := t.TempDir()
 			record, history, err := Play(s, Program{Path: os.Args[0], Env: []string{"STANDPULLEY_AS_PROGRAM=1"}}, folder)
 			if err != nil {
@@ -82,7 +82,7 @@
 	return strings.Join(some[max(0, len(some)-25):], "")
 }
 
-func TestScriptsArePrintedAndParsedBack(t *testing.T) {
+func TestScriptRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		shape := GeneratorOptions{Voters: 5, Others: 10, Within: time.Second, Lists: seed%2 == 0, Ledger: []string{"", "site", "process"}[seed%3]}
 		s := Generate(seed, shape)
@@ -110,59 +110,67 @@
 	versions := []Version{{1, "aa11", agree.Superseded, keys("6", "1"), 0}, {2, "bb22", agree.Superseded, keys("5", "1"), 0},
 		{3, "cc33", agree.InForce, keys("5", "2"), 0}, {4, "dd44", agree.TurnedDown, keys("4", "2"), 0}}
 	sec := time.Second
-	send := func(mark string, at time.Duration) Act {
-		return Act{Who: "o1", What: "send", ID: "x", Mark: mark, From: at, To: at}
+	send := func(mark string, at time.Duration) Action {
+		return Action{Dispatcher: "o1", Kind: "send", ID: "x", VersionTag: mark, From: at, To: at}
 	}
-	ok := Asked{Who: "o1", ID: "a", Sent: sec, Done: 2 * sec, Status: 200, Whole: true, Mark: "1-aa11"}
+	ok := ClientRequest{Dispatcher: "o1", ID: "a", Sent: sec, Done: 2 * sec, Status: 200, Complete: true, VersionTag: "1-aa11"}
 	for _, x := range []struct {
 		name string
 		rule string
 		with func(r *Record)
 	}{
 		{"all well", "", func(*Record) {}},
-		{"just within", "", func(r *Record) { r.Acts = append(r.Acts, send("1-aa11", 6*sec)) }},
-		{"too late", "within", func(r *Record) { r.Acts = append(r.Acts, send("1-aa11", 6*sec+1)) }},
+		{"just within", "", func(r *Record) { r.Actions = append(r.Actions, send("1-aa11", 6*sec)) }},
+		{"too late", "within", func(r *Record) { r.Actions = append(r.Actions, send("1-aa11", 6*sec+1)) }},
 		{"too late but safe", "", func(r *Record) {
 			r.Alone = "safe"
 			late := send("1-aa11", 9*sec)
 			late.ID = "a"
-			r.Acts = append(r.Acts, late)
+			r.Actions = append(r.Actions, late)
 		}},
 		{"too late and not safe", "within", func(r *Record) {
-			r.Alone, r.Asked[0].Once = "safe", true
+			r.Alone, r.Requests[0].AtMostOnce = "safe", true
 			late := send("1-aa11", 9*sec)
 			late.ID = "a"
-			r.Acts = append(r.Acts, late)
+			r.Actions = append(r.Actions, late)
 		}},
 		{"taken too late", "within", func(r *Record) {
 			late := ok
 			late.Sent, late.Done = 7*sec, 8*sec
-			r.Asked = append(r.Asked, late)
+			r.Requests = append(r.Requests, late)
 		}},
-		{"no contradiction", "", func(r *Record) { r.Acts = append(r.Acts, send("3-cc33", 7*sec), send("2-bb22", 20*sec)) }},
+		{"no contradiction", "", func(r *Record) { r.Actions = append(r.Actions, send("3-cc33", 7*sec), send("2-bb22", 20*sec)) }},
 		{"too late, and brought back since", "", func(r *Record) {
 			r.Versions[3] = Version{5, "ee55", agree.InForce, keys("6", "1"), 0}
-			r.Acts = append(r.Acts, send("5-ee55", 8*sec), send("1-aa11", 9*sec))
+			r.Actions = append(r.Actions, send("5-ee55", 8*sec), send("1-aa11", 9*sec))
 		}},
 		{"too late, and brought back after", "within", func(r *Record) {
 			r.Versions[3] = Version{5, "ee55", agree.InForce, keys("6", "1"), 0}
-			r.Acts = append(r.Acts, send("5-ee55", 8*sec), send("1-aa11", 7*sec))
+			r.Actions = append(r.Actions, send("5-ee55", 8*sec), send("1-aa11", 7*sec))
 		}},
-		{"turned down", "turned down", func(r *Record) { r.Acts = append(r.Acts, send("4-dd44", 7*sec)) }},
-		{"unknown", "known", func(r *Record) { r.Acts = append(r.Acts, send("9-ee55", 7*sec)) }},
-		{"two contents", "one content", func(r *Record) { r.Acts = append(r.Acts, send("2-ffff", 7*sec)) }},
-		{"acknowledged and lost", "lost", func(r *Record) { r.Versions[3].Acked = sec }},
-		{"no answer", "lost", func(r *Record) { r.Asked = append(r.Asked, Asked{Who: "o1", Sent: sec, Done: 2 * sec}) }},
-		{"no answer of one that was down", "", func(r *Record) { r.Asked = append(r.Asked, Asked{Who: "o2", Sent: sec, Done: 2 * sec}) }},
-		{"sent once more, as it was not read", "", func(r *Record) { r.Asked[0].Unread = "b" }},
-		{"sent once more, and was read", "lost", func(r *Record) { r.Asked[0].Unread, r.Read = "b", map[string]bool{"b": true} }},
-		{"sent once more, and no answer", "lost", func(r *Record) { r.Asked = append(r.Asked, Asked{Who: "o1", Sent: sec, Done: 2 * sec, Unread: "b"}) }},
-		{"a stream cut", "lost", func(r *Record) { r.Asked = append(r.Asked, Asked{Who: "o1", Sent: sec, Done: 2 * sec, Status: 200}) }},
-		{"twice", "twice", func(r *Record) { r.Asked[0].Once, r.Runs["a"] = true, 2 }},
-		{"no mark", "mark", func(r *Record) { r.Acts = append(r.Acts, send("", sec)) }},
+		{"turned down", "turned down", func(r *Record) { r.Actions = append(r.Actions, send("4-dd44", 7*sec)) }},
+		{"unknown", "known", func(r *Record) { r.Actions = append(r.Actions, send("9-ee55", 7*sec)) }},
+		{"two contents", "one content", func(r *Record) { r.Actions = append(r.Actions, send("2-ffff", 7*sec)) }},
+		{"acknowledged and lost", "lost", func(r *Record) { r.Versions[3].AcknowledgedAt = sec }},
+		{"no answer", "lost", func(r *Record) {
+			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o1", Sent: sec, Done: 2 * sec})
+		}},
+		{"no answer of one that was down", "", func(r *Record) {
+			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o2", Sent: sec, Done: 2 * sec})
+		}},
+		{"sent once more, as it was not read", "", func(r *Record) { r.Requests[0].ResendOf = "b" }},
+		{"sent once more, and was read", "lost", func(r *Record) { r.Requests[0].ResendOf, r.ReadIDs = "b", map[string]bool{"b": true} }},
+		{"sent once more, and no answer", "lost", func(r *Record) {
+			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o1", Sent: sec, Done: 2 * sec, ResendOf: "b"})
+		}},
+		{"a stream cut", "lost", func(r *Record) {
+			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o1", Sent: sec, Done: 2 * sec, Status: 200})
+		}},
+		{"twice", "twice", func(r *Record) { r.Requests[0].AtMostOnce, r.Runs["a"] = true, 2 }},
+		{"no mark", "mark", func(r *Record) { r.Actions = append(r.Actions, send("", sec)) }},
 	} {
-		r := Record{Within: sec, Acts: []Act{send("1-aa11", sec), send("2-bb22", 5*sec)}, Asked: []Asked{ok}, Runs: map[string]int{"a": 1},
-			Versions: append([]Version(nil), versions...), Downs: map[string][][2]time.Duration{"o2": {{sec / 2, 0}}}}
+		r := Record{Within: sec, Actions: []Action{send("1-aa11", sec), send("2-bb22", 5*sec)}, Requests: []ClientRequest{ok}, Runs: map[string]int{"a": 1},
+			Versions: append([]Version(nil), versions...), Downtimes: map[string][][2]time.Duration{"o2": {{sec / 2, 0}}}}
 		x.with(&r)
 		j := Judge(r)
 		got := ""
@@ -175,7 +183,7 @@
 	}
 }
 
-func TestRegister(t *testing.T) {
+func TestIsLinearizable(t *testing.T) {
 	propose := func(call, ret int, base, number uint64) Operation {
 		return Operation{Kind: "propose", Call: time.Duration(call), Return: time.Duration(ret), Base: base, Number: number}
 	}
--- a/internal/proving/register_list.go
+++ b/internal/proving/registry.go
@@ -43,16 +43,16 @@
 }
 
 // step changes the register and tells the agents of some dispatchers: key is a replica or empty, value what becomes of it.
-func (r *registry) step(key, value string, who []*Dispatcher) error {
+func (r *registry) apply(key, value string, who []*Dispatcher) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list, version := slices.Clone(r.list), r.version+1
 	at := slices.IndexFunc(list, func(e standin.Entry) bool { return e.ID == key })
-	word, arg, _ := strings.Cut(value, ":")
-	switch word {
+	change, arg, _ := strings.Cut(value, ":")
+	switch change {
 	case "mute", "unmute":
 		for _, d := range who {
-			r.agents[d.Name].Mute(word == "mute")
+			r.agents[d.Name].Mute(change == "mute")
 		}
 		return nil
 	case "again": // what the register says by now, for who has not heard it
@@ -103,7 +103,7 @@
 		}
 	case "twice", "kind": // a list that nobody can work with, for who is told
 		bad := list[0]
-		if word == "kind" {
+		if change == "kind" {
 			bad.ID, bad.Kind = "odd", "unheard-of"
 		}
 		for _, d := range who {
@@ -129,44 +129,44 @@
 }
 
 // Drained is a replica that was drained or taken out, as it is known from outside.
-type Drained struct {
-	Replica string
-	Agreed  time.Duration            // when the agreed list was first seen without it; 0: never
-	Told    map[string]time.Duration // when a dispatcher's own register told it
-	Until   time.Duration            // it was let back then at the earliest; 0: never
-	Ordered bool                     // by an operator, so that no register ends it
+type Drain struct {
+	Replica    string
+	AgreedAt   time.Duration            // when the agreed list was first seen without it; 0: never
+	NotifiedAt map[string]time.Duration // when a dispatcher's own register told it
+	EndsAt     time.Duration            // it was let back then at the earliest; 0: never
+	ByOperator bool                     // by an operator, so that no register ends it
 }
 
 // follow watches from outside when a drain is told to dispatchers and when it shows in the agreed list.
-func (p *play) followDrain(replica string, ordered bool) {
-	d := &Drained{Replica: replica, Ordered: ordered, Told: map[string]time.Duration{}}
+func (p *play) watchDrain(replica string, byOperator bool) {
+	d := &Drain{Replica: replica, ByOperator: byOperator, NotifiedAt: map[string]time.Duration{}}
 	p.mu.Lock()
 	p.drains = append(p.drains, d)
 	p.mu.Unlock()
-	p.follows.Go(func() {
-		for end := time.Now().Add(generous); time.Now().Before(end) && !p.over.Load(); time.Sleep(20 * time.Millisecond) {
+	p.drainWatchers.Go(func() {
+		for end := time.Now().Add(eventualTimeout); time.Now().Before(end) && !p.finished.Load(); time.Sleep(20 * time.Millisecond) {
 			p.mu.Lock()
-			done := d.Until != 0 && p.f.Now() > d.Until
-			for name, a := range p.reg.agents {
-				if at := a.ToldOf(replica); !at.IsZero() && d.Told[name] == 0 {
-					d.Told[name] = at.Sub(p.f.start)
+			done := d.EndsAt != 0 && p.fleet.Now() > d.EndsAt
+			for name, a := range p.registry.agents {
+				if at := a.ToldOf(replica); !at.IsZero() && d.NotifiedAt[name] == 0 {
+					d.NotifiedAt[name] = at.Sub(p.fleet.start)
 				}
 			}
-			agreed := d.Agreed != 0
+			agreed := d.AgreedAt != 0
 			p.mu.Unlock()
 			if done {
 				return
 			}
 			if !agreed {
-				for _, x := range p.f.Dispatchers[:p.s.Voters] {
+				for _, x := range p.fleet.Dispatchers[:p.script.Voters] {
 					if !x.Running() || x.stopped.Load() {
 						continue
 					}
-					r, err := p.f.Ask(x, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionList, Replica: replica}})
+					r, err := p.fleet.SendCommand(x, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionList, Replica: replica}})
 					if err == nil && r.View != nil && r.View.Record.List.Number > 0 {
 						if e, ok := r.View.Record.List.Entries[replica]; !ok || e.State != membership.InService {
 							p.mu.Lock()
-							d.Agreed = p.f.Now()
+							d.AgreedAt = p.fleet.Now()
 							p.mu.Unlock()
 						}
 						break
@@ -178,19 +178,19 @@
 }
 
 // agreedDrain notes that a drain was decided by a time.
-func (p *play) agreedDrain(replica string, at time.Duration) {
-	p.drained(func(d *Drained) bool { return d.Replica == replica }, func(d *Drained) { earliest(&d.Agreed, at) })
+func (p *play) markDrainAgreed(replica string, at time.Duration) {
+	p.updateDrains(func(d *Drain) bool { return d.Replica == replica }, func(d *Drain) { setEarliest(&d.AgreedAt, at) })
 }
 
 // listed gives the replicas that are listed.
-func (r *registry) listed() []standin.Entry {
+func (r *registry) entries() []standin.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.list)
 }
 
 // next gives the replica that comes next.
-func (r *registry) next() (standin.Entry, bool) {
+func (r *registry) nextSpare() (standin.Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.spare) == 0 {
@@ -200,48 +200,48 @@
 }
 
 // endDrain says when a replica's drain may end at the earliest.
-func (p *play) endDrain(replica string, at time.Duration) {
-	p.drained(func(d *Drained) bool { return d.Replica == replica }, func(d *Drained) { earliest(&d.Until, at) })
+func (p *play) markDrainEnd(replica string, at time.Duration) {
+	p.updateDrains(func(d *Drain) bool { return d.Replica == replica }, func(d *Drain) { setEarliest(&d.EndsAt, at) })
 }
 
 // endAll ends the drains that the register told of.
-func (p *play) endAll() {
-	p.drained(func(d *Drained) bool { return !d.Ordered }, func(d *Drained) { earliest(&d.Until, p.f.Now()) })
+func (p *play) endRegistryDrains() {
+	p.updateDrains(func(d *Drain) bool { return !d.ByOperator }, func(d *Drain) { setEarliest(&d.EndsAt, p.fleet.Now()) })
 }
 
 // drained does something with some of the drains that are followed.
-func (p *play) drained(some func(*Drained) bool, do func(*Drained)) {
+func (p *play) updateDrains(match func(*Drain) bool, update func(*Drain)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, d := range p.drains {
-		if some(d) {
-			do(d)
+		if match(d) {
+			update(d)
 		}
 	}
 }
 
 // earliest notes a time, unless there is an earlier one; 0 is none.
-func earliest(known *time.Duration, at time.Duration) {
-	if *known == 0 || at < *known {
-		*known = at
+func setEarliest(t *time.Duration, at time.Duration) {
+	if *t == 0 || at < *t {
+		*t = at
 	}
 }
 
 // judgeDrains finds attempts that a drained replica was sent too late: more than a second after its dispatcher was told, or
 // more than Within after the agreed list was seen without it.
 // harmless are the requests that a dispatcher which has lost contact may go on with by the list that it knew.
-func (r *Record) judgeDrains(harmless map[string]bool, find func(rule, form string, args ...any)) {
+func (r *Record) checkDrains(exempt map[string]bool, report func(rule, form string, args ...any)) {
 	for _, d := range r.Drains {
-		for _, a := range r.Acts {
-			who, _, _ := strings.Cut(a.ID, "-")
-			if a.Where != d.Replica || d.Until != 0 && a.To >= d.Until {
+		for _, a := range r.Actions {
+			dispatcher, _, _ := strings.Cut(a.ID, "-")
+			if a.Replica != d.Replica || d.EndsAt != 0 && a.To >= d.EndsAt {
 				continue
 			}
-			if told := d.Told[who]; told != 0 && a.From > told+drainGrace {
-				find("drain", "%s sent %s to %s %v after its register told it that this drains", who, a.ID, d.Replica, a.From-told)
+			if notifiedAt := d.NotifiedAt[dispatcher]; notifiedAt != 0 && a.From > notifiedAt+drainGrace {
+				report("drain", "%s sent %s to %s %v after its register told it that this drains", dispatcher, a.ID, d.Replica, a.From-notifiedAt)
 			}
-			if d.Agreed != 0 && a.From > d.Agreed+r.Within && !harmless[a.ID] {
-				find("drain", "%s sent %s to %s %v after that was drained by agreement", who, a.ID, d.Replica, a.From-d.Agreed)
+			if d.AgreedAt != 0 && a.From > d.AgreedAt+r.Within && !exempt[a.ID] {
+				report("drain", "%s sent %s to %s %v after that was drained by agreement", dispatcher, a.ID, d.Replica, a.From-d.AgreedAt)
 			}
 		}
 	}
--- a/internal/proving/relay.go
+++ b/internal/proving/relay.go
@@ -9,8 +9,8 @@
 )
 
 // Weather is what a link does to what is sent over it in one direction.
-type Weather struct {
-	Lost   bool          // bytes vanish; the connection stays open and silent
+type LinkConditions struct {
+	Drop   bool          // bytes vanish; the connection stays open and silent
 	Delay  time.Duration // of each piece
 	Jitter time.Duration // added, drawn from 0 to this
 	Rate   int           // bytes a second; 0 for no limit
@@ -20,18 +20,18 @@
 type Relay struct {
 	Addr string
 
-	to   string
-	ln   net.Listener
-	mu   sync.Mutex
-	sky  [2]Weather // there, back
-	down bool       // connections are refused
-	open map[net.Conn]bool
-	Sent [2]int64 // bytes, there and back
+	target     string
+	ln         net.Listener
+	mu         sync.Mutex
+	conditions [2]LinkConditions // there, back
+	refusing   bool              // connections are refused
+	conns      map[net.Conn]bool
+	Bytes      [2]int64 // bytes, there and back
 }
 
 const (
-	there = 0
-	back  = 1
+	toVoter   = 0
+	fromVoter = 1
 )
 
 // NewRelay listens on a free loopback port and leads to an address.
@@ -40,25 +40,25 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: ln.Addr().String(), to: to, ln: ln, open: map[net.Conn]bool{}}
+	r := &Relay{Addr: ln.Addr().String(), target: to, ln: ln, conns: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
 
 // Set changes the weather in one direction.
-func (r *Relay) Set(way int, w Weather) {
+func (r *Relay) Set(dir int, c LinkConditions) {
 	r.mu.Lock()
-	r.sky[way] = w
+	r.conditions[dir] = c
 	r.mu.Unlock()
 }
 
 // Reset breaks all connections, and refuses new ones while down.
-func (r *Relay) Reset(down bool) {
+func (r *Relay) Reset(refuse bool) {
 	r.mu.Lock()
-	r.down = down
-	for c := range r.open {
-		_ = c.(*net.TCPConn).SetLinger(0) // it may have ended by itself
-		_ = c.Close()
+	r.refusing = refuse
+	for conn := range r.conns {
+		_ = conn.(*net.TCPConn).SetLinger(0) // it may have ended by itself
+		_ = conn.Close()
 	}
 	r.mu.Unlock()
 }
@@ -75,69 +75,69 @@
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go r.proxy(c)
 	}
 }
 
-func (r *Relay) carry(near net.Conn) {
-	defer near.Close()
+func (r *Relay) proxy(downstream net.Conn) {
+	defer downstream.Close()
 	r.mu.Lock()
-	down := r.down
+	refusing := r.refusing
 	r.mu.Unlock()
-	if down {
-		_ = near.(*net.TCPConn).SetLinger(0)
+	if refusing {
+		_ = downstream.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.to, time.Second)
+	upstream, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer upstream.Close()
 	r.mu.Lock()
-	r.open[near], r.open[far] = true, true
+	r.conns[downstream], r.conns[upstream] = true, true
 	r.mu.Unlock()
 	done := make(chan bool, 2)
-	go r.pump(near, far, there, done)
-	go r.pump(far, near, back, done)
+	go r.copyStream(downstream, upstream, toVoter, done)
+	go r.copyStream(upstream, downstream, fromVoter, done)
 	<-done
 	r.mu.Lock()
-	delete(r.open, near)
-	delete(r.open, far)
+	delete(r.conns, downstream)
+	delete(r.conns, upstream)
 	r.mu.Unlock()
 }
 
 // pump carries one direction, piece by piece, by the weather at the time. What was lost once leaves a hole, so nothing
 // more of that connection gets through.
-func (r *Relay) pump(from, to net.Conn, way int, done chan<- bool) {
+func (r *Relay) copyStream(from, to net.Conn, dir int, done chan<- bool) {
 	defer func() { done <- true }()
 	buf := make([]byte, 16<<10)
-	hole := false
+	dropped := false
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
 			r.mu.Lock()
-			w := r.sky[way]
-			r.Sent[way] += int64(n)
+			c := r.conditions[dir]
+			r.Bytes[dir] += int64(n)
 			r.mu.Unlock()
-			hole = hole || w.Lost
-			wait := w.Delay
-			if w.Jitter > 0 {
-				wait += rand.N(w.Jitter)
+			dropped = dropped || c.Drop
+			wait := c.Delay
+			if c.Jitter > 0 {
+				wait += rand.N(c.Jitter)
 			}
-			if w.Rate > 0 {
-				wait += time.Duration(n) * time.Second / time.Duration(w.Rate)
+			if c.Rate > 0 {
+				wait += time.Duration(n) * time.Second / time.Duration(c.Rate)
 			}
 			if wait > 0 {
 				time.Sleep(wait)
 			}
-			if !hole {
+			if !dropped {
 				if _, err := to.Write(buf[:n]); err != nil {
 					return
 				}
 			}
 		}
 		if err != nil {
-			if hole && err == io.EOF {
+			if dropped && err == io.EOF {
 				_, _ = io.Copy(io.Discard, to) // half open: the other side learns of nothing
 			}
 			return
--- a/internal/proving/script.go
+++ b/internal/proving/script.go
@@ -47,63 +47,63 @@
 	Last            string `toml:"last"`             // how long the trial goes on after its start; then all is mended and must agree again
 	Ledger          string `toml:"ledger,omitempty"` // dispatchers remember instructions together, and that survives this; clients repeat
 	OrderedRecovery bool   `toml:"order,omitempty"`  // with Lists: dispatchers come back in stages
-	Power           bool   `toml:"power,omitempty"`  // whoever is killed loses what was not synced
+	PowerLoss       bool   `toml:"power,omitempty"`  // whoever is killed loses what was not synced
 	Standalone      bool   `toml:"apart,omitempty"`  // with Lists: no agreement at all, each goes by its own register
 	// Dispatchers that turn down what moves services.*.name away from "instruction", as their own file needs it.
-	Picky []string `toml:"picky,omitempty"`
+	NeedClass []string `toml:"picky,omitempty"`
 	// Voters that come back in the end with the log of a cluster that was given up: they may never act again.
-	Astray []string `toml:"astray,omitempty"`
+	Stranded []string `toml:"astray,omitempty"`
 }
 
 // Step is one thing that happens. Dispatchers are v1, v2, ... and o1, o2, ...; "leader" is the voter that leads, "*" all.
 type Step struct {
-	At    string `toml:"at"`
-	Do    string `toml:"do"`
-	Who   string `toml:"who,omitempty"`
-	To    string `toml:"to,omitempty"`    // for links: the other side
-	Delay string `toml:"delay,omitempty"` // for delay
-	Rate  int    `toml:"rate,omitempty"`  // for throttle
-	Key   string `toml:"key,omitempty"`   // for propose and hup: the setting that changes ...
-	Value string `toml:"value,omitempty"` // ... and its value as JSON
-	Base  uint64 `toml:"base,omitempty"`  // for propose: 0 is the version in force by then
-	Wants string `toml:"wants,omitempty"` // for propose, hup, rollback: "refused" with this word in the error, or any if "?"
+	At        string `toml:"at"`
+	Do        string `toml:"do"`
+	Who       string `toml:"who,omitempty"`
+	To        string `toml:"to,omitempty"`    // for links: the other side
+	Delay     string `toml:"delay,omitempty"` // for delay
+	Rate      int    `toml:"rate,omitempty"`  // for throttle
+	Key       string `toml:"key,omitempty"`   // for propose and hup: the setting that changes ...
+	Value     string `toml:"value,omitempty"` // ... and its value as JSON
+	Base      uint64 `toml:"base,omitempty"`  // for propose: 0 is the version in force by then
+	WantError string `toml:"wants,omitempty"` // for propose, hup, rollback: "refused" with this word in the error, or any if "?"
 }
 
 // The steps.
 const (
-	doCut      = "cut"      // what Who sends does not get to To; connections stay open
-	doMend     = "mend"     // all is well between Who and To
-	doDelay    = "delay"    // what Who sends to To comes later by Delay and half as much jitter
-	doThrottle = "throttle" // ... and at Rate bytes a second
-	doReset    = "reset"    // connections between Who and To break, and new ones are refused
-	doKill     = "kill"
-	doStart    = "start"
-	doStop     = "stop" // SIGSTOP
-	doCont     = "cont"
-	doTerm     = "term"
-	doLose     = "lose"     // kills it and takes its disk away
-	doAway     = "away"     // takes its disk away; it does not run
-	doBack     = "back"     // kills it and puts that disk in the place of what it has by now
-	doRefound  = "refound"  // makes a new cluster at Who of what all folders still know; nobody runs
-	doReplace  = "replace"  // starts it with an empty disk, to which its seat is given on
-	doPropose  = "propose"  // at Who
-	doRollback = "rollback" // at Who, to version Base
-	doHup      = "hup"      // Who's file gets another value, and SIGHUP
-	doRegister = "register" // the register changes, and the agents of Who hear of it: Value is a state of the replica Key, "gone",
+	doCut         = "cut"      // what Who sends does not get to To; connections stay open
+	doMend        = "mend"     // all is well between Who and To
+	doDelay       = "delay"    // what Who sends to To comes later by Delay and half as much jitter
+	doThrottle    = "throttle" // ... and at Rate bytes a second
+	doReset       = "reset"    // connections between Who and To break, and new ones are refused
+	doKill        = "kill"
+	doStart       = "start"
+	doStop        = "stop" // SIGSTOP
+	doCont        = "cont"
+	doTerm        = "term"
+	doLoseDisk    = "lose"     // kills it and takes its disk away
+	doRemoveDisk  = "away"     // takes its disk away; it does not run
+	doReturnDisk  = "back"     // kills it and puts that disk in the place of what it has by now
+	doRebootstrap = "refound"  // makes a new cluster at Who of what all folders still know; nobody runs
+	doReplace     = "replace"  // starts it with an empty disk, to which its seat is given on
+	doPropose     = "propose"  // at Who
+	doRollback    = "rollback" // at Who, to version Base
+	doHup         = "hup"      // Who's file gets another value, and SIGHUP
+	doRegistry    = "register" // the register changes, and the agents of Who hear of it: Value is a state of the replica Key, "gone",
 	// "new", "restart" (all come back cold), "half" (all whose names begin with Key go), "empty", "back:N", "mute", "unmute" or "again"
-	doCrowd   = "crowd"   // Rate times as many requests come at Who from now on; those that are more are of one customer
-	doForget  = "forget"  // kills it and takes its ledger away
-	doCopy    = "copy"    // keeps a copy of its ledger's file ...
-	doRestore = "restore" // ... and kills it and puts that in the place of what it has by now
-	doAccept  = "accept"  // an operator at Who has its ledger filled from one other
-	doDisk    = "disk"    // Value: stall or full holds up Who's syncs or has them fail, well ends that
-	doList    = "list"    // an operator at Who: Value is drain, undrain, hold or confirm, Key the replica
-	doExpect  = "expect"  // waits until Who's status has Value, generously
+	doSurge         = "crowd"   // Rate times as many requests come at Who from now on; those that are more are of one customer
+	doLoseLedger    = "forget"  // kills it and takes its ledger away
+	doCopyLedger    = "copy"    // keeps a copy of its ledger's file ...
+	doRestoreLedger = "restore" // ... and kills it and puts that in the place of what it has by now
+	doAcceptLedger  = "accept"  // an operator at Who has its ledger filled from one other
+	doLedgerDisk    = "disk"    // Value: stall or full holds up Who's syncs or has them fail, well ends that
+	doListOrder     = "list"    // an operator at Who: Value is drain, undrain, hold or confirm, Key the replica
+	doExpect        = "expect"  // waits until Who's status has Value, generously
 )
 
-var known = map[string]bool{doCut: true, doMend: true, doDelay: true, doThrottle: true, doReset: true, doKill: true, doStart: true, doStop: true,
-	doCont: true, doTerm: true, doLose: true, doRefound: true, doReplace: true, doPropose: true, doRollback: true, doHup: true, doExpect: true,
-	doRegister: true, doCrowd: true, doList: true, doForget: true, doCopy: true, doRestore: true, doDisk: true, doAccept: true, doAway: true, doBack: true}
+var stepNames = map[string]bool{doCut: true, doMend: true, doDelay: true, doThrottle: true, doReset: true, doKill: true, doStart: true, doStop: true,
+	doCont: true, doTerm: true, doLoseDisk: true, doRebootstrap: true, doReplace: true, doPropose: true, doRollback: true, doHup: true, doExpect: true,
+	doRegistry: true, doSurge: true, doListOrder: true, doLoseLedger: true, doCopyLedger: true, doRestoreLedger: true, doLedgerDisk: true, doAcceptLedger: true, doRemoveDisk: true, doReturnDisk: true}
 
 // Parse reads a script and checks it.
 func Parse(text []byte) (Script, error) {
@@ -116,17 +116,17 @@
 }
 
 //go:embed scripts/*.toml
-var named embed.FS
+var scriptFiles embed.FS
 
 // Named gives the scripts of the hard cases.
 func NamedScripts() ([]Script, error) {
-	files, err := fs.Glob(named, "scripts/*.toml")
+	files, err := fs.Glob(scriptFiles, "scripts/*.toml")
 	if err != nil {
 		return nil, err
 	}
 	var all []Script
 	for _, file := range files {
-		text, err := named.ReadFile(file)
+		text, err := scriptFiles.ReadFile(file)
 		if err != nil {
 			return nil, err
 		}
@@ -182,7 +182,7 @@
 		if err != nil {
 			return fmt.Errorf("script %s: step %d: %w", s.Name, i, err)
 		}
-		if !known[p.Do] {
+		if !stepNames[p.Do] {
 			return fmt.Errorf("script %s: step %d: %q is not known", s.Name, i, p.Do)
 		}
 	}
@@ -198,7 +198,7 @@
 	return b.String()
 }
 
-func length(text string) time.Duration {
+func duration(text string) time.Duration {
 	d, _ := time.ParseDuration(text) // check has seen to it
 	return d
 }
