--- a/internal/proving/cold_load.go
+++ b/internal/proving/cold_load.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// Cold is a replica that started while a trial ran.
+// ColdReplica is a replica that started during a trial.
 type ColdReplica struct {
 	Replica   string
 	Kind      string
-	StartedAt time.Duration // of its start
+	StartedAt time.Duration // when it started
 }
 
-// The rule on cold replicas, as version 1 of a trial's settings states it. Within any span of fallTime, all dispatchers together
-// send a replica less than fallMultiple times what it can do then: at first coldFrom of its capacity, all of it after rampTime.
+// The slow-start rule, as version 1 of a trial's settings states it. Within any span of fallTime,
+// all dispatchers together send a replica less than fallMultiple times its capacity at that time.
+// The capacity rises from coldFrom of the full capacity at the start to all of it after rampTime.
 const (
 	coldFrom     = 0.2
 	fallMultiple = 1.5
@@ -23,11 +24,12 @@
 	rampTime     = 6 * time.Second
 )
 
-// Coldest is the most that a cold replica was sent in a span, of what the rule allows, and when.
+// ColdLoad is the highest load that a cold replica got in a span: its ratio to what the rule
+// allows, and when it occurred.
 type ColdLoad struct {
 	Ratio   float64
 	Replica string
-	Age     time.Duration // since its start
+	Age     time.Duration // time since the replica started
 }
 
 func (c ColdLoad) String() string {
@@ -37,13 +39,16 @@
 	return fmt.Sprintf("%.2f (%s, %v old)", c.Ratio, c.Replica, c.Age.Round(100*time.Millisecond))
 }
 
-// coldLeast is the capacity, in sends a span, below which nothing is judged: a single send could be too many.
+// minColdCapacity is the capacity, in attempts per span, below which no load is judged: a single
+// attempt could exceed the limit.
 const minColdCapacity = 10
 
-// judgeCold finds spans in which a cold replica was sent too much, by the sum of all dispatchers. Replicas here have no capacity of
-// their own; what others of their kind bore counts as it: the mean of warm ones in the same span, or of all in the best span before
-// the start, whichever is more. The rule itself has a little slack for chance: here two deviations of as many sends. It gives the
-// most that was sent.
+// checkColdLoad reports spans in which all dispatchers together sent a cold replica more than the
+// slow-start rule allows. Replicas in a trial have no set capacity, so the load of others of their
+// kind is taken for it: the mean of the warm ones in the same span, or the mean of all in the
+// busiest span before the start, whichever is higher. The rule has a margin for random variation:
+// here two standard deviations of that number of attempts. The result is the highest load that was
+// found.
 func (r *Record) checkColdLoad(report func(rule, form string, args ...any)) (most ColdLoad) {
 	sends := r.sendTimes()
 	coldReplicas := map[string]ColdReplica{}
@@ -54,7 +59,7 @@
 		before := peakLoadBefore(sends, c)
 		for _, t := range sends[replica] {
 			if t < c.StartedAt || t+fallTime > c.StartedAt+rampTime {
-				continue // warm before the span ends, or another life
+				continue // sent before this start, or the replica is warm before the span ends
 			}
 			capacity := max(meanWarmLoad(sends, coldReplicas, c.Kind, t), before)
 			if capacity < minColdCapacity {
@@ -68,7 +73,7 @@
 				most = ColdLoad{ratio, replica, t - c.StartedAt}
 			}
 			if float64(sent) > allowed {
-				report("cold", "%s was sent %d from %v after its start on, allowed within %v is %.0f", replica, sent, t-c.StartedAt, fallTime, allowed)
+				report("cold", "%s was sent %d attempts in the span that begins %v after its start; the limit for %v is %.0f", replica, sent, t-c.StartedAt, fallTime, allowed)
 				break
 			}
 		}
@@ -76,7 +81,7 @@
 	return most
 }
 
-// sends gives the times of sends by replica, in order.
+// sendTimes returns the arrival times of attempts by replica, in order.
 func (r *Record) sendTimes() map[string][]time.Duration {
 	byReplica := map[string][]time.Duration{}
 	for _, a := range r.Actions {
@@ -90,7 +95,8 @@
 	return byReplica
 }
 
-// borneBeside gives what a warm replica of a kind took in a span that begins at a time, on average.
+// meanWarmLoad returns the mean number of attempts that the warm replicas of a kind got in the span
+// that begins at from.
 func meanWarmLoad(sends map[string][]time.Duration, coldReplicas map[string]ColdReplica, kind string, from time.Duration) float64 {
 	sum, warm := 0, 0
 	for replica, times := range sends {
@@ -104,7 +110,8 @@
 	return float64(sum) / float64(max(warm, 1))
 }
 
-// borneBefore gives what a replica of a cold one's kind took in the best span before its start, on average.
+// peakLoadBefore returns the mean number of attempts for each replica of the same kind in the
+// busiest span before the cold replica's start.
 func peakLoadBefore(sends map[string][]time.Duration, c ColdReplica) (most float64) {
 	var sameKind [][]time.Duration
 	for replica, times := range sends {
@@ -122,7 +129,7 @@
 	return most
 }
 
-// span counts the times that fall into a span.
+// countInSpan counts the times within the span that begins at from.
 func countInSpan(sorted []time.Duration, from time.Duration) int {
 	begin, _ := slices.BinarySearch(sorted, from)
 	end, _ := slices.BinarySearch(sorted, from+fallTime)
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -21,24 +21,25 @@
 	"standpulley/logic"
 )
 
-// FaultEnv names a fault that is put into a dispatcher on purpose, to see whether the ground finds it. Only programs that
-// call PutIn hear of it; the real one does not.
+// FaultEnv is the environment variable that names a fault to inject into a dispatcher, to test
+// whether the harness detects it. Only programs that call InjectFault read it; the production
+// program does not.
 const FaultEnv = "STANDPULLEY_FAULT"
 
-// Faults are those that can be put in, each with what it does.
+// Faults are the faults that can be injected.
 var Faults = map[string]struct {
 	Description string
 	inject      func()
-	Harmless    bool // it must do no harm
+	Harmless    bool // the rules must hold in spite of it
 }{
-	"lease-from-reply": {Description: "a lease counts from when the renewal was answered, however late", inject: func() {
+	"lease-from-reply": {Description: "a lease begins when the answer to the renewal arrives, however late", inject: func() {
 		program.AgreementHooks.ExtraRenewTimeout = 3 * time.Second
 		program.AgreementHooks.RenewedAt = func(_, now time.Duration) time.Duration { return now }
 	}},
-	"lease-without-end": {Description: "a lease never ends", inject: func() {
+	"lease-without-end": {Description: "a lease never expires", inject: func() {
 		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Extend(1000*time.Hour, agree.TimingOf(time.Second)) }
 	}},
-	"no-wait": {Description: "a version is put in force without waiting for who may be acting", inject: func() {
+	"no-wait": {Description: "a version comes into force without waiting for members that may still act on the one before", inject: func() {
 		program.AgreementHooks.Leases = func(t *agree.LeaseTable) {
 			t.AllLeasesKnown = 0
 			for _, m := range t.Members {
@@ -46,48 +47,48 @@
 			}
 		}
 	}},
-	"turned-down-in-force": {Description: "a version that was turned down is put in force", inject: func() {
+	"turned-down-in-force": {Description: "a version that was turned down comes into force", inject: func() {
 		program.AgreementHooks.Entry = func(_ *agree.Record, e *agree.Entry) {
 			if e.TurnDown != nil {
 				*e = agree.Entry{Activate: &agree.Activate{Number: e.TurnDown.Number}}
 			}
 		}
 	}},
-	"number-again": {Description: "a number is given to another content", inject: func() {
+	"number-again": {Description: "a version number is reused for another content", inject: func() {
 		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
 			if e.Propose != nil && b.LastNumber > 1 && b.LastNumber%2 == 0 {
 				b.LastNumber--
 			}
 		}
 	}},
-	"no-check-at-send": {Description: "leave is not asked again before the first byte", inject: func() { skipLeaseCheck(checkSend) }},
-	"no-check-at-take": {Description: "leave is not asked where a request is taken", inject: func() { skipLeaseCheck(checkTake) }},
-	"unsure-leader":    {Description: "a leader grants leases without asking whether it still leads", inject: func() { program.AgreementHooks.SkipLeaderCheck = true }},
-	"old-version-renewed": {Description: "a lease on the version before is renewed by what is granted for the one in force", inject: func() {
+	"no-check-at-send": {Description: "the lease is not checked again before the first byte of an attempt", inject: func() { skipLeaseCheck(checkSend) }},
+	"no-check-at-take": {Description: "the lease is not checked when a request is accepted", inject: func() { skipLeaseCheck(checkTake) }},
+	"unsure-leader":    {Description: "a leader grants leases without confirming that it still leads", inject: func() { program.AgreementHooks.SkipLeaderCheck = true }},
+	"old-version-renewed": {Description: "a lease on the previous version is renewed by a grant for the one in force", inject: func() {
 		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
-	"entries-unwritten": {Description: "entries are acknowledged and not written", inject: func() {
+	"entries-unwritten": {Description: "log entries are acknowledged but not written", inject: func() {
 		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyDisk{Log: l, loseEntries: true} }
 	}},
-	"vote-unwritten": {Description: "votes and terms are given and not written", inject: func() {
+	"vote-unwritten": {Description: "votes and terms are sent but not written", inject: func() {
 		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyDisk{Log: l} }
 	}},
 	"wall-clock-back": {Description: "the wall clock is an hour behind", inject: func() {
 		program.AgreementHooks.WallClock = func() time.Time { return time.Now().Add(-time.Hour) }
 	}, Harmless: true},
-	"recovery-known-tenfold": {Description: "what replicas bore is taken for ten times as much", inject: func() {
+	"recovery-known-tenfold": {Description: "the known capacity of replicas is taken for ten times as much", inject: func() {
 		program.RecoveryHooks.OverrideKnown = func(k recovery.WarmRates) recovery.WarmRates { return scaled(k, 10) }
 		program.RecoveryHooks.OverrideRate = func(x float64) float64 { return 10 * x }
 	}},
-	"recovery-known-of-all": {Description: "each dispatcher takes what replicas bear of all for its own part, and lets all in", inject: func() {
+	"recovery-known-of-all": {Description: "each dispatcher takes the capacity of replicas for all dispatchers as its own share, and admits all requests", inject: func() {
 		program.RecoveryHooks.OverrideKnown = func(k recovery.WarmRates) recovery.WarmRates { return scaled(k, 5) }
 		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}},
-	"recovery-old-list": {Description: "a list from before the loss of power says which replicas are warm", inject: func() { program.RecoveryHooks.TrustInitialList = true }},
-	"recovery-no-ramp": {Description: "all are let in at once: the cold budget alone must keep the rule", inject: func() {
+	"recovery-old-list": {Description: "a list from before the power loss decides which replicas are warm", inject: func() { program.RecoveryHooks.TrustInitialList = true }},
+	"recovery-no-ramp": {Description: "all requests are admitted at once: the cold budget alone must keep the rule", inject: func() {
 		program.RecoveryHooks.OverrideRate = func(float64) float64 { return 1e6 }
 	}, Harmless: true},
-	"recovery-liar": {Description: "o1 says that replicas bear a thousand times as much: the median must keep the rule", inject: func() {
+	"recovery-liar": {Description: "o1 reports a thousand times the capacity of replicas: the median must keep the rule", inject: func() {
 		program.RecoveryHooks.OverrideReported = func(name string, k recovery.WarmRates) recovery.WarmRates {
 			if name == "o1" {
 				return recovery.WarmRates{"reader": 1e4, "writer": 1e4}
@@ -95,15 +96,15 @@
 			return k
 		}
 	}, Harmless: true},
-	"recovery-early-instructions": {Description: "instructions are let in before it is known what may have run: the ledger must refuse them", inject: func() {
+	"recovery-early-instructions": {Description: "instructions are admitted before it is known which ones may have run: the ledger must refuse them", inject: func() {
 		program.RecoveryHooks.OverrideManner = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
 	}, Harmless: true},
-	"recovery-refound-forgets-acts": {Description: "a new cluster leaves out what dispatchers acted on and its log lacks", inject: func() {
+	"recovery-refound-forgets-acts": {Description: "a new cluster omits versions that dispatchers acted on and that its log lacks", inject: func() {
 		program.AgreementHooks.Rebootstrap = func(before, next *agree.Record) {
 			*next, _ = before.Rebootstrap(next.Cluster, next.RequiredSeats, next.Seats[0], nil, "fault")
 		}
 	}},
-	"recovery-refound-forgets-orders": {Description: "a new cluster leaves out the orders in force", inject: func() {
+	"recovery-refound-forgets-orders": {Description: "a new cluster omits the operators' orders in force", inject: func() {
 		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
@@ -112,44 +113,44 @@
 			}
 		}
 	}},
-	"recovery-refound-numbers-again": {Description: "a new cluster begins its numbers anew", inject: func() {
+	"recovery-refound-numbers-again": {Description: "a new cluster restarts its version numbers", inject: func() {
 		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) { next.LastNumber = 1 }
 	}},
-	"recovery-refound-old-version": {Description: "a new cluster goes back to version 1", inject: func() {
+	"recovery-refound-old-version": {Description: "a new cluster reverts to version 1", inject: func() {
 		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
 			next.InForce().State = agree.Superseded
 			next.InForceNumber, next.Versions[0].State = 1, agree.InForce
 		}
 	}},
-	"list-own-drain-ignored": {Description: "a drain that its own register tells does not count for a dispatcher", inject: func() {
+	"list-own-drain-ignored": {Description: "a dispatcher ignores a drain that its own registry agent reports", inject: func() {
 		program.ListHooks.OverrideMerge = func(agreed membership.List, _ membership.OwnList, _ bool) map[string]membership.Entry {
 			return membership.Effective(agreed, membership.OwnList{}, true)
 		}
 	}},
-	"list-looser-at-once": {Description: "what its own register names counts before it is agreed on", inject: func() {
+	"list-looser-at-once": {Description: "a dispatcher uses replicas of its own registry agent before they are in the agreed list", inject: func() {
 		program.ListHooks.OverrideMerge = func(agreed membership.List, own membership.OwnList, named bool) map[string]membership.Entry {
 			all := membership.Effective(agreed, own, named)
 			maps.Copy(all, own.Entries)
 			return all
 		}
 	}},
-	"list-ignored":        {Description: "agreed lists after the first are not acted on", inject: func() { program.ListHooks.IgnoreAgreed = true }},
-	"list-reader-forgets": {Description: "who stops reading forgets drains that nobody else has heard of", inject: func() { program.ListHooks.ForgetOnStop = true }},
-	"list-back-counts": {Description: "a register that went back counts like any other", inject: func() {
+	"list-ignored":        {Description: "agreed lists after the first are ignored", inject: func() { program.ListHooks.IgnoreAgreed = true }},
+	"list-reader-forgets": {Description: "a dispatcher that stops reading the registry forgets drains that no other knows of", inject: func() { program.ListHooks.ForgetOnStop = true }},
+	"list-back-counts": {Description: "a registry whose version went back is accepted", inject: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.AllowRollback = true }
 	}},
-	"list-cold-unknown": {Description: "when a replica started is lost on the way into the core", inject: func() {
+	"list-cold-unknown": {Description: "the start time of a replica does not reach the core", inject: func() {
 		program.ListHooks.MutateEntry = func(e *membership.Entry) { e.StartedMS = 0 }
 	}},
-	"list-late": {Description: "agreed lists are acted on seconds later, and the lease goes on", inject: func() { program.ListHooks.ApplyDelay = 4 * time.Second }},
-	"list-orders-free": {Description: "operators' orders are on record and not kept", inject: func() {
+	"list-late": {Description: "agreed lists are applied seconds late while the lease stays valid", inject: func() { program.ListHooks.ApplyDelay = 4 * time.Second }},
+	"list-orders-free": {Description: "operators' orders are recorded but not obeyed", inject: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.IgnoreOrders = true }
 	}},
-	"ledger-early": {Description: "an attempt leaves while its intent is being noted", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SendBeforeRecorded = true })},
+	"ledger-early": {Description: "an attempt is sent while its intent is still being recorded", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SendBeforeRecorded = true })},
 	"ledger-unsynced": {Description: "intents are acknowledged before they are on disk", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Durability = bookkeeping.DurabilityProcess
 	})},
-	"ledger-unchecked": {Description: "other attempts of the same key do not forbid an intent, and repeats do not ask", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unchecked": {Description: "an intent is granted in spite of other attempts with the same key, and repeats don't look for them", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
 		o.Hooks.Reply = func(r *ledger.Reply) {
 			if !r.Granted {
@@ -157,7 +158,7 @@
 			}
 		}
 	})},
-	"ledger-prefers-never": {Description: "an intent of which nothing more is known counts as one that never ran", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-prefers-never": {Description: "an intent without a known outcome counts as one that never ran", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
 		o.Hooks.Reply = func(r *ledger.Reply) {
 			r.Entry = r.Entry.Clone()
@@ -168,14 +169,14 @@
 			}
 		}
 	})},
-	"ledger-one-holder": {Description: "one holder is enough for an intent", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-one-holder": {Description: "one ledger holder is enough to record an intent", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Hooks.Tally = func(c *ledger.Tally) { c.Require(1) }
 	})},
-	"ledger-unfilled": {Description: "a new file, or an old copy, counts as one that knows all", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.AssumeComplete = true })},
-	"ledger-soon": {Description: "entries are forgotten after a tenth of a second", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unfilled": {Description: "a new ledger file, or an old copy, counts as complete", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.AssumeComplete = true })},
+	"ledger-soon": {Description: "ledger entries are removed after a tenth of a second", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Limits.Retention = 100 * time.Millisecond
 	})},
-	"ledger-unclear-is-yes": {Description: "where too few holders answer, an attempt is sent all the same", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unclear-is-yes": {Description: "an attempt is sent even though too few ledger holders answered", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Hooks.Verdict = func(_ ledger.Op, v ledger.Verdict) ledger.Verdict {
 			if v == ledger.Unclear {
 				return ledger.Yes
@@ -183,7 +184,7 @@
 			return v
 		}
 	})},
-	"ledger-lost-is-never": {Description: "a connection that broke counts as proof that nothing ran", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-lost-is-never": {Description: "a broken connection counts as proof that the attempt did not run", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		o.Hooks.Outcome = func(out logic.Outcome, o ledger.Outcome) ledger.Outcome {
 			if out != logic.Delivered {
 				return ledger.NeverRan
@@ -191,7 +192,7 @@
 			return o
 		}
 	})},
-	"ledger-own-keys": {Description: "dispatchers give one instruction different keys", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-own-keys": {Description: "dispatchers use different ledger keys for the same instruction", inject: ledgerOptions(func(o *bookkeeping.Options) {
 		name := o.Name
 		o.Hooks.Op = func(op *ledger.Op) {
 			for i := range name {
@@ -199,8 +200,8 @@
 			}
 		}
 	})},
-	"ledger-forgets": {Description: "what is on disk is not read at the start", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SkipLoad = true })},
-	"base-unchecked": {Description: "a proposal counts whatever version it was made from", inject: func() {
+	"ledger-forgets": {Description: "the ledger on disk is not read at the start", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SkipLoad = true })},
+	"base-unchecked": {Description: "a proposal is accepted whatever version it was made from", inject: func() {
 		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
 			if e.Propose != nil {
 				e.Propose.Base = b.InForceNumber
@@ -209,14 +210,17 @@
 	}},
 }
 
+// ledgerOptions returns a function that injects a fault by changing the options of the ledger.
 func ledgerOptions(change func(*bookkeeping.Options)) func() {
 	return func() { program.LedgerHooks.Options = change }
 }
 
-// PowerEnv has a dispatcher lose what was not synced when it is killed.
+// PowerLossEnv is the environment variable that makes a dispatcher lose unsynced writes when it is
+// killed. Its value is a seed.
 const PowerLossEnv = "STANDPULLEY_POWER_LOSS"
 
-// PutIn puts in the fault that the environment names, if any, and the disk that loses power.
+// InjectFault injects the fault that the environment names, if any, and the simulated disk that
+// loses unsynced writes.
 func InjectFault() {
 	if seed, err := strconv.ParseUint(os.Getenv(PowerLossEnv), 10, 64); err == nil {
 		boltfile.TestDisk = &boltfile.SimulatedDisk{Seed: seed}
@@ -226,12 +230,13 @@
 	}
 }
 
-// wrapped is a licence that leaves out one question.
+// uncheckedLease is a lease that skips one of its checks.
 type uncheckedLease struct {
 	dispatch.Lease
 	skips string
 }
 
+// scaled returns the capacities multiplied by x.
 func scaled(k recovery.WarmRates, x float64) recovery.WarmRates {
 	all := recovery.WarmRates{}
 	for name, y := range k {
@@ -245,6 +250,7 @@
 	checkTake = "take"
 )
 
+// skipLeaseCheck makes all leases of the program skip a check.
 func skipLeaseCheck(skips string) {
 	program.WrapLease = func(l dispatch.Lease) dispatch.Lease { return &uncheckedLease{l, skips} }
 }
@@ -263,15 +269,16 @@
 	return w.Lease.MaySend(once, again)
 }
 
-// forgetful is a disk that loses some of what it is told to keep when the process ends.
+// lossyDisk is the disk of a log that loses entries or hard states when the process ends: it
+// acknowledges them but keeps them in memory only.
 type lossyDisk struct {
 	*raftlog.Log
-	loseEntries bool // else hard states
+	loseEntries bool // lose entries; otherwise hard states
 }
 
 func (f *lossyDisk) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
 	if f.loseEntries {
-		if hard != nil { // what is on disk must go together, or the loss would be noticed at the start
+		if hard != nil { // entries and hard state on disk must stay consistent, or the loss would be detected at the start
 			if err := f.Log.Storage().SetHardState(hard); err != nil {
 				return err
 			}
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -20,7 +20,7 @@
 	"standpulley/internal/standin"
 )
 
-// Program is how a dispatcher is started.
+// Program is the program that runs a dispatcher, and additions to its environment.
 type Program struct {
 	Path string
 	Env  []string
@@ -30,16 +30,16 @@
 type Dispatcher struct {
 	Name        string
 	Listen      string
-	Peers       string // where it listens for others, if it votes
+	Peers       string // address for other dispatchers, if it is a voter
 	dir         appliance.Dir
 	config      map[string]any
 	cmd         *exec.Cmd
 	exited      chan struct{}
 	stopped     atomic.Bool
-	terminating atomic.Bool // it was sent SIGTERM
+	terminating atomic.Bool // SIGTERM was sent
 }
 
-// Fleet is all dispatchers with the links between them.
+// Fleet is all dispatchers of a trial and the links between them.
 type Fleet struct {
 	program     Program
 	folder      string
@@ -47,17 +47,17 @@
 	voters      []string
 	relays      map[[2]string]*Relay // from a dispatcher to a voter
 	replicas    []standin.Entry
-	registry    *registry // nil where lists are not agreed on
+	registry    *registry // nil where dispatchers don't agree on lists
 	start       time.Time
 
 	mu        sync.Mutex
 	downtimes map[string][][2]time.Duration
 }
 
-// Now is the machine's monotonic clock since the fleet was made.
+// Now returns the time since the fleet was made, by the machine's monotonic clock.
 func (f *Fleet) Now() time.Duration { return time.Since(f.start) }
 
-// settings are those of version 1.
+// initialSettings returns the settings of version 1.
 func initialSettings(dispatchers int) map[string]any {
 	class := func(name, repeat string, worth float64) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "goal_time_us": 1500000, "deadline_us": 4000000, "credit": worth, "late_worth": 0.3}
@@ -71,7 +71,8 @@
 	}
 }
 
-// freePorts gives loopback addresses on which nothing listens, below those that the system gives to connections.
+// freePorts returns loopback addresses on which nothing listens. Their ports lie below the range
+// from which the system assigns ports to outgoing connections.
 func freePorts(n int) ([]string, error) {
 	var addrs []string
 	reservedPorts.Lock()
@@ -93,7 +94,8 @@
 	return addrs, nil
 }
 
-// given are the addresses of all fleets of this process: one of a dispatcher that is dead for a while is not free.
+// reservedPorts are the addresses of all fleets of this process: the address of a dispatcher that
+// is down for a while must not be assigned again.
 var reservedPorts = struct {
 	sync.Mutex
 	addrs map[string]bool
@@ -101,7 +103,8 @@
 
 const minPort, maxPort = 10000, 32000
 
-// NewFleet writes the files of a script's dispatchers and lays the links. Nothing runs yet.
+// NewFleet writes the files of a script's dispatchers and sets up the links. It starts no
+// dispatcher.
 func NewFleet(s Script, program Program, folder string, replicas, spare []standin.Entry) (*Fleet, error) {
 	f := &Fleet{program: program, folder: folder, relays: map[[2]string]*Relay{}, replicas: replicas, start: time.Now(), downtimes: map[string][][2]time.Duration{}}
 	total := s.Voters + s.Others
@@ -174,6 +177,7 @@
 	return f, nil
 }
 
+// writeConfig writes the active configuration into the dispatcher's state folder.
 func (d *Dispatcher) writeConfig() error {
 	text, err := jsoniter.Marshal(d.config)
 	if err != nil {
@@ -185,7 +189,7 @@
 	return os.WriteFile(filepath.Join(string(d.dir), "active.json"), text, 0o600)
 }
 
-// Run runs one command of the program on a dispatcher's folder.
+// Run runs one command of the program on a dispatcher's state folder and returns its output.
 func (f *Fleet) Run(d *Dispatcher, args ...string) (string, error) {
 	cmd := exec.Command(f.program.Path, append(args, "--state", string(d.dir))...)
 	cmd.Env = append(os.Environ(), f.program.Env...)
@@ -193,7 +197,7 @@
 	return string(text), err
 }
 
-// logOf is the file of a dispatcher's log.
+// logPath returns the path of a dispatcher's log file.
 func (f *Fleet) logPath(d *Dispatcher) string { return filepath.Join(f.folder, d.Name+".log") }
 
 // Start starts a dispatcher.
@@ -212,7 +216,7 @@
 	d.stopped.Store(false)
 	d.terminating.Store(false)
 	go func(cmd *exec.Cmd, ended chan struct{}) {
-		_ = cmd.Wait() // how it ended is judged by who ended it
+		_ = cmd.Wait() // whoever ended the process judges how it exited
 		close(ended)
 		_ = log.Close()
 	}(d.cmd, d.exited)
@@ -220,7 +224,8 @@
 	return nil
 }
 
-// comes notes that a dispatcher is back once it takes connections: its start takes as long as its disk does.
+// waitUp marks a dispatcher as up once it accepts connections. How long it takes to start depends
+// on its disk.
 func (f *Fleet) waitUp(d *Dispatcher, ended chan struct{}) {
 	for {
 		select {
@@ -229,7 +234,7 @@
 		default:
 		}
 		if c, err := net.Dial("tcp", d.Listen); err == nil {
-			_ = c.Close() // nothing was said on it
+			_ = c.Close() // nothing was sent on it
 			f.markUp(d)
 			return
 		}
@@ -237,7 +242,7 @@
 	}
 }
 
-// Running tells whether the process is there.
+// Running reports whether the process is running.
 func (d *Dispatcher) Running() bool {
 	if d.cmd == nil {
 		return false
@@ -250,13 +255,15 @@
 	}
 }
 
+// markDown records that a dispatcher is down from now on.
 func (f *Fleet) markDown(d *Dispatcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.downtimes[d.Name] = append(f.downtimes[d.Name], [2]time.Duration{f.Now(), 0})
 }
 
-// up notes that a dispatcher is back; requests may still meet its start for a while.
+// markUp records that a dispatcher is up again. Requests may still be affected by its start for 3
+// s.
 func (f *Fleet) markUp(d *Dispatcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -265,7 +272,7 @@
 	}
 }
 
-// Signal sends a signal to a dispatcher that runs.
+// Signal sends a signal to a dispatcher if it is running.
 func (f *Fleet) Signal(d *Dispatcher, sig syscall.Signal) {
 	if !d.Running() {
 		return
@@ -280,13 +287,13 @@
 		d.stopped.Store(sig == syscall.SIGSTOP)
 		d.terminating.Store(sig == syscall.SIGTERM)
 	}
-	_ = d.cmd.Process.Signal(sig) // it may end this moment
+	_ = d.cmd.Process.Signal(sig) // the process may have exited already
 	if sig == syscall.SIGKILL {
 		<-d.exited
 	}
 }
 
-// Close ends everything that the fleet started.
+// Close kills all dispatchers and closes the links and registry agents.
 func (f *Fleet) Close() {
 	for _, d := range f.Dispatchers {
 		if d.Running() {
@@ -302,14 +309,15 @@
 	}
 }
 
-// Ask sends a command about settings to a dispatcher, as the command line does.
+// SendCommand sends a settings command to a dispatcher, as the command line does.
 func (f *Fleet) SendCommand(d *Dispatcher, c agreement.Command) (agreement.Reply, error) {
 	var r agreement.Reply
 	err := d.dir.Settings(c, &r)
 	return r, err
 }
 
-// named gives the dispatchers of a word: a name, "leader" or "*".
+// resolve returns the dispatchers that a script means by a name: one dispatcher, "leader", "reader"
+// or "*".
 func (f *Fleet) resolve(name string) []*Dispatcher {
 	var matches []*Dispatcher
 	for _, d := range f.Dispatchers {
@@ -336,7 +344,8 @@
 	return nil
 }
 
-// reader gives one of those who read the register for all, waiting for there to be one.
+// currentReader returns one of the dispatchers that read the registry for all. It waits until there
+// is one.
 func (f *Fleet) currentReader() []*Dispatcher {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, d := range f.Dispatchers {
@@ -351,7 +360,8 @@
 	return nil
 }
 
-// between calls set for each direction of a link by which what from sends gets to to.
+// eachRelay calls set for each relay and direction that carries what the dispatchers in from send
+// to those in to.
 func (f *Fleet) eachRelay(from, to []*Dispatcher, set func(r *Relay, dir int)) {
 	for _, a := range from {
 		for _, b := range to {
--- a/internal/proving/generate.go
+++ b/internal/proving/generate.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Shape is what scripts are drawn for.
+// GeneratorOptions says what kind of scripts Generate makes.
 type GeneratorOptions struct {
 	Voters, Others  int
 	Within          time.Duration
-	Lists           bool   // the register has troubles of its own
-	Ledger          string // clients repeat instructions, and power goes
-	OrderedRecovery bool   // all lose power together, and come back in stages and in any order
+	Lists           bool   // the registry changes and has faults of its own
+	Ledger          string // as Script.Ledger: clients repeat instructions, and power is lost
+	OrderedRecovery bool   // all dispatchers lose power together and restart in any order, in stages
 }
 
-// Draw makes a script from a seed: some troubles, each with its end, and proposals among them.
+// Generate makes a script from a seed: some faults, each undone after a while, with proposals in
+// between.
 func Generate(seed uint64, shape GeneratorOptions) Script {
 	voters, others, within := shape.Voters, shape.Others, shape.Within
 	r := rand.New(rand.NewPCG(seed, 20))
@@ -51,7 +52,7 @@
 			add(d, Step{Do: doCut, Who: who, To: "*"})
 			add(d, Step{Do: doCut, Who: "*", To: who})
 			add(d+long, Step{Do: doMend, Who: "*", To: "*"})
-		case 1: // it hears and is not heard
+		case 1: // it receives but can't send
 			add(d, Step{Do: doCut, Who: who, To: "*"})
 			add(d+long, Step{Do: doMend, Who: "*", To: "*"})
 		case 2:
@@ -68,7 +69,7 @@
 			who = fmt.Sprintf("v%d", 1+r.IntN(voters))
 			add(d, Step{Do: doKill, Who: who})
 			add(d+long, Step{Do: doStart, Who: who})
-		case 5: // a majority
+		case 5: // a majority of the voters
 			for v := range voters/2 + 1 {
 				add(d, Step{Do: doKill, Who: fmt.Sprintf("v%d", v+1)})
 				add(d+long, Step{Do: doStart, Who: fmt.Sprintf("v%d", v+1)})
@@ -76,7 +77,7 @@
 		case 6:
 			add(d, Step{Do: doReset, Who: who, To: "*"})
 			add(d+long, Step{Do: doMend, Who: "*", To: "*"})
-		case 7: // a member's side is slow and the other is not
+		case 7: // one direction of a member's links is slow and the other is not
 			add(d, Step{Do: doDelay, Who: "*", To: who, Delay: at(span(0.1, 0.6))})
 			add(d+long, Step{Do: doMend, Who: "*", To: "*"})
 		}
@@ -87,7 +88,7 @@
 	for range 3 + r.IntN(4) {
 		st := Step{Do: doPropose, Who: anyDispatcher(), Key: "limits.try_limit", Value: fmt.Sprint(1 + r.IntN(6)), WantError: "?"}
 		if len(s.NeedClass) > 0 && r.IntN(3) == 0 {
-			st.Key, st.Value = "services.1.name", `"transfer"` // turned down, or in force while o1 has no lease
+			st.Key, st.Value = "services.1.name", `"transfer"` // o1 turns it down, or it comes into force while o1 has no lease
 			st.Who = fmt.Sprintf("v%d", 1+r.IntN(voters))
 		}
 		if r.IntN(6) == 0 {
@@ -114,8 +115,9 @@
 	return s
 }
 
-// drawReturn adds a loss of power of all, or of one site, after all were in service for long enough to know what replicas bear, and the
-// return of everything in any order with some trouble more. It gives how long the trial takes.
+// addPowerRecovery adds a power loss of all dispatchers or of one site. Before it, the dispatchers
+// serve long enough to learn the capacity of the replicas. Everything restarts in any order, with
+// one more fault. The result is the length of the trial.
 func (s *Script) addPowerRecovery(r *rand.Rand, add func(time.Duration, Step)) time.Duration {
 	sec := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*r.Float64()) * float64(time.Second))
@@ -142,11 +144,11 @@
 	if len(lost) == len(all) {
 		add(d+sec(0, 2), Step{Do: doRegistry, Who: "*", Value: "restart"})
 	}
-	if r.IntN(3) == 0 { // the register comes last
+	if r.IntN(3) == 0 { // the registry answers last
 		add(d, Step{Do: doRegistry, Who: "*", Value: "mute"})
 		add(d+sec(1, 5), Step{Do: doRegistry, Who: "*", Value: "unmute"})
 	}
-	if r.IntN(3) == 0 { // power goes again
+	if r.IntN(3) == 0 { // power is lost again
 		kill(d+sec(2.6, 5), 1)
 	}
 	switch from := d + sec(0.5, 4); r.IntN(5) {
@@ -173,8 +175,9 @@
 	return d + 11*time.Second
 }
 
-// drawPower adds losses of power everywhere or of some, a stall of a disk, and at most one ledger that is lost or put back as it was:
-// more than one at once is beyond what is promised.
+// addLedgerFaults adds power losses of all or of single dispatchers, a stall of a disk, and at most
+// one ledger that is lost or replaced by an older copy: the guarantees don't cover more than one
+// such ledger at once.
 func (s *Script) addLedgerFaults(r *rand.Rand, span func(from, to float64) time.Duration, add func(time.Duration, Step)) {
 	voter := func() string { return fmt.Sprintf("v%d", 1+r.IntN(s.Voters)) }
 	for range 1 + r.IntN(2) {
@@ -203,8 +206,9 @@
 	}
 }
 
-// drawRegister adds what the register does: drains, ends and newcomers, of which all or only one hear, and agents that fall
-// silent. Two writers and one reader stay in service throughout.
+// addRegistryChanges adds changes by the registry: drains, removals and new replicas, reported to
+// all dispatchers or to only one, and agents that stop answering. Two writers and one reader stay
+// in service throughout.
 func (s *Script) addRegistryChanges(r *rand.Rand, anyDispatcher func() string, span func(from, to float64) time.Duration, add func(time.Duration, Step)) {
 	who := func() string {
 		if r.IntN(3) == 0 {
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -23,25 +23,25 @@
 	"standpulley/internal/standin"
 )
 
-// Order is one instruction as its client means it. It is sent under a key, and again under the same key to other dispatchers until
-// the client knows its fate or gives up.
+// Instruction is one instruction as its client means it. It is sent under a key, and again under
+// the same key to other dispatchers until the client knows its outcome or gives up.
 type Instruction struct {
 	Name          string
 	Sends         int
-	Served        int // whole answers
-	MayHaveRun    int // 424: it may have run
-	Runs          int // as the writers counted
+	Served        int // complete answers
+	MayHaveRun    int // answers 424: it may have run
+	Runs          int // executions, counted by the writers
 	Fate          ledger.Status
-	ListedUnknown bool // among the unknown ones in the end
-	FateRead      bool // its fate could be asked for in the end
+	ListedUnknown bool // listed among the instructions of unknown fate at the end
+	FateRead      bool // Fate could be read at the end
 }
 
-// Orders sums them up.
+// InstructionCounts sums up the instructions of a trial.
 type InstructionCounts struct {
 	Sent, Served, MayHaveRun, GivenUp, RanTwice, Unknown int
 }
 
-// Add adds another trial's.
+// Add adds the counts of another trial.
 func (o *InstructionCounts) Add(x InstructionCounts) {
 	o.Sent, o.Served, o.MayHaveRun, o.GivenUp, o.RanTwice, o.Unknown = o.Sent+x.Sent, o.Served+x.Served, o.MayHaveRun+x.MayHaveRun, o.GivenUp+x.GivenUp, o.RanTwice+x.RanTwice, o.Unknown+x.Unknown
 }
@@ -51,7 +51,7 @@
 		o.GivenUp, o.RanTwice, o.Unknown)
 }
 
-// orders are those of a trial.
+// instructionSet is all instructions of a trial.
 type instructionSet struct {
 	fleet  *Fleet
 	mu     sync.Mutex
@@ -60,17 +60,17 @@
 }
 
 const (
-	ledgerOff      = "off" // of a script: clients repeat, and each dispatcher goes by itself
+	ledgerOff      = "off" // Script.Ledger: clients repeat instructions, but the dispatchers keep no common ledger
 	maxRepeats     = 8
-	maxRepeatDelay = 400 * time.Millisecond // at most
-	twinOneIn      = 5                      // of so many one is sent to two dispatchers in one instant
+	maxRepeatDelay = 400 * time.Millisecond // upper bound
+	twinOneIn      = 5                      // one in this many instructions is sent to two dispatchers at the same instant
 )
 
 func newInstructionSet(seed uint64, f *Fleet) *instructionSet {
 	return &instructionSet{fleet: f, rand: rand.New(rand.NewPCG(seed, 22)), byName: map[string]*Instruction{}}
 }
 
-// ran counts a run of an order at a writer.
+// countRun counts an execution of an instruction at a writer.
 func (o *instructionSet) countRun(x *standin.Exchange) {
 	name := string(x.Req.Body())
 	o.mu.Lock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// order sends an instruction and repeats it until its fate is known.
+// sendInstruction sends an instruction and repeats it until its outcome is known.
 func (t *traffic) instr(d *Dispatcher, n int) {
 	defer t.inFlight.Done()
 	o := t.instructions
@@ -111,6 +111,7 @@
 	}
 }
 
+// otherDispatcher returns a random dispatcher other than except.
 func (o *instructionSet) otherDispatcher(except *Dispatcher) *Dispatcher {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,7 +122,8 @@
 	}
 }
 
-// ordered sends it once, and tells whether its client knows enough.
+// trySendInstruction sends the instruction once, and reports whether its client knows enough to
+// stop.
 func (t *traffic) trySendInstruction(instr *Instruction, d *Dispatcher) bool {
 	o := t.instructions
 	o.mu.Lock()
@@ -145,7 +147,8 @@
 	return false
 }
 
-// settle asks, once all is well again, what the dispatchers say of each order whose client does not know its fate.
+// collectFates asks the dispatchers, once all faults are undone, for the fate of each instruction
+// without an answer. If off is set there is no ledger to ask.
 func (o *instructionSet) collectFates(p *play, off bool) []Instruction {
 	listed := map[string]bool{}
 	var err error
@@ -166,7 +169,7 @@
 		}
 	}
 	if err != nil && !off {
-		p.problemf("the unknown ones are not listed: %v", err)
+		p.problemf("the instructions of unknown fate can't be listed: %v", err)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -187,7 +190,8 @@
 	return all
 }
 
-// judgeOrders finds instructions that ran twice, and such that ran and are not known to have, or maybe to have.
+// checkInstructions reports instructions that ran twice, and ones that ran though the ledger rules
+// that out.
 func (r *Record) checkInstructions(report func(rule, form string, args ...any), j *Judgement) {
 	for _, o := range r.Instructions {
 		j.Instructions.Sent++
@@ -201,7 +205,7 @@
 		}
 		if o.Runs > 1 {
 			j.Instructions.RanTwice++
-			report("twice", "instruction %s ran %d times in %d sends", o.Name, o.Runs, o.Sends)
+			report("twice", "instruction %s ran %d times in %d transmissions", o.Name, o.Runs, o.Sends)
 		}
 		if !o.FateRead {
 			continue
@@ -209,16 +213,16 @@
 		if o.Fate == ledger.Unknown {
 			j.Instructions.Unknown++
 			if !o.ListedUnknown {
-				report("unknown", "instruction %s is unknown and not listed", o.Name)
+				report("unknown", "instruction %s is of unknown fate and not listed", o.Name)
 			}
 		}
 		if o.Runs > 0 && (o.Fate == ledger.NeverSent || o.Fate == ledger.NotRun) {
-			report("forgotten", "instruction %s ran, and the ledger says: %v", o.Name, o.Fate)
+			report("forgotten", "instruction %s ran, but the ledger says: %v", o.Name, o.Fate)
 		}
 	}
 }
 
-// disk carries out a step on a dispatcher's ledger.
+// applyLedgerStep runs a script step on a dispatcher's ledger file.
 func (f *Fleet) applyLedgerStep(s Step, d *Dispatcher) error {
 	path := ledgerlog.Path(string(d.dir))
 	copyPath := path + ".copy"
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -10,57 +10,58 @@
 	"standpulley/internal/agree"
 )
 
-// Act is what was seen from outside of one thing that a dispatcher did by the settings that it named. It was done between
-// From and To, by the machine's monotonic clock.
+// Action is one thing that a dispatcher did under a settings version, as a replica or a client
+// observed it. It happened between From and To by the machine's monotonic clock.
 type Action struct {
-	Dispatcher string // the dispatcher, "" where a replica can't tell
-	Kind       string // take, send
-	ID         string // of the request
-	Replica    string // the replica, for a send
-	VersionTag string // version and fingerprint
+	Dispatcher string // empty where a replica observed it: the request doesn't name the dispatcher
+	Kind       string // "take" (a request was accepted) or "send" (an attempt was sent)
+	ID         string // request ID
+	Replica    string // the replica that an attempt was sent to
+	VersionTag string // settings version and its fingerprint, as in the X-Settings header
 	From, To   time.Duration
 }
 
-// Asked is one request as its client saw it.
+// ClientRequest is one request as its client saw it.
 type ClientRequest struct {
 	Dispatcher string
 	ID         string
 	Customer   string
-	AtMostOnce bool // must not run twice
+	AtMostOnce bool // the request must not be executed more than once
 	Sent, Done time.Duration
-	Status     int   // 0: the connection ended without an answer ...
-	Err        error // ... for this reason, as the client saw it
+	// Status is 0 where the connection ended without an answer; Err then holds the client's error.
+	Status     int
+	Err        error
 	VersionTag string
 	Complete   bool
-	ResendOf   string // id of a sending before it, whose connection had ended before the dispatcher read it
+	ResendOf   string // ID of the first transmission, where the connection had ended before the dispatcher read it
 }
 
-// Version is what the voters say of one in the end.
+// Version is what the voters report about one settings version at the end of a trial.
 type Version struct {
 	Number         uint64
 	Fingerprint    string
 	State          agree.State
 	Keys           map[string]string
-	AcknowledgedAt time.Duration // when an operator was told that it is in force; 0: never
+	AcknowledgedAt time.Duration // when an operator was first told that it is in force; 0 if never
 }
 
-// Record is all that was seen.
+// Record is everything that was observed in a trial.
 type Record struct {
 	Within       time.Duration
 	Alone        string
 	Actions      []Action
 	Requests     []ClientRequest
-	ReadIDs      map[string]bool // ids that dispatchers took, by their logs
-	Runs         map[string]int  // of writers, by request
+	ReadIDs      map[string]bool // for each first transmission that was repeated: whether a dispatcher's log shows that it accepted the request
+	Runs         map[string]int  // executions at writers, by request ID
 	Drains       []*Drain
 	ColdReplicas []ColdReplica
 	Instructions []Instruction
 	Versions     []Version
-	Downtimes    map[string][][2]time.Duration // when a dispatcher was killed, stopped or sent away, and until when it was back
-	Problems     []string                      // what the play itself found wrong
+	Downtimes    map[string][][2]time.Duration // when each dispatcher was killed, stopped or sent SIGTERM, and until when requests may have been affected; an end of 0 means that it did not come back
+	Problems     []string                      // failures that the script runner itself found
 }
 
-// Finding is one breach.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule string
 	Text string
@@ -68,25 +69,26 @@
 
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
-// Judgement is what the judge finds, and how near it came to the bound.
+// Judgement holds the findings of the judge and summary figures of a trial.
 type Judgement struct {
 	Findings             []Finding
-	LongestContradiction time.Duration // that two contradicting versions were acted on, as far as it shows
+	LongestContradiction time.Duration // the longest time for which two contradicting versions were acted on, as far as the record shows
 	Actions              int
 	Served               int
 	Refused              int
 	Failed               int
-	Unanswered           int               // requests whose dispatcher went down
-	Instructions         InstructionCounts // instructions that clients repeat
-	PeakColdLoad         float64           // the most that a cold replica was sent in a span, of what the rule allows
+	Unanswered           int               // requests without an answer whose dispatcher was down meanwhile
+	Instructions         InstructionCounts // instructions that clients repeat under the same key
+	PeakColdLoad         float64           // highest load of a cold replica in a span, as a ratio of what the rule allows
 }
 
-// answerWithin bounds how long a client waits for an answer of a dispatcher that is up, beyond any deadline. It is no
-// safety rule, so it is generous.
+// maxAnswerTime bounds how long a client waits for an answer from a dispatcher that is up, beyond
+// any deadline. It is not a safety rule, so it is generous.
 const maxAnswerTime = 20 * time.Second
 
-// Judge holds a record against the promise. Versions that contradict each other may both be acted on only for Within after
-// the later one was decided; that was no later than it was first seen in force.
+// Judge checks a record against the guarantees of the cluster. Two versions that contradict each
+// other may both be acted on only for Within after the later one was decided. The time at which it
+// was first seen in force is used instead, which can't be earlier.
 func Judge(r Record) Judgement {
 	j := Judgement{}
 	report := func(rule, form string, args ...any) {
@@ -107,7 +109,7 @@
 			actions = append(actions, Action{Dispatcher: a.Dispatcher, Kind: "take", ID: a.ID, VersionTag: a.VersionTag, From: a.Sent, To: a.Done})
 		}
 	}
-	inForceBy := map[uint64]time.Duration{} // by when a version was surely in force
+	inForceBy := map[uint64]time.Duration{} // a time by which each version was certainly in force
 	fingerprints := map[uint64]string{}
 	for _, a := range actions {
 		n, fingerprint, err := parseVersionTag(a.VersionTag)
@@ -116,7 +118,7 @@
 			continue
 		}
 		if p, ok := fingerprints[n]; ok && p != fingerprint {
-			report("one content", "version %d stands for %s and for %s", n, p, fingerprint)
+			report("one content", "version %d has two fingerprints, %s and %s", n, p, fingerprint)
 		}
 		fingerprints[n] = fingerprint
 		if t, ok := inForceBy[n]; !ok || a.To < t {
@@ -125,11 +127,11 @@
 		v := versions[n]
 		switch {
 		case v == nil:
-			report("known", "%s acted on version %d, which the voters do not know", a.Dispatcher, n)
+			report("known", "%s acted on version %d, which the voters don't know", a.Dispatcher, n)
 		case v.State == agree.TurnedDown || v.State == agree.Pending:
 			report("turned down", "%s acted on version %d, which is %s", a.Dispatcher, n, v.State)
 		case !strings.HasPrefix(v.Fingerprint, fingerprint):
-			report("one content", "%s acted on version %d as %s, and the voters hold %s", a.Dispatcher, n, fingerprint, v.Fingerprint)
+			report("one content", "%s acted on version %d as %s, but the voters have it as %s", a.Dispatcher, n, fingerprint, v.Fingerprint)
 		}
 	}
 	for _, v := range r.Versions {
@@ -144,7 +146,7 @@
 	}
 	exempt := map[string]bool{}
 	for _, a := range r.Requests {
-		exempt[a.ID] = r.Alone == "safe" && !a.AtMostOnce // what a dispatcher goes on with that has lost contact
+		exempt[a.ID] = r.Alone == "safe" && !a.AtMostOnce // requests that a dispatcher in the "safe" mode may continue after it lost contact
 	}
 	contradictions := map[[2]uint64]bool{}
 	contradicts := func(a, b uint64) bool {
@@ -157,8 +159,9 @@
 		}
 		return is
 	}
-	// restored tells whether a still later version, in force by a time, has brought back what one version held and another did not: a
-	// dispatcher whose newest version brought it down twice serves by the last good one, if that contradicts nothing in force.
+	// restored reports whether a version after later, in force by the given time, no longer
+	// contradicts version n. A dispatcher that crashed twice after it activated its newest version
+	// serves under the last good one, if that contradicts nothing in force.
 	restored := func(n, later uint64, by time.Duration) bool {
 		for w, t := range inForceBy {
 			if w > later && t <= by && !contradicts(n, w) {
@@ -178,7 +181,7 @@
 			}
 			j.LongestContradiction = max(j.LongestContradiction, a.From-t)
 			if a.From > t+r.Within {
-				report("within", "%s: %s of %s by version %d at %v, and version %d was in force at %v: %v later, allowed is %v", a.Dispatcher, a.Kind, a.ID, n,
+				report("within", "%s: %s of %s under version %d at %v, but version %d was in force at %v: %v late, the limit is %v", a.Dispatcher, a.Kind, a.ID, n,
 					a.From, later, t, a.From-t, r.Within)
 			}
 		}
@@ -189,7 +192,7 @@
 	j.Actions = len(actions)
 	for _, a := range r.Requests {
 		if a.ResendOf != "" && r.ReadIDs[a.ResendOf] && !r.wasDown(a) {
-			report("lost", "%s at %s was taken, and its connection ended without an answer", a.ResendOf, a.Dispatcher)
+			report("lost", "%s at %s was accepted, but its connection ended without an answer", a.ResendOf, a.Dispatcher)
 		}
 		switch {
 		case a.Status == 200 && a.Complete:
@@ -201,22 +204,23 @@
 		case r.wasDown(a):
 			j.Unanswered++
 		default:
-			report("lost", "%s at %s, sent at %v, ended at %v without an answer: %v", a.ID, a.Dispatcher, a.Sent, a.Done, a.Err)
+			report("lost", "%s at %s, sent at %v, got no answer until the connection ended at %v: %v", a.ID, a.Dispatcher, a.Sent, a.Done, a.Err)
 		}
 		if a.Status == 200 && !a.Complete && !r.wasDown(a) {
-			report("lost", "%s at %s: a stream was cut", a.ID, a.Dispatcher)
+			report("lost", "%s at %s: the answer was cut off", a.ID, a.Dispatcher)
 		}
 		if a.Done-a.Sent > maxAnswerTime && !r.wasDown(a) {
-			report("lost", "%s at %s took %v", a.ID, a.Dispatcher, a.Done-a.Sent)
+			report("lost", "%s at %s: the answer took %v", a.ID, a.Dispatcher, a.Done-a.Sent)
 		}
 		if a.AtMostOnce && r.Runs[a.ID] > 1 {
-			report("twice", "%s ran %d times", a.ID, r.Runs[a.ID])
+			report("twice", "%s was executed %d times", a.ID, r.Runs[a.ID])
 		}
 	}
 	return j
 }
 
-// down tells whether a request's dispatcher was not there at some time while it was open.
+// wasDown reports whether the dispatcher of a request was down at some time while the request was
+// open.
 func (r *Record) wasDown(a ClientRequest) bool {
 	for _, d := range r.Downtimes[a.Dispatcher] {
 		if a.Done >= d[0] && (d[1] == 0 || a.Sent <= d[1]) {
@@ -226,11 +230,12 @@
 	return false
 }
 
+// parseVersionTag splits a version tag into version number and fingerprint.
 func parseVersionTag(tag string) (uint64, string, error) {
 	number, fingerprint, ok := strings.Cut(tag, "-")
 	n, err := strconv.ParseUint(number, 10, 64)
 	if !ok || err != nil || n == 0 {
-		return 0, "", fmt.Errorf("%q is no version", tag)
+		return 0, "", fmt.Errorf("%q is not a version tag", tag)
 	}
 	return n, fingerprint, nil
 }
--- a/internal/proving/linearizable.go
+++ b/internal/proving/linearizable.go
@@ -8,8 +8,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Operation is one use of the record of versions as a register: show reads the number in force, propose moves it on from
-// the base to a new number, or fails. Unknown is that nobody learned whether it did.
+// Operation is one access to the settings record, seen as a register with one value. "show" reads
+// the version number in force; "propose" changes it from the base to a new number, or fails.
+// Unknown means that the client did not learn whether the proposal took effect.
 type Operation struct {
 	Kind         string
 	Dispatcher   string
@@ -18,8 +19,8 @@
 	Unknown      bool
 }
 
-// Linear tells whether a history is one that a single register could have had. A proposal whose fate is not known may
-// have taken effect at any time after its call, or never.
+// IsLinearizable reports whether a single register could have had this history. A proposal with an
+// unknown outcome may have taken effect at any time after its call, or never.
 func IsLinearizable(history []Operation) bool {
 	model := porcupine.Model{
 		Init: func() any { return uint64(1) },
@@ -29,7 +30,7 @@
 			case op.Kind == "show":
 				return now == op.Number, now
 			case op.Unknown:
-				return true, now // where it took effect its number is not known: those are left out below
+				return true, now // unreachable: proposals with an unknown outcome have no number and are left out below
 			}
 			return now == op.Base, op.Number
 		},
@@ -42,8 +43,9 @@
 		}
 		ops = append(ops, porcupine.Operation{ClientId: i, Input: op, Call: int64(op.Call), Return: int64(op.Return)})
 	}
-	// Versions that came of proposals with an unknown fate show in what was read: the first read of such a number is taken
-	// as its proposal, which may have taken effect at any time up to then.
+	// The versions of proposals with an unknown outcome show up in later reads. The first read of
+	// such a number is taken as evidence of a proposal that took effect at some time before the end
+	// of that read.
 	known := map[uint64]bool{1: true}
 	for _, op := range history {
 		if op.Kind == "propose" && !op.Unknown {
@@ -62,7 +64,7 @@
 			}
 		}
 		if base == 0 {
-			return false // a version that nobody proposed
+			return false // no proposal can have made this version
 		}
 		ops = append(ops, porcupine.Operation{ClientId: len(history) + len(ops), Call: int64(call), Return: int64(op.Return),
 			Input: Operation{Kind: "propose", Base: base, Number: op.Number}})
--- a/internal/proving/registry.go
+++ b/internal/proving/registry.go
@@ -13,15 +13,15 @@
 	"standpulley/internal/standin"
 )
 
-// registry is the register of replicas with an agent beside each dispatcher. What it says reaches an agent when a script says
-// so, so that one hears of it and another does not.
+// registry is the registry of replicas, with an agent beside each dispatcher. A change reaches an
+// agent only when a script says so, so that one dispatcher learns of it and another does not.
 type registry struct {
 	mu      sync.Mutex
 	version int64
 	list    []standin.Entry
 	history [][]standin.Entry // by version, from 1 on
 	agents  map[string]*standin.Agent
-	spare   []standin.Entry // replicas that run and are not listed yet
+	spare   []standin.Entry // replicas that run but are not listed yet
 }
 
 func newRegistry(list, spare []standin.Entry, names []string) (*registry, error) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// step changes the register and tells the agents of some dispatchers: key is a replica or empty, value what becomes of it.
+// apply changes the registry and has the agents of some dispatchers report it. The key is a replica
+// ID or empty, the value the change.
 func (r *registry) apply(key, value string, who []*Dispatcher) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +56,7 @@
 			r.agents[d.Name].Mute(change == "mute")
 		}
 		return nil
-	case "again": // what the register says by now, for who has not heard it
+	case "again": // agents that missed a change report the present list
 		list, version = r.list, r.version
 	case "empty":
 		for _, d := range who {
@@ -65,7 +66,7 @@
 	case "back":
 		n, err := strconv.Atoi(arg)
 		if err != nil || n >= len(r.history) || n < 1 {
-			return fmt.Errorf("no version %s of the register", arg)
+			return fmt.Errorf("the registry has no version %s", arg)
 		}
 		for _, d := range who {
 			r.agents[d.Name].SetAt(int64(n), r.history[n]...)
@@ -73,7 +74,7 @@
 		return nil
 	case "new":
 		if len(r.spare) == 0 {
-			return fmt.Errorf("no further replica runs")
+			return fmt.Errorf("no spare replica is left")
 		}
 		e := r.spare[0]
 		r.spare = r.spare[1:]
@@ -84,16 +85,16 @@
 			return fmt.Errorf("%s is not listed", key)
 		}
 		list = slices.Delete(list, at, at+1)
-	case "reborn": // another machine at the same address
+	case "reborn": // another machine takes the same address
 		if at < 0 {
 			return fmt.Errorf("%s is not listed", key)
 		}
 		list[at].ID, list[at].StartedMS = key+"-b", time.Now().UnixMilli()
-	case "restart": // all come back cold, at their addresses
+	case "restart": // all replicas restart cold at their addresses
 		for i := range list {
 			list[i].StartedMS, list[i].State = time.Now().UnixMilli(), membership.InService
 		}
-	case "many": // further ones that drain
+	case "many": // adds replicas that are draining
 		n, err := strconv.Atoi(arg)
 		if err != nil {
 			return err
@@ -101,7 +102,7 @@
 		for i := range n {
 			list = append(list, standin.Entry{ID: fmt.Sprintf("many-%d", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "writer", State: membership.Terminating, Weight: 1})
 		}
-	case "twice", "kind": // a list that nobody can work with, for who is told
+	case "twice", "kind": // the given agents report a list that is invalid: an ID twice, or an unknown kind
 		bad := list[0]
 		if change == "kind" {
 			bad.ID, bad.Kind = "odd", "unheard-of"
@@ -110,7 +111,7 @@
 			r.agents[d.Name].SetAt(version, append(list, bad)...)
 		}
 		return nil
-	case "half": // of all, at once
+	case "half": // removes all replicas with this prefix at once
 		list = slices.DeleteFunc(list, func(e standin.Entry) bool { return strings.HasPrefix(e.ID, key) })
 	default:
 		if at < 0 {
@@ -128,16 +129,17 @@
 	return nil
 }
 
-// Drained is a replica that was drained or taken out, as it is known from outside.
+// Drain is the drain or removal of a replica, as seen from outside.
 type Drain struct {
 	Replica    string
-	AgreedAt   time.Duration            // when the agreed list was first seen without it; 0: never
-	NotifiedAt map[string]time.Duration // when a dispatcher's own register told it
-	EndsAt     time.Duration            // it was let back then at the earliest; 0: never
-	ByOperator bool                     // by an operator, so that no register ends it
+	AgreedAt   time.Duration            // when the agreed list was first seen without the replica in service; 0 if never
+	NotifiedAt map[string]time.Duration // by dispatcher: when its own registry agent reported the drain
+	EndsAt     time.Duration            // earliest time at which the drain may end; 0 if it does not end
+	ByOperator bool                     // ordered by an operator, so that the registry does not end it
 }
 
-// follow watches from outside when a drain is told to dispatchers and when it shows in the agreed list.
+// watchDrain observes from outside when a drain is reported to dispatchers and when it shows in the
+// agreed list.
 func (p *play) watchDrain(replica string, byOperator bool) {
 	d := &Drain{Replica: replica, ByOperator: byOperator, NotifiedAt: map[string]time.Duration{}}
 	p.mu.Lock()
@@ -177,19 +179,19 @@
 	})
 }
 
-// agreedDrain notes that a drain was decided by a time.
+// markDrainAgreed records that a drain was decided at the latest by a time.
 func (p *play) markDrainAgreed(replica string, at time.Duration) {
 	p.updateDrains(func(d *Drain) bool { return d.Replica == replica }, func(d *Drain) { setEarliest(&d.AgreedAt, at) })
 }
 
-// listed gives the replicas that are listed.
+// entries returns the replicas in the registry.
 func (r *registry) entries() []standin.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.list)
 }
 
-// next gives the replica that comes next.
+// nextSpare returns the replica that is added next.
 func (r *registry) nextSpare() (standin.Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,17 +201,17 @@
 	return r.spare[0], true
 }
 
-// endDrain says when a replica's drain may end at the earliest.
+// markDrainEnd records the earliest time at which the drains of a replica may end.
 func (p *play) markDrainEnd(replica string, at time.Duration) {
 	p.updateDrains(func(d *Drain) bool { return d.Replica == replica }, func(d *Drain) { setEarliest(&d.EndsAt, at) })
 }
 
-// endAll ends the drains that the register told of.
+// endRegistryDrains ends the drains that come from the registry.
 func (p *play) endRegistryDrains() {
 	p.updateDrains(func(d *Drain) bool { return !d.ByOperator }, func(d *Drain) { setEarliest(&d.EndsAt, p.fleet.Now()) })
 }
 
-// drained does something with some of the drains that are followed.
+// updateDrains changes those of the observed drains that match.
 func (p *play) updateDrains(match func(*Drain) bool, update func(*Drain)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,16 +222,17 @@
 	}
 }
 
-// earliest notes a time, unless there is an earlier one; 0 is none.
+// setEarliest lowers t to at; a t of 0 is unset.
 func setEarliest(t *time.Duration, at time.Duration) {
 	if *t == 0 || at < *t {
 		*t = at
 	}
 }
 
-// judgeDrains finds attempts that a drained replica was sent too late: more than a second after its dispatcher was told, or
-// more than Within after the agreed list was seen without it.
-// harmless are the requests that a dispatcher which has lost contact may go on with by the list that it knew.
+// checkDrains reports attempts that were sent to a draining replica too late: more than drainGrace
+// after the dispatcher's own agent reported the drain, or more than Within after the agreed list
+// was seen without the replica. Exempt are the requests that a dispatcher without contact may
+// continue by the last list that it knew.
 func (r *Record) checkDrains(exempt map[string]bool, report func(rule, form string, args ...any)) {
 	for _, d := range r.Drains {
 		for _, a := range r.Actions {
@@ -238,13 +241,14 @@
 				continue
 			}
 			if notifiedAt := d.NotifiedAt[dispatcher]; notifiedAt != 0 && a.From > notifiedAt+drainGrace {
-				report("drain", "%s sent %s to %s %v after its register told it that this drains", dispatcher, a.ID, d.Replica, a.From-notifiedAt)
+				report("drain", "%s sent %s to %s %v after its registry agent reported that the replica drains", dispatcher, a.ID, d.Replica, a.From-notifiedAt)
 			}
 			if d.AgreedAt != 0 && a.From > d.AgreedAt+r.Within && !exempt[a.ID] {
-				report("drain", "%s sent %s to %s %v after that was drained by agreement", dispatcher, a.ID, d.Replica, a.From-d.AgreedAt)
+				report("drain", "%s sent %s to %s %v after the agreed list had the replica drained", dispatcher, a.ID, d.Replica, a.From-d.AgreedAt)
 			}
 		}
 	}
 }
 
+// drainGrace is how long after the report of a drain a dispatcher may still send to the replica.
 const drainGrace = time.Second
--- a/internal/proving/relay.go
+++ b/internal/proving/relay.go
@@ -8,25 +8,26 @@
 	"time"
 )
 
-// Weather is what a link does to what is sent over it in one direction.
+// LinkConditions says what a link does to the bytes that are sent over it in one direction.
 type LinkConditions struct {
-	Drop   bool          // bytes vanish; the connection stays open and silent
-	Delay  time.Duration // of each piece
-	Jitter time.Duration // added, drawn from 0 to this
-	Rate   int           // bytes a second; 0 for no limit
+	Drop   bool          // bytes are dropped; the connection stays open and idle
+	Delay  time.Duration // added to each chunk
+	Jitter time.Duration // random addition to Delay, from 0 to this
+	Rate   int           // bytes per second; 0 for no limit
 }
 
-// Relay carries the connections of one dispatcher to one voter. There and Back may be set while it runs.
+// Relay forwards the connections of one dispatcher to one voter. The conditions of both directions
+// can be set while it runs.
 type Relay struct {
 	Addr string
 
 	target     string
 	ln         net.Listener
 	mu         sync.Mutex
-	conditions [2]LinkConditions // there, back
-	refusing   bool              // connections are refused
+	conditions [2]LinkConditions // to the voter, from the voter
+	refusing   bool              // new connections are refused
 	conns      map[net.Conn]bool
-	Bytes      [2]int64 // bytes, there and back
+	Bytes      [2]int64 // bytes received for each direction, to and from the voter
 }
 
 const (
@@ -34,36 +35,36 @@
 	fromVoter = 1
 )
 
-// NewRelay listens on a free loopback port and leads to an address.
-func NewRelay(to string) (*Relay, error) {
+// NewRelay listens on a free loopback port and forwards connections to target.
+func NewRelay(target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: ln.Addr().String(), target: to, ln: ln, conns: map[net.Conn]bool{}}
+	r := &Relay{Addr: ln.Addr().String(), target: target, ln: ln, conns: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
 
-// Set changes the weather in one direction.
+// Set changes the conditions in one direction.
 func (r *Relay) Set(dir int, c LinkConditions) {
 	r.mu.Lock()
 	r.conditions[dir] = c
 	r.mu.Unlock()
 }
 
-// Reset breaks all connections, and refuses new ones while down.
+// Reset resets all connections; new ones are refused if refuse is set.
 func (r *Relay) Reset(refuse bool) {
 	r.mu.Lock()
 	r.refusing = refuse
 	for conn := range r.conns {
-		_ = conn.(*net.TCPConn).SetLinger(0) // it may have ended by itself
+		_ = conn.(*net.TCPConn).SetLinger(0) // the connection may have ended already
 		_ = conn.Close()
 	}
 	r.mu.Unlock()
 }
 
-// Close ends the relay.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Reset(true)
@@ -79,6 +80,7 @@
 	}
 }
 
+// proxy forwards one connection until either side ends it.
 func (r *Relay) proxy(downstream net.Conn) {
 	defer downstream.Close()
 	r.mu.Lock()
@@ -106,8 +108,9 @@
 	r.mu.Unlock()
 }
 
-// pump carries one direction, piece by piece, by the weather at the time. What was lost once leaves a hole, so nothing
-// more of that connection gets through.
+// copyStream forwards one direction of a connection, chunk by chunk, under the conditions of the
+// moment. Once bytes were dropped, nothing more of that connection is forwarded: the stream would
+// have a gap.
 func (r *Relay) copyStream(from, to net.Conn, dir int, done chan<- bool) {
 	defer func() { done <- true }()
 	buf := make([]byte, 16<<10)
@@ -138,7 +141,7 @@
 		}
 		if err != nil {
 			if dropped && err == io.EOF {
-				_, _ = io.Copy(io.Discard, to) // half open: the other side learns of nothing
+				_, _ = io.Copy(io.Discard, to) // half-open connection: the other side is not notified
 			}
 			return
 		}
--- a/internal/proving/script.go
+++ b/internal/proving/script.go
@@ -1,23 +1,26 @@
-// Package proving is the ground on which several processes of the real program are tried together: links between them that
-// lose, delay and cut what is said, processes that are killed, stopped and lose their disk, clients and stand-in replicas
-// that record what was done from outside, and a judge that holds the record against the promise.
+// Package proving is a test harness that runs several dispatcher processes together. The links
+// between them drop, delay and reset traffic; processes are killed, stopped and lose their disks;
+// clients and fake replicas record from outside what was done; and a judge checks that record
+// against the guarantees of the cluster.
 //
-//	script.go   what happens, as TOML
-//	draw.go     scripts from seeds
-//	relay.go    a link with its weather
-//	fleet.go    the processes, their files and links
-//	traffic.go  clients and replicas, and what they record
-//	subject.go  the program that is tried, as a part of the tests
-//	play.go     carries a script out
-//	propose.go  the proposals in it
-//	operators.go what operators do in it, and what it waits for
-//	register.go the history of versions as a register
-//	register_list.go the register of replicas with its agents
-//	faults.go   faults put in on purpose
-//	measure.go  fleets that are measured
-//	cold.go     the rule on cold replicas
-//	orders.go   instructions that clients repeat, and what must become of them
-//	judge.go    the promise, over the record alone
+//	script.go            the scripts of trials, as TOML
+//	generate.go          scripts generated from seeds
+//	play.go              runs a script
+//	propose.go           proposals in a script
+//	operators.go         operator commands in a script, and conditions that it waits for
+//	fleet.go             the processes, their files and links
+//	program.go           the program under test, run by the test binary
+//	relay.go             a link with its conditions
+//	traffic.go           clients and replicas, and what they record
+//	instructions.go      instructions that clients repeat, and the rules for them
+//	registry.go          the registry of replicas with its agents, and the rules for drains
+//	cold_load.go         the rule for the load of cold replicas
+//	linearizable.go      the check that the history of versions is linearizable
+//	judge.go             the checks of a record
+//	faults.go            faults that are injected on purpose
+//	measure.go           fleets that are measured
+//	measure_ledger.go    measurements of the ledger
+//	measure_lists.go     measurements of replica lists and recovery
 package proving
 
 import (
@@ -32,80 +35,94 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script is one trial.
+// Script describes one trial.
 type Script struct {
-	Name            string `toml:"name"`
-	Seed            uint64 `toml:"seed,omitempty"`
-	Voters          int    `toml:"voters"`
-	Others          int    `toml:"others"`
-	Within          string `toml:"within"`
-	Alone           string `toml:"alone"`
-	Rate            int    `toml:"rate"` // requests a second at each dispatcher
-	Fault           string `toml:"fault,omitempty"`
-	Lists           bool   `toml:"lists,omitempty"` // dispatchers agree on lists of replicas too
-	Steps           []Step `toml:"step"`
-	Last            string `toml:"last"`             // how long the trial goes on after its start; then all is mended and must agree again
-	Ledger          string `toml:"ledger,omitempty"` // dispatchers remember instructions together, and that survives this; clients repeat
-	OrderedRecovery bool   `toml:"order,omitempty"`  // with Lists: dispatchers come back in stages
-	PowerLoss       bool   `toml:"power,omitempty"`  // whoever is killed loses what was not synced
-	Standalone      bool   `toml:"apart,omitempty"`  // with Lists: no agreement at all, each goes by its own register
-	// Dispatchers that turn down what moves services.*.name away from "instruction", as their own file needs it.
+	Name   string `toml:"name"`
+	Seed   uint64 `toml:"seed,omitempty"`
+	Voters int    `toml:"voters"`
+	Others int    `toml:"others"`
+	Within string `toml:"within"`
+	Alone  string `toml:"alone"`
+	Rate   int    `toml:"rate"` // requests per second at each dispatcher
+	Fault  string `toml:"fault,omitempty"`
+	Lists  bool   `toml:"lists,omitempty"` // dispatchers also agree on lists of replicas
+	Steps  []Step `toml:"step"`
+	// Last is how long the steps and the traffic run. Then all faults are undone, and all
+	// dispatchers must agree again.
+	Last string `toml:"last"`
+	// Ledger says what the ledger of instructions must survive; clients repeat instructions under
+	// the same key. Empty: no ledger and no repeats; "off": repeats without a ledger.
+	Ledger          string `toml:"ledger,omitempty"`
+	OrderedRecovery bool   `toml:"order,omitempty"` // with Lists: dispatchers recover in stages
+	PowerLoss       bool   `toml:"power,omitempty"` // a killed process loses what it had not synced
+	Standalone      bool   `toml:"apart,omitempty"` // with Lists: no cluster at all; each dispatcher uses its own registry agent alone
+	// NeedClass are dispatchers whose own configuration needs the class "instruction", so that they
+	// turn down a version that renames it in services.*.name.
 	NeedClass []string `toml:"picky,omitempty"`
-	// Voters that come back in the end with the log of a cluster that was given up: they may never act again.
+	// Stranded are voters that end the trial with the log of an abandoned cluster: they must never
+	// act again.
 	Stranded []string `toml:"astray,omitempty"`
 }
 
-// Step is one thing that happens. Dispatchers are v1, v2, ... and o1, o2, ...; "leader" is the voter that leads, "*" all.
+// Step is one event of a script. Dispatchers are named v1, v2, ... (voters) and o1, o2, ...
+// (others); "leader" is the voter that leads, "reader" one of the dispatchers that read the
+// registry for all, "*" all dispatchers.
 type Step struct {
-	At        string `toml:"at"`
-	Do        string `toml:"do"`
-	Who       string `toml:"who,omitempty"`
-	To        string `toml:"to,omitempty"`    // for links: the other side
-	Delay     string `toml:"delay,omitempty"` // for delay
-	Rate      int    `toml:"rate,omitempty"`  // for throttle
-	Key       string `toml:"key,omitempty"`   // for propose and hup: the setting that changes ...
-	Value     string `toml:"value,omitempty"` // ... and its value as JSON
-	Base      uint64 `toml:"base,omitempty"`  // for propose: 0 is the version in force by then
-	WantError string `toml:"wants,omitempty"` // for propose, hup, rollback: "refused" with this word in the error, or any if "?"
+	At    string `toml:"at"`
+	Do    string `toml:"do"`
+	Who   string `toml:"who,omitempty"`
+	To    string `toml:"to,omitempty"`    // for links: the other end
+	Delay string `toml:"delay,omitempty"` // for delay
+	Rate  int    `toml:"rate,omitempty"`  // for throttle
+	// Key is the setting that propose and hup change, and Value its new value as JSON.
+	Key   string `toml:"key,omitempty"`
+	Value string `toml:"value,omitempty"`
+	Base  uint64 `toml:"base,omitempty"` // for propose: the version that it is made from; 0 for the one in force at the time
+	// WantError, for propose, hup, rollback and list, is a text that the error must contain; "?"
+	// accepts any outcome. For hup, the log must contain it.
+	WantError string `toml:"wants,omitempty"`
 }
 
-// The steps.
+// The kinds of steps. Who is the dispatcher of the step, To the other end of its links.
 const (
-	doCut         = "cut"      // what Who sends does not get to To; connections stay open
-	doMend        = "mend"     // all is well between Who and To
-	doDelay       = "delay"    // what Who sends to To comes later by Delay and half as much jitter
-	doThrottle    = "throttle" // ... and at Rate bytes a second
-	doReset       = "reset"    // connections between Who and To break, and new ones are refused
+	doCut         = "cut"      // drops what Who sends to To; connections stay open
+	doMend        = "mend"     // undoes all faults of the links between Who and To
+	doDelay       = "delay"    // delays what Who sends to To by Delay and up to half as much jitter
+	doThrottle    = "throttle" // as delay, and limits it to Rate bytes per second
+	doReset       = "reset"    // resets connections between Who and To and refuses new ones
 	doKill        = "kill"
 	doStart       = "start"
-	doStop        = "stop" // SIGSTOP
+	doStop        = "stop" // sends SIGSTOP
 	doCont        = "cont"
 	doTerm        = "term"
-	doLoseDisk    = "lose"     // kills it and takes its disk away
-	doRemoveDisk  = "away"     // takes its disk away; it does not run
-	doReturnDisk  = "back"     // kills it and puts that disk in the place of what it has by now
-	doRebootstrap = "refound"  // makes a new cluster at Who of what all folders still know; nobody runs
-	doReplace     = "replace"  // starts it with an empty disk, to which its seat is given on
-	doPropose     = "propose"  // at Who
-	doRollback    = "rollback" // at Who, to version Base
-	doHup         = "hup"      // Who's file gets another value, and SIGHUP
-	doRegistry    = "register" // the register changes, and the agents of Who hear of it: Value is a state of the replica Key, "gone",
-	// "new", "restart" (all come back cold), "half" (all whose names begin with Key go), "empty", "back:N", "mute", "unmute" or "again"
-	doSurge         = "crowd"   // Rate times as many requests come at Who from now on; those that are more are of one customer
-	doLoseLedger    = "forget"  // kills it and takes its ledger away
-	doCopyLedger    = "copy"    // keeps a copy of its ledger's file ...
-	doRestoreLedger = "restore" // ... and kills it and puts that in the place of what it has by now
-	doAcceptLedger  = "accept"  // an operator at Who has its ledger filled from one other
-	doLedgerDisk    = "disk"    // Value: stall or full holds up Who's syncs or has them fail, well ends that
-	doListOrder     = "list"    // an operator at Who: Value is drain, undrain, hold or confirm, Key the replica
-	doExpect        = "expect"  // waits until Who's status has Value, generously
+	doLoseDisk    = "lose"     // kills Who and deletes its cluster log
+	doRemoveDisk  = "away"     // moves away the cluster log of Who, which is not running
+	doReturnDisk  = "back"     // kills Who and puts the log that was moved away in place of its present one
+	doRebootstrap = "refound"  // bootstraps a new cluster at Who from what all folders still have; no dispatcher is running
+	doReplace     = "replace"  // starts Who without a log, and an operator assigns its seat to it
+	doPropose     = "propose"  // proposes a change of a setting at Who
+	doRollback    = "rollback" // proposes the content of version Base at Who
+	doHup         = "hup"      // changes a value in Who's file and sends SIGHUP
+	// doRegistry changes the registry and has Who's agents report the change. Value is a state of
+	// the replica Key, "gone", "new", "restart" (all replicas restart cold), "half" (all replicas
+	// whose IDs begin with Key are removed), "empty", "back:N", "mute", "unmute", "again",
+	// "reborn", "many:N", "twice" or "kind"; registry.apply explains them.
+	doRegistry      = "register"
+	doSurge         = "crowd"   // multiplies the requests at Who by Rate from now on; the additional ones are of one customer
+	doLoseLedger    = "forget"  // kills Who and deletes its ledger
+	doCopyLedger    = "copy"    // copies the ledger file of Who
+	doRestoreLedger = "restore" // kills Who and replaces its ledger by that copy
+	doAcceptLedger  = "accept"  // an operator at Who lets its ledger be refilled from only one other ledger holder
+	doLedgerDisk    = "disk"    // Value "stall" blocks Who's syncs, "full" makes them fail, "well" ends both
+	doListOrder     = "list"    // an operator at Who orders Value, which is drain, undrain, hold or confirm, for the replica Key
+	doExpect        = "expect"  // waits until Who's status is Value, "lease" or "no lease", or its log contains the text after "log:"
 )
 
 var stepNames = map[string]bool{doCut: true, doMend: true, doDelay: true, doThrottle: true, doReset: true, doKill: true, doStart: true, doStop: true,
 	doCont: true, doTerm: true, doLoseDisk: true, doRebootstrap: true, doReplace: true, doPropose: true, doRollback: true, doHup: true, doExpect: true,
 	doRegistry: true, doSurge: true, doListOrder: true, doLoseLedger: true, doCopyLedger: true, doRestoreLedger: true, doLedgerDisk: true, doAcceptLedger: true, doRemoveDisk: true, doReturnDisk: true}
 
-// Parse reads a script and checks it.
+// Parse decodes a script and checks it.
 func Parse(text []byte) (Script, error) {
 	var s Script
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -118,7 +135,7 @@
 //go:embed scripts/*.toml
 var scriptFiles embed.FS
 
-// Named gives the scripts of the hard cases.
+// NamedScripts returns the scripts of the hard cases, which are built into the program.
 func NamedScripts() ([]Script, error) {
 	files, err := fs.Glob(scriptFiles, "scripts/*.toml")
 	if err != nil {
@@ -139,7 +156,8 @@
 	return all, nil
 }
 
-// For tells whether a script could find a fault: one about lists or the ledger needs those.
+// CanDetect reports whether a script could detect a fault: faults in lists, the ledger or recovery
+// show only in scripts that use those.
 func (s Script) CanDetect(fault string) bool {
 	switch {
 	case strings.HasPrefix(fault, "list-"):
@@ -152,7 +170,7 @@
 	return s.Ledger == ""
 }
 
-// Load reads a script's file.
+// Load reads a script from a file.
 func Load(path string) (Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -165,6 +183,7 @@
 	return s, nil
 }
 
+// check validates the numbers, durations and step names of a script.
 func (s *Script) check() error {
 	if s.Voters != 3 && s.Voters != 5 {
 		return fmt.Errorf("script %s: voters must be 3 or 5", s.Name)
@@ -183,13 +202,13 @@
 			return fmt.Errorf("script %s: step %d: %w", s.Name, i, err)
 		}
 		if !stepNames[p.Do] {
-			return fmt.Errorf("script %s: step %d: %q is not known", s.Name, i, p.Do)
+			return fmt.Errorf("script %s: step %d: unknown step %q", s.Name, i, p.Do)
 		}
 	}
 	return nil
 }
 
-// String is the script as TOML.
+// String returns the script as TOML.
 func (s Script) String() string {
 	var b strings.Builder
 	if err := toml.NewEncoder(&b).SetIndentTables(false).Encode(s); err != nil {
@@ -198,7 +217,8 @@
 	return b.String()
 }
 
+// duration parses a duration that check has validated; an empty text is 0.
 func duration(text string) time.Duration {
-	d, _ := time.ParseDuration(text) // check has seen to it
+	d, _ := time.ParseDuration(text) // check has validated it
 	return d
 }
--- a/internal/proving/traffic.go
+++ b/internal/proving/traffic.go
@@ -23,16 +23,17 @@
 	actions      []Action
 	requests     []ClientRequest
 	runs         map[string]int
-	instructions *instructionSet // nil where clients repeat nothing
-	surges       sync.Map        // dispatchers at which so many times the usual come
-	hung         sync.Map        // replicas that say nothing any more
-	maxStall     atomic.Int64    // the longest of late that this process itself was held up
+	instructions *instructionSet // nil where clients don't repeat instructions
+	surges       sync.Map        // by dispatcher name: the factor by which its requests are multiplied
+	hung         sync.Map        // by ID: replicas that no longer answer
+	// maxStall bounds, in nanoseconds, how long this process itself was recently not scheduled.
+	maxStall atomic.Int64
 
 	replicas    []*standin.Replica
 	list        []standin.Entry
 	spare       []standin.Entry
 	client      *http.Client
-	freshClient *http.Client // that keeps no connection
+	freshClient *http.Client // uses a new connection for each request
 	inFlight    sync.WaitGroup
 	stop        chan struct{}
 }
@@ -41,10 +42,10 @@
 	readTime      = 30 * time.Millisecond
 	readers       = 2
 	writers       = 3
-	spares        = 4                       // that no list names at first
-	clientTimeout = 3500 * time.Millisecond // that clients wait
-	fullOneIn     = 7                       // of so many calls of a writer one is turned away unrun, where clients repeat
-	brokenOneIn   = 11                      // of so many answers of a writer breaks before it begins
+	spares        = 4                       // running, but not in the registry at first
+	clientTimeout = 3500 * time.Millisecond // how long clients wait for an answer
+	fullOneIn     = 7                       // where clients repeat: one in this many attempts at a writer is refused without being executed
+	brokenOneIn   = 11                      // one in this many answers of a writer fails before it begins
 )
 
 func newTraffic() (*traffic, error) {
@@ -71,13 +72,14 @@
 	return t, nil
 }
 
-// kindOf gives the kind of a replica by its name.
+// kindOf returns the kind of a replica, which its ID begins with.
 func kindOf(name string) string {
 	kind, _, _ := strings.Cut(name, "-")
 	return kind
 }
 
-// saw records that an attempt has come. It left no later than now, and no earlier than this process was last not held up.
+// recordAttempt records an attempt that has arrived at a replica. It was sent at the latest now,
+// and at the earliest before the longest recent stall of this process.
 func (t *traffic) recordAttempt(x *standin.Exchange, name string) {
 	to := t.now()
 	from := to - time.Duration(t.maxStall.Load())
@@ -87,6 +89,7 @@
 	t.actions = append(t.actions, Action{Kind: "send", ID: x.ID, Replica: name, VersionTag: mark, From: from, To: to})
 }
 
+// handleRead answers a read.
 func (t *traffic) handleRead(x *standin.Exchange, name string) {
 	t.recordAttempt(x, name)
 	t.waitIfHung(name)
@@ -94,6 +97,7 @@
 	x.Read(0)
 }
 
+// handleWrite answers a write; some are refused or fail, by their count.
 func (t *traffic) handleWrite(x *standin.Exchange, name string) {
 	t.recordAttempt(x, name)
 	t.waitIfHung(name)
@@ -116,14 +120,15 @@
 	x.Answer("one", "two")
 }
 
-// hang waits for longer than any client where a replica has lost its power.
+// waitIfHung blocks for longer than any client waits, if the replica is meant to be without power.
 func (t *traffic) waitIfHung(name string) {
 	if _, is := t.hung.Load(name); is {
 		time.Sleep(2 * clientTimeout)
 	}
 }
 
-// meter follows how long this process is held up by others on the machine.
+// measureStalls keeps track of how long this process is not scheduled because of others on the
+// machine.
 func (t *traffic) measureStalls() {
 	var worstDelays [64]time.Duration // of the last seconds
 	for i := 0; ; i++ {
@@ -148,7 +153,7 @@
 	}
 }
 
-// ask sends requests to a dispatcher at a steady pace, whether or not it answers.
+// sendLoop sends requests to a dispatcher at a constant rate, whether or not it answers.
 func (t *traffic) sendLoop(d *Dispatcher, rate int) {
 	defer t.inFlight.Done()
 	tick := time.NewTicker(time.Second / time.Duration(rate))
@@ -175,9 +180,10 @@
 	}
 }
 
-// crowdCustomer is whose requests those of a crowd are.
+// surgeCustomer is the customer of the additional requests in a surge.
 const surgeCustomer = "crowd"
 
+// sendAndRecord sends one request and records the result.
 func (t *traffic) sendAndRecord(d *Dispatcher, n int, customer string) {
 	defer t.inFlight.Done()
 	a := t.sendNumbered(d, n, customer)
@@ -186,15 +192,17 @@
 	t.mu.Unlock()
 }
 
-// try sends a dispatcher one request.
+// sendNumbered sends a dispatcher the request with this number. Odd numbers are instructions.
 func (t *traffic) sendNumbered(d *Dispatcher, n int, customer string) ClientRequest {
 	id := fmt.Sprintf("%s-%06d", d.Name, n)
-	return t.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: id, Customer: customer, AtMostOnce: n%2 == 1}, "", `"`+id+`"`) // words of its own
+	return t.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: id, Customer: customer, AtMostOnce: n%2 == 1}, "", `"`+id+`"`) // a body of its own
 }
 
-// send sends it, with the key that names an instruction, if any. As the protocol page says of clients, one whose connection ends before the
-// dispatcher has read its request sends it once more, on a new connection. Who was so slow to say something that the dispatcher had closed
-// by then finds just that. What the dispatcher has read it must answer: the second sending has an id of its own, so that record can tell.
+// sendWithResend sends a request, under an idempotency key if one is given. As the protocol
+// requires of clients, a request whose connection ends before the dispatcher has read it is sent
+// once more on a new connection. A client may meet this when it was slow to send and the dispatcher
+// had closed the idle connection by then. A request that the dispatcher has read must be answered:
+// the second transmission has an ID of its own, so that the record can tell them apart.
 func (t *traffic) sendWithResend(d *Dispatcher, a ClientRequest, key, body string) ClientRequest {
 	first := a
 	a, connected := t.sendOnce(t.client, d, a, key, body)
@@ -208,18 +216,18 @@
 	return a
 }
 
-// came tells whether an attempt of a request has come to a replica.
+// reachedReplica reports whether an attempt of a request has arrived at a replica.
 func (t *traffic) reachedReplica(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(t.actions, func(a Action) bool { return a.ID == id })
 }
 
-// sendOnce sends it, and tells whether a connection was there for it.
+// sendOnce sends a request, and reports whether it got a connection.
 func (t *traffic) sendOnce(client *http.Client, d *Dispatcher, a ClientRequest, key, body string) (ClientRequest, bool) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.Listen+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return a, false // the address is one of ours
+		return a, false // can't happen: the address is one that the fleet chose
 	}
 	class := "enquiry"
 	if a.AtMostOnce {
@@ -249,6 +257,7 @@
 	return a, connected.Load()
 }
 
+// close stops the replicas.
 func (t *traffic) close() {
 	for _, r := range t.replicas {
 		r.Close()
