--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -16,14 +16,14 @@
 	"standpulley/internal/membership"
 )
 
-// Bench is a fleet that is measured: no script, no judge.
+// Bench is a fleet for measurements, without a script or a judge.
 type Bench struct {
 	*Fleet
 	traffic  *traffic
 	Script   Script
 	sequence int
 
-	restartedReplicas []ColdReplica // replicas, by the last restart of all
+	restartedReplicas []ColdReplica // the replicas that the last restart of all replicas started
 }
 
 // NewBench starts a fleet, with traffic if the script has a rate, and waits until it serves.
@@ -52,11 +52,12 @@
 	if err := b.WaitVersion(1); err != nil {
 		return b, err
 	}
-	time.Sleep(duration(s.Within)) // a new leader waits for leases that it knows nothing of
+	time.Sleep(duration(s.Within)) // a new leader first waits for leases that it doesn't know of to expire
 	b.startTraffic()
 	return b, nil
 }
 
+// startTraffic starts to send requests to all dispatchers, if the script has a rate.
 func (b *Bench) startTraffic() {
 	for _, d := range b.Dispatchers {
 		if b.Script.Rate > 0 {
@@ -66,7 +67,7 @@
 	}
 }
 
-// Close ends traffic and fleet.
+// Close stops the traffic and the fleet.
 func (b *Bench) Close() {
 	close(b.traffic.stop)
 	b.traffic.inFlight.Wait()
@@ -74,7 +75,7 @@
 	b.traffic.close()
 }
 
-// Own asks a dispatcher how it stands.
+// Status returns the status of a dispatcher.
 func (b *Bench) Status(d *Dispatcher) (agreement.Status, error) {
 	r, err := b.SendCommand(d, agreement.Command{Do: "own"})
 	if err != nil || r.Status == nil {
@@ -83,7 +84,7 @@
 	return *r.Status, nil
 }
 
-// All waits until every dispatcher that runs acts on a version.
+// WaitVersion waits until every running dispatcher holds a lease on a version.
 func (b *Bench) WaitVersion(number uint64) error {
 	var waiters sync.WaitGroup
 	var mu sync.Mutex
@@ -99,7 +100,7 @@
 				}
 				if time.Now().After(end) {
 					mu.Lock()
-					waitErr = fmt.Errorf("%s never acts on version %d", d.Name, number)
+					waitErr = fmt.Errorf("%s did not act on version %d in time", d.Name, number)
 					mu.Unlock()
 					return
 				}
@@ -110,14 +111,15 @@
 	return waitErr
 }
 
-// Change proposes another version at the first dispatcher and gives the time until all act on it.
+// ProposeChange proposes another version at the first dispatcher, and returns the time until all
+// dispatchers act on it.
 func (b *Bench) ProposeChange() (time.Duration, error) {
 	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view"})
 	if err != nil || r.View == nil {
-		return 0, fmt.Errorf("no view: %w %s", err, r.Error)
+		return 0, fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
 	b.sequence++
-	content, err := editContent(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.sequence)) // which changes nothing of what is served
+	content, err := editContent(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.sequence)) // this change does not affect how requests are served
 	if err != nil {
 		return 0, err
 	}
@@ -130,23 +132,24 @@
 	return time.Since(began), err
 }
 
-// Kill kills a dispatcher, and Restart starts it again and waits until it acts on what all act on.
+// Kill kills a dispatcher.
 func (b *Bench) Kill(d *Dispatcher) { b.Signal(d, syscall.SIGKILL) }
 
-// Restart is the other half of Kill.
+// Restart starts a killed dispatcher and waits until it acts on the version in force.
 func (b *Bench) Restart(d *Dispatcher) error {
 	if err := b.Start(d); err != nil {
 		return err
 	}
 	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view"})
 	if err != nil || r.View == nil {
-		return fmt.Errorf("no view: %w %s", err, r.Error)
+		return fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
 	return b.WaitVersion(r.View.Record.InForceNumber)
 }
 
-// Worth gives what the requests earned that were sent to a dispatcher in a stretch of time, of what they could have, and
-// the times that the served ones took. An enquiry is worth 3, an instruction 2. It waits until they are answered.
+// EarnedShare returns the share of the possible credit that was earned by requests sent to the
+// given dispatchers in a stretch of time, and the latencies of the served ones. An enquiry is worth
+// 3, an instruction 2. It waits until all of them have been answered.
 func (b *Bench) EarnedShare(dispatchers []*Dispatcher, from, to time.Duration) (share float64, took []time.Duration) {
 	time.Sleep(to + clientTimeout + 500*time.Millisecond - b.Now())
 	b.traffic.mu.Lock()
@@ -170,7 +173,7 @@
 	return earned / max(possible, 1), took
 }
 
-// Memory gives the resident memory of a dispatcher, in MB.
+// Memory returns the resident memory of a dispatcher, in MB.
 func (d *Dispatcher) Memory() (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 	if err != nil {
@@ -182,29 +185,29 @@
 			return kb / 1024, err
 		}
 	}
-	return 0, fmt.Errorf("%s: no VmRSS", d.Name)
+	return 0, fmt.Errorf("%s: /proc status has no VmRSS", d.Name)
 }
 
-// CPU gives the processor time that a dispatcher has used.
+// CPU returns the processor time that a dispatcher has used.
 func (d *Dispatcher) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold spaces
+	_, rest, _ := strings.Cut(string(text), ") ") // the process name may contain spaces
 	f := strings.Fields(rest)
 	if len(f) < 13 {
-		return 0, fmt.Errorf("%s: stat has %d fields", d.Name, len(f))
+		return 0, fmt.Errorf("%s: /proc stat has only %d fields after the process name", d.Name, len(f))
 	}
 	user, err := strconv.ParseInt(f[11], 10, 64)
 	if err != nil {
 		return 0, err
 	}
 	system, err := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond, err // a tick is a hundredth of a second
+	return time.Duration(user+system) * 10 * time.Millisecond, err // a clock tick is 10 ms
 }
 
-// Percentile gives a value of a sorted list.
+// Percentile returns a percentile of a sorted list.
 func Percentile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -212,9 +215,11 @@
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
-// crowd is members without a program behind them, for the load that many put on the one that leads.
+// memberGroup is a group of cluster members without a dispatcher behind them, to put the load of
+// many members on the leader.
 type memberGroup struct{ nodes []*agreement.Node }
 
+// nopProgram is the program of such a member: it accepts everything and does nothing.
 type nopProgram struct{}
 
 func (nopProgram) Check(string) *agree.Fault                  { return nil }
@@ -227,7 +232,8 @@
 func (nopProgram) ServingTime() time.Duration                 { return 0 }
 func (nopProgram) WarmRates() map[string]float64              { return nil }
 
-// Crowd adds so many members to the fleet, all in this process; each has a log and links of its own.
+// AddMembers adds members to the cluster, all in this process; each has a log and connections of
+// its own.
 func (b *Bench) AddMembers(size int) (*memberGroup, error) {
 	c := &memberGroup{}
 	voters := map[string]string{}
@@ -238,7 +244,7 @@
 	}
 	var lists *agreement.Lists
 	if b.Script.Lists {
-		lists = &agreement.Lists{MaxReaders: 2} // these read nothing
+		lists = &agreement.Lists{MaxReaders: 2} // these members don't read the registry
 	}
 	for i := range size {
 		folder := filepath.Join(b.folder, fmt.Sprintf("crowd-%d", i))
@@ -258,7 +264,7 @@
 	return c, nil
 }
 
-// All waits until each member holds a version under a lease, and gives the time.
+// WaitVersion waits until each member holds a lease on a version, and returns how long that took.
 func (c *memberGroup) WaitVersion(number uint64) (time.Duration, error) {
 	began := time.Now()
 	for _, n := range c.nodes {
@@ -272,13 +278,13 @@
 	return time.Since(began), nil
 }
 
-// Listed waits until each member goes by a version of the list or a later one.
+// WaitList waits until each member uses this version of the list or a later one.
 func (c *memberGroup) WaitList(number uint64) error {
 	began := time.Now()
 	for _, n := range c.nodes {
 		for n.Status().ListVersion < number {
 			if time.Since(began) > eventualTimeout {
-				return fmt.Errorf("%s never goes by list %d", n.Status().Name, number)
+				return fmt.Errorf("%s did not use version %d of the list in time", n.Status().Name, number)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -286,9 +292,9 @@
 	return nil
 }
 
-// Close ends all members.
+// Close stops all members.
 func (c *memberGroup) Close() {
 	for _, n := range c.nodes {
-		_ = n.Close() // nothing of theirs is kept
+		_ = n.Close() // their data is not used again
 	}
 }
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -10,8 +10,9 @@
 	"standpulley/internal/program"
 )
 
-// Instructions sends so many instructions a second in all, each under a key of its own, spread over the dispatchers, and gives the
-// times of those that were served.
+// SendInstructions sends rate instructions per second in all, each under a key of its own, spread
+// over the dispatchers. It returns the latencies of those that were served, and the number of the
+// others.
 func (b *Bench) SendInstructions(rate int, span time.Duration) (took []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -37,7 +38,7 @@
 	return took, failed
 }
 
-// LedgerFigures gives those of one dispatcher.
+// LedgerFigures returns the ledger figures of one dispatcher.
 func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Stats, error) {
 	r, err := b.SendCommand(d, agreement.Command{Do: program.LedgerStatus})
 	if err != nil || r.Figures == nil {
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -14,7 +14,7 @@
 	"standpulley/internal/agreement"
 )
 
-// startApart starts dispatchers that go by their own registers alone.
+// startStandalone starts dispatchers that each use their own registry agent alone.
 func (b *Bench) startStandalone() error {
 	for _, d := range b.Dispatchers {
 		if err := b.Start(d); err != nil {
@@ -31,17 +31,18 @@
 	return nil
 }
 
-// serves waits until a dispatcher takes connections.
+// waitListening waits until a dispatcher accepts connections.
 func (d *Dispatcher) waitListening() error {
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if c, err := net.Dial("tcp", d.Listen); err == nil {
 			return c.Close()
 		}
 	}
-	return fmt.Errorf("%s never listens", d.Name)
+	return fmt.Errorf("%s did not accept connections in time", d.Name)
 }
 
-// Register changes what the register says. Each agent hears of it after the time that late gives for its dispatcher.
+// ChangeRegistry changes the registry. Each agent reports the change after the time that delay
+// returns for its dispatcher.
 func (b *Bench) ChangeRegistry(key, value string, delay func(i int) time.Duration) error {
 	if value == "restart" {
 		b.recordRestart()
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// tell has each agent hear what the register says by now, some time later.
+// notifyAgents has each agent report the present registry after a delay.
 func (b *Bench) notify(delay func(i int) time.Duration) {
 	b.registry.mu.Lock()
 	list, version := slices.Clone(b.registry.list), b.registry.version
@@ -72,11 +73,12 @@
 	}
 }
 
-// Weight gives a replica another weight in the register, which all agents hear at once.
+// SetWeight changes the weight of a replica in the registry; all agents report it at once.
 func (b *Bench) SetWeight(key string, weight float64) {
 	b.updateWeight(key, weight, func(int) time.Duration { return 0 })
 }
 
+// updateWeight changes the weight of a replica in the registry and notifies the agents.
 func (b *Bench) updateWeight(key string, weight float64, delay func(i int) time.Duration) {
 	b.registry.mu.Lock()
 	b.registry.version++
@@ -90,8 +92,8 @@
 	b.notify(delay)
 }
 
-// Move gives a replica another weight in the register, has the agents hear of it, and gives the time until the last dispatcher
-// goes by it.
+// ChangeWeight changes the weight of a replica in the registry, notifies the agents, and returns
+// the time until the last dispatcher uses the new weight.
 func (b *Bench) ChangeWeight(weight float64, delay func(i int) time.Duration) (time.Duration, error) {
 	before := uint64(0)
 	if !b.Script.Standalone {
@@ -106,7 +108,7 @@
 	return time.Since(began), err
 }
 
-// Served waits until every dispatcher serves: it answers 200 to a request.
+// WaitServing waits until every dispatcher answers a request with 200.
 func (b *Bench) WaitServing() error {
 	var waiters sync.WaitGroup
 	errs := make([]error, len(b.Dispatchers))
@@ -117,15 +119,16 @@
 					return
 				}
 			}
-			errs[i] = fmt.Errorf("%s never serves", d.Name)
+			errs[i] = fmt.Errorf("%s did not serve a request in time", d.Name)
 		})
 	}
 	waiters.Wait()
 	return errors.Join(errs...)
 }
 
-// Listed waits until every dispatcher that runs goes by a list of a version or a later one, or, where each goes by its own
-// register, until every agent has handed out what it says.
+// WaitList waits until every running dispatcher uses this version of the list or a later one. Where
+// each dispatcher uses its own agent alone, it waits until every agent has handed out the present
+// registry.
 func (b *Bench) WaitList(number uint64) error {
 	var waiters sync.WaitGroup
 	errs := make([]error, len(b.Dispatchers))
@@ -146,24 +149,24 @@
 					return
 				}
 			}
-			errs[i] = fmt.Errorf("%s never goes by list %d", d.Name, number)
+			errs[i] = fmt.Errorf("%s did not use version %d of the list in time", d.Name, number)
 		})
 	}
 	waiters.Wait()
 	return errors.Join(errs...)
 }
 
-// ListVersion gives the version of the agreed list at the first dispatcher.
+// ListVersion returns the version of the agreed list at the first dispatcher.
 func (b *Bench) ListVersion() (uint64, error) {
 	o, err := b.Status(b.Dispatchers[0])
 	return o.ListVersion, err
 }
 
-// Readers names those who read the register for all.
+// Readers returns the dispatchers that read the registry for all.
 func (b *Bench) Readers() ([]*Dispatcher, error) {
 	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	if err != nil || r.View == nil {
-		return nil, fmt.Errorf("no view: %w %s", err, r.Error)
+		return nil, fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
 	var readers []*Dispatcher
 	for _, name := range r.View.RegistryReaders {
@@ -172,7 +175,7 @@
 	return readers, nil
 }
 
-// Named gives dispatchers by name.
+// DispatchersNamed returns dispatchers by name.
 func (b *Bench) DispatchersNamed(names ...string) (dispatchers []*Dispatcher) {
 	for _, n := range names {
 		dispatchers = append(dispatchers, b.resolve(n)...)
@@ -180,7 +183,7 @@
 	return dispatchers
 }
 
-// Load sums what was asked of the register: calls answered, calls turned away, bytes handed out.
+// RegistryLoad sums up the load of the agents: calls answered, calls refused, and bytes sent.
 func (b *Bench) RegistryLoad() (answered, away, bytes int) {
 	for _, a := range b.registry.agents {
 		x, y, z := a.Load()
@@ -189,7 +192,8 @@
 	return answered, away, bytes
 }
 
-// LimitRegister has the one service behind all agents take so many calls a second, and turn the others away.
+// LimitRegistry limits the calls per second to all agents together, as if one service were behind
+// them; it refuses the others.
 func (b *Bench) LimitRegistry(calls int) {
 	l := rate.NewLimiter(rate.Limit(calls), calls)
 	for _, a := range b.registry.agents {
@@ -197,11 +201,11 @@
 	}
 }
 
-// Hang has a replica say nothing any more, as a machine without power.
+// HangReplica makes a replica stop answering, like a machine without power.
 func (b *Bench) HangReplica(replica string) { b.traffic.hung.Store(replica, true) }
 
-// Coldest gives the most that a replica was sent in a span after the last restart of all, of what the rule on cold replicas allows
-// by the load that each bore before.
+// PeakColdLoad returns the highest load of a replica in a span after the last restart of all, as a
+// ratio of what the slow-start rule allows by the load of each replica before.
 func (b *Bench) PeakColdLoad() ColdLoad {
 	b.traffic.mu.Lock()
 	defer b.traffic.mu.Unlock()
@@ -209,7 +213,7 @@
 	return r.checkColdLoad(func(string, string, ...any) {})
 }
 
-// noteStart notes that all replicas start now.
+// recordRestart records that all replicas start now.
 func (b *Bench) recordRestart() {
 	b.restartedReplicas = nil
 	for _, e := range b.registry.entries() {
@@ -217,7 +221,7 @@
 	}
 }
 
-// Halves cuts the links between two halves of the dispatchers, or mends them.
+// SetPartition cuts the links between two halves of the dispatchers, or restores them.
 func (b *Bench) SetPartition(cut bool) {
 	half, otherHalf := b.Dispatchers[:len(b.Dispatchers)/2], b.Dispatchers[len(b.Dispatchers)/2:]
 	for _, pair := range [][2][]*Dispatcher{{half, otherHalf}, {otherHalf, half}} {
@@ -230,14 +234,14 @@
 	}
 }
 
-// KillAll kills some, and StartAll starts them again.
+// KillAll kills the given dispatchers.
 func (b *Bench) KillAll(dispatchers []*Dispatcher) {
 	for _, d := range dispatchers {
 		b.Signal(d, syscall.SIGKILL)
 	}
 }
 
-// StartAll is the other half of KillAll.
+// StartAll starts the given dispatchers.
 func (b *Bench) StartAll(dispatchers []*Dispatcher) error {
 	for _, d := range dispatchers {
 		if err := b.Start(d); err != nil {
--- a/internal/proving/operators.go
+++ b/internal/proving/operators.go
@@ -12,7 +12,7 @@
 	"standpulley/internal/program"
 )
 
-// order is what an operator does to the list; he sees the list first.
+// changeList sends an operator's order about the list of replicas, which the operator reads first.
 func (p *play) changeList(s Step, d *Dispatcher) {
 	r, err := p.fleet.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
 	if err != nil || r.View == nil {
@@ -21,15 +21,15 @@
 	c := agreement.Command{Do: s.Value, ID: s.Key, By: d.Name, Why: "trial", ForMS: duration(s.Delay).Milliseconds(), Seen: r.View.Record.List.Number}
 	if s.Value == "drain" && s.WantError == "" {
 		p.watchDrain(s.Key, true)
-		p.markDrainEnd(s.Key, p.fleet.Now()+duration(s.Delay)) // it runs out then at the earliest
+		p.markDrainEnd(s.Key, p.fleet.Now()+duration(s.Delay)) // the order expires then at the earliest
 	}
 	r, err = p.fleet.SendCommand(d, c)
 	if err == nil && r.Error == "" && s.Value == "drain" {
-		p.markDrainAgreed(s.Key, p.fleet.Now()) // an order that was acknowledged is a version of the list
+		p.markDrainAgreed(s.Key, p.fleet.Now()) // an acknowledged order is part of a version of the list
 	}
 	switch {
 	case err == nil && r.Error == "" && s.WantError != "" && s.WantError != "?":
-		p.problemf("%s %s at %s was taken, wanted was: %s", s.Value, s.Key, d.Name, s.WantError)
+		p.problemf("%s %s at %s was accepted, expected the error: %s", s.Value, s.Key, d.Name, s.WantError)
 	case r.Error != "" && s.WantError != "?" && (s.WantError == "" || !strings.Contains(r.Error, s.WantError)):
 		p.problemf("%s %s at %s: %s", s.Value, s.Key, d.Name, r.Error)
 	case r.Error == "" && s.Value == "undrain":
@@ -37,7 +37,8 @@
 	}
 }
 
-// seat gives a voter's seat to its new disk, as an operator would, until it has it.
+// assignSeat assigns a voter's seat to its new log, as an operator would, and repeats that until it
+// succeeds.
 func (p *play) assignSeat(d *Dispatcher) {
 	text := ""
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -49,7 +50,8 @@
 	p.problemf("replace %s: %s", d.Name, text)
 }
 
-// accept has a holder filled from one other, once it runs and knows that it is not whole.
+// acceptLedger lets a ledger be refilled from only one other holder, and repeats the command until
+// the dispatcher runs and knows that its ledger is incomplete.
 func (p *play) acceptLedger(d *Dispatcher) {
 	text := ""
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -62,7 +64,8 @@
 	p.problemf("accept at %s: %s", d.Name, text)
 }
 
-// hup changes a dispatcher's file and sends SIGHUP; the log must name the key.
+// changeFileAndReload changes a dispatcher's file and sends SIGHUP; the log must contain the text
+// that the step wants. The file is then restored.
 func (p *play) changeFileAndReload(s Step, d *Dispatcher) {
 	before := d.config["settings"].(map[string]any)
 	next, err := changeSetting(before, s.Key, s.Value)
@@ -82,6 +85,7 @@
 	}
 }
 
+// waitLog waits until a dispatcher's log contains a text.
 func (f *Fleet) waitLog(d *Dispatcher, text string) error {
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		log, err := os.ReadFile(filepath.Join(f.folder, d.Name+".log"))
@@ -92,10 +96,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("its log never says %q", text)
+	return fmt.Errorf("its log does not contain %q", text)
 }
 
-// expect waits until a dispatcher's own view holds a word of the script.
+// expect waits until a dispatcher has the status that the step names, or its log contains the text.
 func (p *play) expect(s Step, d *Dispatcher) {
 	if text, ok := strings.CutPrefix(s.Value, "log:"); ok {
 		if err := p.fleet.waitLog(d, text); err != nil {
@@ -111,5 +115,5 @@
 			}
 		}
 	}
-	p.problemf("%s never has: %s", d.Name, s.Value)
+	p.problemf("%s did not reach the status: %s", d.Name, s.Value)
 }
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -15,13 +15,14 @@
 	"standpulley/internal/agreement"
 )
 
-// generous is how long what must happen in the end may take: liveness is not judged by the clock.
+// eventualTimeout is how long something that must happen eventually may take: liveness is not
+// judged by the clock, so it is generous.
 const eventualTimeout = 30 * time.Second
 
-// ErrStart says that a fleet did not come up: nothing was tried.
-var ErrStart = errors.New("the fleet does not start")
+// ErrStart means that a fleet did not start, so the trial did not take place.
+var ErrStart = errors.New("the fleet did not start")
 
-// play is one trial under way.
+// play is one trial in progress.
 type play struct {
 	script         Script
 	fleet          *Fleet
@@ -31,7 +32,7 @@
 	problems       []string
 	acknowledgedAt map[uint64]time.Duration
 	operations     []Operation
-	background     sync.WaitGroup // proposals under way
+	background     sync.WaitGroup // proposals and operator commands in progress
 
 	registry      *registry
 	drains        []*Drain
@@ -44,13 +45,15 @@
 	resolvedName string
 }
 
+// problemf records a failure that the script runner found.
 func (p *play) problemf(form string, args ...any) {
 	p.mu.Lock()
 	p.problems = append(p.problems, fmt.Sprintf(form, args...))
 	p.mu.Unlock()
 }
 
-// Play carries a script out in a folder and gives the record and the history of the register.
+// Play runs a script in a folder and returns the record and the history of accesses to the settings
+// record.
 func Play(s Script, program Program, folder string) (Record, []Operation, error) {
 	t, err := newTraffic()
 	if err != nil {
@@ -109,7 +112,7 @@
 	return r, p.operations, nil
 }
 
-// do carries out one step.
+// runStep runs one step.
 func (p *play) runStep(step Step) {
 	from, to := p.resolve(step.Who), p.resolve(step.To)
 	conditions := LinkConditions{Delay: duration(step.Delay), Jitter: duration(step.Delay) / 2, Rate: step.Rate}
@@ -124,7 +127,7 @@
 		for _, dir := range [][2][]*Dispatcher{{from, to}, {to, from}} {
 			p.fleet.eachRelay(dir[0], dir[1], func(r *Relay, dir int) {
 				r.Set(dir, LinkConditions{})
-				r.Reset(false) // connections with a hole in them end
+				r.Reset(false) // connections that lost bytes end
 			})
 		}
 	}
@@ -132,7 +135,7 @@
 		p.changeRegistry(step, from)
 		return
 	}
-	if step.Do == doKill { // all in one instant
+	if step.Do == doKill { // all at the same instant
 		var all sync.WaitGroup
 		for _, d := range from {
 			all.Go(func() { p.fleet.Signal(d, syscall.SIGKILL) })
@@ -145,7 +148,7 @@
 	}
 }
 
-// register changes the register, and watches what becomes of a drain.
+// changeRegistry changes the registry, and starts to observe a drain or ends it.
 func (p *play) changeRegistry(step Step, who []*Dispatcher) {
 	switch step.Value {
 	case "terminating", "gone":
@@ -171,7 +174,8 @@
 	}
 }
 
-// named is the fleet's, but that the leader or reader stays who it was when a script named it first at that time: a cut takes two steps.
+// resolve is as Fleet.resolve, but a leader or reader stays the same for 50 ms after a script named
+// it first: a cut in both directions takes two steps.
 func (p *play) resolve(name string) []*Dispatcher {
 	if name != "leader" && name != "reader" {
 		return p.fleet.resolve(name)
@@ -182,7 +186,7 @@
 	return p.resolved
 }
 
-// one carries out a step that one dispatcher is concerned with.
+// runStepOn runs a step on one dispatcher.
 func (p *play) runStepOn(step Step, d *Dispatcher) {
 	var err error
 	switch step.Do {
@@ -234,7 +238,7 @@
 	}
 }
 
-// view reads all of the record at a dispatcher, and notes the read.
+// view reads the whole settings record at a dispatcher, and adds the read to the history.
 func (p *play) view(d *Dispatcher) (*agreement.View, error) {
 	call := p.fleet.Now()
 	r, err := p.fleet.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
@@ -254,7 +258,8 @@
 	p.mu.Unlock()
 }
 
-// mend makes everything well again: links, stopped and dead processes. A voter whose disk was lost stays as it is.
+// repair undoes all faults: those of links, agents and disks, and stopped or killed processes. A
+// voter whose log was lost remains without it.
 func (p *play) repair() {
 	all := p.fleet.resolve("*")
 	p.runStep(Step{Do: doMend, Who: "*", To: "*"})
@@ -280,7 +285,8 @@
 	}
 }
 
-// settle waits until all dispatchers hold the version in force under a lease: nothing was undone and all agree again.
+// waitAgreed waits until all dispatchers hold a lease on the version in force: then nothing was
+// undone and all agree again.
 func (p *play) waitAgreed() {
 	var force uint64
 	pending := p.waitAll(func(o *agreement.Status) bool {
@@ -296,19 +302,20 @@
 			return o.LeaseMS == 0
 		}
 		if slices.Contains(p.script.NeedClass, o.Name) && o.Unfit != nil && o.LeaseMS == 0 {
-			return true // the version came into force while it had no lease; it can't act on it, and does not
+			return true // the version came into force while the dispatcher had no lease; it can't act on that version, and does not
 		}
 		if o.Unfit != nil && strings.Contains(o.Unfit.Reason, "brought this dispatcher down twice") && o.LeaseMS == 0 {
-			return true // it was killed twice right after it took that version up, and it says so
+			return true // it was killed twice right after it activated that version, and it reports so
 		}
 		return force != 0 && o.Version == force && o.LeaseMS > 0
 	})
 	if pending != "" {
-		p.problemf("in the end not all agree: %s", pending)
+		p.problemf("not all dispatchers agree at the end: %s", pending)
 	}
 }
 
-// await waits until something holds for all dispatchers, generously, and names one for which it does not.
+// waitAll waits until a condition holds for all dispatchers. At the time limit it returns a
+// description of one for which it does not hold, otherwise an empty text.
 func (p *play) waitAll(holds func(o *agreement.Status) bool) (pending string) {
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		pending = ""
@@ -329,7 +336,8 @@
 	return pending
 }
 
-// read gives the ids of requests, of those that were sent once more, that a dispatcher's log tells of.
+// readIDs returns, for each first transmission that was repeated, whether a dispatcher's log
+// contains its ID.
 func (p *play) found() map[string]bool {
 	found := map[string]bool{}
 	for _, a := range p.traffic.requests {
@@ -354,6 +362,8 @@
 	return found
 }
 
+// record collects what was observed, and the versions as the first dispatcher that answers has
+// them.
 func (p *play) record() Record {
 	r := Record{ReadIDs: p.found(), Within: duration(p.script.Within), Alone: p.script.Alone, Actions: p.traffic.actions, Requests: p.traffic.requests, Runs: p.traffic.runs, Drains: p.drains, ColdReplicas: p.coldReplicas, Downtimes: p.fleet.downtimes, Problems: p.problems}
 	for _, d := range p.fleet.Dispatchers {
@@ -364,6 +374,6 @@
 			return r
 		}
 	}
-	r.Problems = append(r.Problems, "in the end nobody shows the versions")
+	r.Problems = append(r.Problems, "no dispatcher returns the versions at the end")
 	return r
 }
--- a/internal/proving/program.go
+++ b/internal/proving/program.go
@@ -11,7 +11,8 @@
 	"standpulley/internal/program"
 )
 
-// AsDispatcher stands for the program's command line, with the fault that is to be put in, if any: what Fleet runs of it.
+// RunDispatcher runs those commands of the dispatcher program that a Fleet uses, with the fault to
+// be injected, if any.
 func RunDispatcher(args []string) error {
 	InjectFault()
 	dir := appliance.Dir(args[len(args)-1])
@@ -21,7 +22,7 @@
 	case "settings seat":
 		return program.ReclaimSeat(dir)
 	case "recovery refound", "recovery join":
-		lost, err := strconv.ParseUint(args[3], 16, 64) // after --lost
+		lost, err := strconv.ParseUint(args[3], 16, 64) // the argument after --lost
 		if err != nil {
 			return err
 		}
@@ -37,11 +38,12 @@
 	case "run --state":
 		return program.WithAsyncLog(func() error { return program.RunAppliance(dir) })
 	default:
-		return fmt.Errorf("a trial runs no %q", do)
+		return fmt.Errorf("unsupported command in a trial: %q", do)
 	}
 }
 
-// refound makes a new cluster with a voter as its first, out of what the folders of all know; the others that know the lost one leave it.
+// rebootstrap bootstraps a new cluster from the log of a voter and what the folders of all
+// dispatchers still have. The others that belong to the lost cluster leave it.
 func (p *play) rebootstrap(d *Dispatcher) error {
 	own, err := agreement.Survey(string(d.dir))
 	if err != nil {
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -12,7 +12,7 @@
 	"standpulley/internal/config"
 )
 
-// change gives the file's settings with one key changed.
+// changeSetting returns a copy of the settings with one key changed.
 func changeSetting(settings map[string]any, key, value string) (map[string]any, error) {
 	text, err := jsoniter.Marshal(settings)
 	if err != nil {
@@ -43,24 +43,24 @@
 	}
 	m, ok := at.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("%s is not a setting", key)
+		return nil, fmt.Errorf("%s is not the key of a setting", key)
 	}
 	m[parts[len(parts)-1]] = v
 	return all, nil
 }
 
-// propose makes a proposal from the version in force by then, or from Base, and waits for what becomes of it. Where another
-// one is under way it tries again, unless any refusal will do.
+// propose proposes a change to the version in force at the time, or to version Base, and waits for
+// the outcome. If another proposal is in progress it tries again, unless any outcome is accepted.
 func (p *play) propose(s Step, d *Dispatcher) {
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if !d.Running() || d.stopped.Load() || !p.tryPropose(s, d) {
-			return // nobody is there to ask, or it is done
+			return // the dispatcher is down, or the proposal is done
 		}
 	}
-	p.problemf("propose %s=%s at %s: others are under way all the time", s.Key, s.Value, d.Name)
+	p.problemf("propose %s=%s at %s: other proposals were in progress until the time limit", s.Key, s.Value, d.Name)
 }
 
-// command words a proposal by what is in force.
+// buildCommand makes the command of a proposal from the settings record.
 func buildCommand(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
 	c = agreement.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
 	if s.Do == doRollback {
@@ -68,7 +68,7 @@
 			c.Content, c.RollbackTo = v.Content, s.Base
 			return c, nil
 		}
-		return c, fmt.Errorf("version %d is not kept", s.Base)
+		return c, fmt.Errorf("version %d is no longer kept", s.Base)
 	}
 	if s.Base != 0 {
 		c.Base = s.Base
@@ -77,11 +77,11 @@
 	return c, err
 }
 
-// tries makes one proposal; it tells whether to try again.
+// tryPropose makes one proposal and reports whether to try again.
 func (p *play) tryPropose(s Step, d *Dispatcher) (again bool) {
 	view, err := p.view(d)
 	if err != nil {
-		return s.WantError != "?" // nobody can know now what to propose it from
+		return s.WantError != "?" // the version in force can't be read now, so there is nothing to propose a change to
 	}
 	c, err := buildCommand(s, d, view)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	op := Operation{Call: p.fleet.Now(), Base: c.Base, Kind: "propose", Dispatcher: d.Name}
 	r, err := p.fleet.SendCommand(d, c)
-	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // by another proposal
+	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // conflict with another proposal
 	switch {
 	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
@@ -106,7 +106,7 @@
 	return false
 }
 
-// follow waits until a version that was entered is in force or turned down.
+// waitDecided waits until a recorded version is in force, turned down or withdrawn.
 func (p *play) waitDecided(d *Dispatcher, number uint64, op Operation, s Step) {
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !d.Running() {
@@ -118,7 +118,7 @@
 		}
 		v := view.Record.Version(number)
 		if v == nil {
-			p.problemf("version %d was entered and is not there", number)
+			p.problemf("version %d was recorded but is missing", number)
 			return
 		}
 		switch v.State {
@@ -132,14 +132,14 @@
 			op.Return, op.Number = now, number
 			p.recordOperation(op)
 			if s.WantError != "" && s.WantError != "?" {
-				p.problemf("version %d (%s=%s) is in force, wanted was: %s", number, s.Key, s.Value, s.WantError)
+				p.problemf("version %d (%s=%s) is in force, expected the error: %s", number, s.Key, s.Value, s.WantError)
 			}
 			return
 		case agree.TurnedDown, agree.Withdrawn:
 			if s.WantError == "" {
 				p.problemf("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
 			} else if s.WantError != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.WantError) {
-				p.problemf("version %d: turned down for %v, wanted was %s", number, v.Fault, s.WantError)
+				p.problemf("version %d: turned down because of %v, expected the error: %s", number, v.Fault, s.WantError)
 			}
 			return
 		}
@@ -148,6 +148,7 @@
 	p.recordOperation(op)
 }
 
+// editContent returns the content of a version with one key changed.
 func editContent(content, key, value string) (string, error) {
 	var all map[string]any
 	if err := jsoniter.UnmarshalFromString(content, &all); err != nil {
--- a/internal/proving/proving_test.go
+++ b/internal/proving/proving_test.go
@@ -11,7 +11,8 @@
 	"standpulley/internal/agree"
 )
 
-// TestMain lets the test's own binary stand for the program, with the fault that is to be put in, if any.
+// TestMain runs the test binary as the dispatcher program, with a fault injected if one is named,
+// where the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("STANDPULLEY_AS_PROGRAM") == "" {
 		os.Exit(m.Run())
@@ -23,10 +24,11 @@
 	os.Exit(0)
 }
 
-// atOnce is how many trials run together: their processes mostly wait.
+// maxParallel is how many trials run at the same time: their processes mostly wait.
 const maxParallel = 4
 
-// The hard cases, each a script with a name: several processes, with faults between them, judged from outside.
+// TestNamedScripts runs the hard cases, each a script with a name: several processes with faults
+// between them, judged from outside.
 func TestNamedScripts(t *testing.T) {
 	files, err := filepath.Glob("scripts/*.toml")
 	if err != nil || len(files) < 14 {
@@ -52,16 +54,16 @@
 				t.Error(f)
 			}
 			if !IsLinearizable(history) {
-				t.Error("no order of the proposals explains what was read")
+				t.Error("the history of proposals and reads is not linearizable")
 			}
 			if j.Served == 0 || j.Actions == 0 {
-				t.Errorf("nothing was served, so nothing is shown: %+v", j)
+				t.Errorf("nothing was served, so the trial shows nothing: %+v", j)
 			}
 			logs, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 			for _, name := range logs {
 				text, err := os.ReadFile(name)
 				if err != nil || strings.Contains(string(text), "DATA RACE") || strings.Contains(string(text), "panic: ") {
-					t.Errorf("%s: %v, or a race or a panic in it:\n%s", name, err, text)
+					t.Errorf("%s: %v, or the log has a data race or a panic:\n%s", name, err, text)
 				}
 				if t.Failed() {
 					t.Logf("%s:\n%s", filepath.Base(name), tail(string(text)))
@@ -71,7 +73,7 @@
 	}
 }
 
-// tail gives the last lines that are not about requests.
+// tail returns the last lines of a log that are not about requests.
 func tail(text string) string {
 	var some []string
 	for line := range strings.Lines(text) {
@@ -82,6 +84,8 @@
 	return strings.Join(some[max(0, len(some)-25):], "")
 }
 
+// TestScriptRoundTrip checks that scripts can be printed and parsed back, that a seed always makes
+// the same script, and that invalid scripts are refused.
 func TestScriptRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		shape := GeneratorOptions{Voters: 5, Others: 10, Within: time.Second, Lists: seed%2 == 0, Ledger: []string{"", "site", "process"}[seed%3]}
@@ -91,18 +95,18 @@
 			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, s, again)
 		}
 		if Generate(seed, shape).String() != s.String() {
-			t.Fatalf("seed %d draws two scripts", seed)
+			t.Fatalf("seed %d makes two different scripts", seed)
 		}
 	}
 	for _, bad := range []string{"voters = 4\nwithin='1s'\nlast='1s'", "voters = 3\nwithin='x'\nlast='1s'", "voters=3\nwithin='1s'\nlast='1s'\nfoo=1",
 		"voters=3\nwithin='1s'\nlast='1s'\n[[step]]\nat='1s'\ndo='sing'"} {
 		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("an invalid script was accepted: %s", bad)
 		}
 	}
 }
 
-// The judge must find what breaks the promise, and nothing else.
+// TestJudge checks that the judge reports each violation of a rule, and nothing else.
 func TestJudge(t *testing.T) {
 	keys := func(limit, credit string) map[string]string {
 		return map[string]string{"limits.try_limit": limit, "services.0.credit": credit}
@@ -119,55 +123,55 @@
 		rule string
 		with func(r *Record)
 	}{
-		{"all well", "", func(*Record) {}},
-		{"just within", "", func(r *Record) { r.Actions = append(r.Actions, send("1-aa11", 6*sec)) }},
-		{"too late", "within", func(r *Record) { r.Actions = append(r.Actions, send("1-aa11", 6*sec+1)) }},
-		{"too late but safe", "", func(r *Record) {
+		{"no violation", "", func(*Record) {}},
+		{"old version used at the limit", "", func(r *Record) { r.Actions = append(r.Actions, send("1-aa11", 6*sec)) }},
+		{"old version used too late", "within", func(r *Record) { r.Actions = append(r.Actions, send("1-aa11", 6*sec+1)) }},
+		{"used too late, but safe mode allows the request", "", func(r *Record) {
 			r.Alone = "safe"
 			late := send("1-aa11", 9*sec)
 			late.ID = "a"
 			r.Actions = append(r.Actions, late)
 		}},
-		{"too late and not safe", "within", func(r *Record) {
+		{"used too late for an at-most-once request in safe mode", "within", func(r *Record) {
 			r.Alone, r.Requests[0].AtMostOnce = "safe", true
 			late := send("1-aa11", 9*sec)
 			late.ID = "a"
 			r.Actions = append(r.Actions, late)
 		}},
-		{"taken too late", "within", func(r *Record) {
+		{"request accepted too late", "within", func(r *Record) {
 			late := ok
 			late.Sent, late.Done = 7*sec, 8*sec
 			r.Requests = append(r.Requests, late)
 		}},
 		{"no contradiction", "", func(r *Record) { r.Actions = append(r.Actions, send("3-cc33", 7*sec), send("2-bb22", 20*sec)) }},
-		{"too late, and brought back since", "", func(r *Record) {
+		{"used too late, after a later version restored it", "", func(r *Record) {
 			r.Versions[3] = Version{5, "ee55", agree.InForce, keys("6", "1"), 0}
 			r.Actions = append(r.Actions, send("5-ee55", 8*sec), send("1-aa11", 9*sec))
 		}},
-		{"too late, and brought back after", "within", func(r *Record) {
+		{"used too late, before a later version restored it", "within", func(r *Record) {
 			r.Versions[3] = Version{5, "ee55", agree.InForce, keys("6", "1"), 0}
 			r.Actions = append(r.Actions, send("5-ee55", 8*sec), send("1-aa11", 7*sec))
 		}},
-		{"turned down", "turned down", func(r *Record) { r.Actions = append(r.Actions, send("4-dd44", 7*sec)) }},
-		{"unknown", "known", func(r *Record) { r.Actions = append(r.Actions, send("9-ee55", 7*sec)) }},
-		{"two contents", "one content", func(r *Record) { r.Actions = append(r.Actions, send("2-ffff", 7*sec)) }},
+		{"version that was turned down", "turned down", func(r *Record) { r.Actions = append(r.Actions, send("4-dd44", 7*sec)) }},
+		{"unknown version", "known", func(r *Record) { r.Actions = append(r.Actions, send("9-ee55", 7*sec)) }},
+		{"two fingerprints of one version", "one content", func(r *Record) { r.Actions = append(r.Actions, send("2-ffff", 7*sec)) }},
 		{"acknowledged and lost", "lost", func(r *Record) { r.Versions[3].AcknowledgedAt = sec }},
-		{"no answer", "lost", func(r *Record) {
+		{"request without an answer", "lost", func(r *Record) {
 			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o1", Sent: sec, Done: 2 * sec})
 		}},
-		{"no answer of one that was down", "", func(r *Record) {
+		{"no answer from a dispatcher that was down", "", func(r *Record) {
 			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o2", Sent: sec, Done: 2 * sec})
 		}},
-		{"sent once more, as it was not read", "", func(r *Record) { r.Requests[0].ResendOf = "b" }},
-		{"sent once more, and was read", "lost", func(r *Record) { r.Requests[0].ResendOf, r.ReadIDs = "b", map[string]bool{"b": true} }},
-		{"sent once more, and no answer", "lost", func(r *Record) {
+		{"resent, and the first transmission was not read", "", func(r *Record) { r.Requests[0].ResendOf = "b" }},
+		{"resent, but the first transmission was read", "lost", func(r *Record) { r.Requests[0].ResendOf, r.ReadIDs = "b", map[string]bool{"b": true} }},
+		{"resent, but without an answer", "lost", func(r *Record) {
 			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o1", Sent: sec, Done: 2 * sec, ResendOf: "b"})
 		}},
-		{"a stream cut", "lost", func(r *Record) {
+		{"answer cut off", "lost", func(r *Record) {
 			r.Requests = append(r.Requests, ClientRequest{Dispatcher: "o1", Sent: sec, Done: 2 * sec, Status: 200})
 		}},
-		{"twice", "twice", func(r *Record) { r.Requests[0].AtMostOnce, r.Runs["a"] = true, 2 }},
-		{"no mark", "mark", func(r *Record) { r.Actions = append(r.Actions, send("", sec)) }},
+		{"at-most-once request executed twice", "twice", func(r *Record) { r.Requests[0].AtMostOnce, r.Runs["a"] = true, 2 }},
+		{"no version tag", "mark", func(r *Record) { r.Actions = append(r.Actions, send("", sec)) }},
 	} {
 		r := Record{Within: sec, Actions: []Action{send("1-aa11", sec), send("2-bb22", 5*sec)}, Requests: []ClientRequest{ok}, Runs: map[string]int{"a": 1},
 			Versions: append([]Version(nil), versions...), Downtimes: map[string][][2]time.Duration{"o2": {{sec / 2, 0}}}}
@@ -183,6 +187,7 @@
 	}
 }
 
+// TestIsLinearizable checks which histories of the settings record are accepted.
 func TestIsLinearizable(t *testing.T) {
 	propose := func(call, ret int, base, number uint64) Operation {
 		return Operation{Kind: "propose", Call: time.Duration(call), Return: time.Duration(ret), Base: base, Number: number}
@@ -195,14 +200,14 @@
 		history []Operation
 		want    bool
 	}{
-		"plain":                     {[]Operation{show(0, 1, 1), propose(2, 5, 1, 2), show(6, 7, 2)}, true},
-		"read early":                {[]Operation{propose(2, 9, 1, 2), show(3, 4, 2), show(5, 6, 2)}, true},
-		"gone back":                 {[]Operation{propose(2, 5, 1, 2), show(6, 7, 1)}, false},
-		"two from one base":         {[]Operation{propose(2, 5, 1, 2), propose(6, 9, 1, 3)}, false},
-		"unknown, happened":         {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 3)}, true},
-		"unknown, never":            {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 2)}, true},
-		"unknown, came and went":    {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 3), show(32, 33, 2)}, false},
-		"a number that nobody made": {[]Operation{show(30, 31, 7)}, false},
+		"plain":                           {[]Operation{show(0, 1, 1), propose(2, 5, 1, 2), show(6, 7, 2)}, true},
+		"read early":                      {[]Operation{propose(2, 9, 1, 2), show(3, 4, 2), show(5, 6, 2)}, true},
+		"older version read":              {[]Operation{propose(2, 5, 1, 2), show(6, 7, 1)}, false},
+		"two from one base":               {[]Operation{propose(2, 5, 1, 2), propose(6, 9, 1, 3)}, false},
+		"unknown outcome, took effect":    {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 3)}, true},
+		"unknown outcome, took no effect": {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 2)}, true},
+		"unknown outcome, undone":         {[]Operation{propose(2, 5, 1, 2), unknown, show(30, 31, 3), show(32, 33, 2)}, false},
+		"number of no proposal":           {[]Operation{show(30, 31, 7)}, false},
 	} {
 		if IsLinearizable(x.history) != x.want {
 			t.Errorf("%s: %v", name, !x.want)
