--- a/internal/proving/cold_load.go
+++ b/internal/proving/cold_load.go
@@ -49,7 +49,7 @@
 // busiest span before the start, whichever is higher. The rule has a margin for random variation:
 // here two standard deviations of that number of attempts. The result is the highest load that was
 // found.
-func (r *Record) checkColdLoad(report func(rule, form string, args ...any)) (most ColdLoad) {
+func (r *Record) checkColdLoad(report func(rule, format string, args ...any)) (most ColdLoad) {
 	sends := r.sendTimes()
 	coldReplicas := map[string]ColdReplica{}
 	for _, c := range r.ColdReplicas {
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -238,11 +238,11 @@
 
 // scaled returns the capacities multiplied by x.
 func scaled(k recovery.WarmRates, x float64) recovery.WarmRates {
-	all := recovery.WarmRates{}
+	result := recovery.WarmRates{}
 	for name, y := range k {
-		all[name] = x * y
+		result[name] = x * y
 	}
-	return all
+	return result
 }
 
 const (
@@ -278,7 +278,9 @@
 
 func (f *lossyDisk) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
 	if f.loseEntries {
-		if hard != nil { // entries and hard state on disk must stay consistent, or the loss would be detected at the start
+		// Entries and hard state on disk must stay consistent, or the loss would be detected at the
+		// start.
+		if hard != nil {
 			if err := f.Log.Storage().SetHardState(hard); err != nil {
 				return err
 			}
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -59,8 +59,8 @@
 
 // initialSettings returns the settings of version 1.
 func initialSettings(dispatchers int) map[string]any {
-	class := func(name, repeat string, worth float64) map[string]any {
-		return map[string]any{"name": name, "repeat": repeat, "goal_time_us": 1500000, "deadline_us": 4000000, "credit": worth, "late_worth": 0.3}
+	class := func(name, repeat string, credit float64) map[string]any {
+		return map[string]any{"name": name, "repeat": repeat, "goal_time_us": 1500000, "deadline_us": 4000000, "credit": credit, "late_worth": 0.3}
 	}
 	return map[string]any{
 		"siblings": dispatchers, "zone": "z", "host_types": []string{"reader", "writer"},
@@ -215,9 +215,9 @@
 	d.exited = make(chan struct{})
 	d.stopped.Store(false)
 	d.terminating.Store(false)
-	go func(cmd *exec.Cmd, ended chan struct{}) {
+	go func(cmd *exec.Cmd, exited chan struct{}) {
 		_ = cmd.Wait() // whoever ended the process judges how it exited
-		close(ended)
+		close(exited)
 		_ = log.Close()
 	}(d.cmd, d.exited)
 	go f.waitUp(d, d.exited)
@@ -226,10 +226,10 @@
 
 // waitUp marks a dispatcher as up once it accepts connections. How long it takes to start depends
 // on its disk.
-func (f *Fleet) waitUp(d *Dispatcher, ended chan struct{}) {
+func (f *Fleet) waitUp(d *Dispatcher, exited chan struct{}) {
 	for {
 		select {
-		case <-ended:
+		case <-exited:
 			return
 		default:
 		}
@@ -262,8 +262,7 @@
 	f.downtimes[d.Name] = append(f.downtimes[d.Name], [2]time.Duration{f.Now(), 0})
 }
 
-// markUp records that a dispatcher is up again. Requests may still be affected by its start for 3
-// s.
+// markUp records that a dispatcher is up again. Its start may affect requests for another 3 s.
 func (f *Fleet) markUp(d *Dispatcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proving/generate.go
+++ b/internal/proving/generate.go
@@ -18,8 +18,8 @@
 
 // Generate makes a script from a seed: some faults, each undone after a while, with proposals in
 // between.
-func Generate(seed uint64, shape GeneratorOptions) Script {
-	voters, others, within := shape.Voters, shape.Others, shape.Within
+func Generate(seed uint64, options GeneratorOptions) Script {
+	voters, others, within := options.Voters, options.Others, options.Within
 	r := rand.New(rand.NewPCG(seed, 20))
 	s := Script{Name: fmt.Sprintf("seed-%d", seed), Seed: seed, Voters: voters, Others: others, Within: within.String(), Rate: 8,
 		Alone: "stop"}
@@ -88,7 +88,8 @@
 	for range 3 + r.IntN(4) {
 		st := Step{Do: doPropose, Who: anyDispatcher(), Key: "limits.try_limit", Value: fmt.Sprint(1 + r.IntN(6)), WantError: "?"}
 		if len(s.NeedClass) > 0 && r.IntN(3) == 0 {
-			st.Key, st.Value = "services.1.name", `"transfer"` // o1 turns it down, or it comes into force while o1 has no lease
+			// o1 turns it down, or it comes into force while o1 has no lease
+			st.Key, st.Value = "services.1.name", `"transfer"`
 			st.Who = fmt.Sprintf("v%d", 1+r.IntN(voters))
 		}
 		if r.IntN(6) == 0 {
@@ -96,18 +97,18 @@
 		}
 		add(span(0.1, 5), st)
 	}
-	if shape.Lists {
+	if options.Lists {
 		s.Lists = true
 		s.addRegistryChanges(r, anyDispatcher, span, add)
 	}
-	if shape.OrderedRecovery {
+	if options.OrderedRecovery {
 		s.Lists, s.OrderedRecovery = true, true
 	}
-	if shape.Ledger != "" && shape.OrderedRecovery {
-		s.Ledger, s.PowerLoss, s.Rate = shape.Ledger, true, 12
+	if options.Ledger != "" && options.OrderedRecovery {
+		s.Ledger, s.PowerLoss, s.Rate = options.Ledger, true, 12
 		last = s.addPowerRecovery(r, add)
-	} else if shape.Ledger != "" {
-		s.Ledger, s.PowerLoss, s.Rate = shape.Ledger, shape.Ledger != "process", 24
+	} else if options.Ledger != "" {
+		s.Ledger, s.PowerLoss, s.Rate = options.Ledger, options.Ledger != "process", 24
 		s.addLedgerFaults(r, span, add)
 	}
 	sort.SliceStable(s.Steps, func(i, j int) bool { return duration(s.Steps[i].At) < duration(s.Steps[j].At) })
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -60,10 +60,13 @@
 }
 
 const (
-	ledgerOff      = "off" // Script.Ledger: clients repeat instructions, but the dispatchers keep no common ledger
+	// ledgerOff, as Script.Ledger, makes clients repeat instructions while the dispatchers keep no
+	// common ledger.
+	ledgerOff      = "off"
 	maxRepeats     = 8
 	maxRepeatDelay = 400 * time.Millisecond // upper bound
-	twinOneIn      = 5                      // one in this many instructions is sent to two dispatchers at the same instant
+	// One in twinOneIn instructions is sent to two dispatchers at the same instant.
+	twinOneIn = 5
 )
 
 func newInstructionSet(seed uint64, f *Fleet) *instructionSet {
@@ -192,7 +195,7 @@
 
 // checkInstructions reports instructions that ran twice, and ones that ran though the ledger rules
 // that out.
-func (r *Record) checkInstructions(report func(rule, form string, args ...any), j *Judgement) {
+func (r *Record) checkInstructions(report func(rule, format string, args ...any), j *Judgement) {
 	for _, o := range r.Instructions {
 		j.Instructions.Sent++
 		switch {
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -33,7 +33,9 @@
 	Err        error
 	VersionTag string
 	Complete   bool
-	ResendOf   string // ID of the first transmission, where the connection had ended before the dispatcher read it
+	// ResendOf is the ID of the first transmission, if this is the second one: the connection of
+	// the first had ended before the dispatcher read it.
+	ResendOf string
 }
 
 // Version is what the voters report about one settings version at the end of a trial.
@@ -47,18 +49,22 @@
 
 // Record is everything that was observed in a trial.
 type Record struct {
-	Within       time.Duration
-	Alone        string
-	Actions      []Action
-	Requests     []ClientRequest
-	ReadIDs      map[string]bool // for each first transmission that was repeated: whether a dispatcher's log shows that it accepted the request
-	Runs         map[string]int  // executions at writers, by request ID
+	Within   time.Duration
+	Alone    string
+	Actions  []Action
+	Requests []ClientRequest
+	// ReadIDs says, for each first transmission that was repeated, whether a dispatcher's log shows
+	// that the dispatcher accepted it.
+	ReadIDs      map[string]bool
+	Runs         map[string]int // executions at writers, by request ID
 	Drains       []*Drain
 	ColdReplicas []ColdReplica
 	Instructions []Instruction
 	Versions     []Version
-	Downtimes    map[string][][2]time.Duration // when each dispatcher was killed, stopped or sent SIGTERM, and until when requests may have been affected; an end of 0 means that it did not come back
-	Problems     []string                      // failures that the script runner itself found
+	// Downtimes are the periods from when a dispatcher was killed, stopped or sent SIGTERM until
+	// its restart no longer affected requests. An end of 0 means that it was not restarted.
+	Downtimes map[string][][2]time.Duration
+	Problems  []string // failures that the script runner itself found
 }
 
 // Finding is one violation of a rule.
@@ -71,15 +77,20 @@
 
 // Judgement holds the findings of the judge and summary figures of a trial.
 type Judgement struct {
-	Findings             []Finding
-	LongestContradiction time.Duration // the longest time for which two contradicting versions were acted on, as far as the record shows
+	Findings []Finding
+	// LongestContradiction is the longest time for which two contradicting versions were acted on,
+	// as far as the record shows.
+	LongestContradiction time.Duration
 	Actions              int
 	Served               int
 	Refused              int
 	Failed               int
-	Unanswered           int               // requests without an answer whose dispatcher was down meanwhile
-	Instructions         InstructionCounts // instructions that clients repeat under the same key
-	PeakColdLoad         float64           // highest load of a cold replica in a span, as a ratio of what the rule allows
+	// Unanswered are requests without an answer whose dispatcher was down meanwhile.
+	Unanswered   int
+	Instructions InstructionCounts // instructions that clients repeat under the same key
+	// PeakColdLoad is the highest load of a cold replica in a span, as a ratio of what the
+	// slow-start rule allows.
+	PeakColdLoad float64
 }
 
 // maxAnswerTime bounds how long a client waits for an answer from a dispatcher that is up, beyond
@@ -91,9 +102,9 @@
 // was first seen in force is used instead, which can't be earlier.
 func Judge(r Record) Judgement {
 	j := Judgement{}
-	report := func(rule, form string, args ...any) {
+	report := func(rule, format string, args ...any) {
 		if len(j.Findings) < 20 {
-			j.Findings = append(j.Findings, Finding{rule, fmt.Sprintf(form, args...)})
+			j.Findings = append(j.Findings, Finding{rule, fmt.Sprintf(format, args...)})
 		}
 	}
 	for _, text := range r.Problems {
@@ -146,18 +157,19 @@
 	}
 	exempt := map[string]bool{}
 	for _, a := range r.Requests {
-		exempt[a.ID] = r.Alone == "safe" && !a.AtMostOnce // requests that a dispatcher in the "safe" mode may continue after it lost contact
+		// requests that a dispatcher in the "safe" mode may continue after it lost contact
+		exempt[a.ID] = r.Alone == "safe" && !a.AtMostOnce
 	}
 	contradictions := map[[2]uint64]bool{}
 	contradicts := func(a, b uint64) bool {
 		key := [2]uint64{a, b}
-		is, ok := contradictions[key]
+		result, ok := contradictions[key]
 		if !ok {
 			va, vb := versions[a], versions[b]
-			is = va != nil && vb != nil && len(agree.ConflictingKeys(va.Keys, vb.Keys)) > 0
-			contradictions[key] = is
+			result = va != nil && vb != nil && len(agree.ConflictingKeys(va.Keys, vb.Keys)) > 0
+			contradictions[key] = result
 		}
-		return is
+		return result
 	}
 	// restored reports whether a version after later, in force by the given time, no longer
 	// contradicts version n. A dispatcher that crashed twice after it activated its newest version
--- a/internal/proving/linearizable.go
+++ b/internal/proving/linearizable.go
@@ -30,7 +30,9 @@
 			case op.Kind == "show":
 				return now == op.Number, now
 			case op.Unknown:
-				return true, now // unreachable: proposals with an unknown outcome have no number and are left out below
+				// not reached: proposals with an unknown outcome have no number and are left out
+				// below
+				return true, now
 			}
 			return now == op.Base, op.Number
 		},
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -52,7 +52,8 @@
 	if err := b.WaitVersion(1); err != nil {
 		return b, err
 	}
-	time.Sleep(duration(s.Within)) // a new leader first waits for leases that it doesn't know of to expire
+	// a new leader first waits for leases that it doesn't know of to expire
+	time.Sleep(duration(s.Within))
 	b.startTraffic()
 	return b, nil
 }
@@ -119,7 +120,8 @@
 		return 0, fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
 	b.sequence++
-	content, err := editContent(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.sequence)) // this change does not affect how requests are served
+	// this change does not affect how requests are served
+	content, err := editContent(r.View.Record.InForce().Content, "obligations.drain_grace_us", strconv.Itoa(1000000+b.sequence))
 	if err != nil {
 		return 0, err
 	}
@@ -150,7 +152,7 @@
 // EarnedShare returns the share of the possible credit that was earned by requests sent to the
 // given dispatchers in a stretch of time, and the latencies of the served ones. An enquiry is worth
 // 3, an instruction 2. It waits until all of them have been answered.
-func (b *Bench) EarnedShare(dispatchers []*Dispatcher, from, to time.Duration) (share float64, took []time.Duration) {
+func (b *Bench) EarnedShare(dispatchers []*Dispatcher, from, to time.Duration) (share float64, latencies []time.Duration) {
 	time.Sleep(to + clientTimeout + 500*time.Millisecond - b.Now())
 	b.traffic.mu.Lock()
 	defer b.traffic.mu.Unlock()
@@ -159,18 +161,18 @@
 		if a.Sent < from || a.Sent >= to || !slices.ContainsFunc(dispatchers, func(d *Dispatcher) bool { return d.Name == a.Dispatcher }) {
 			continue
 		}
-		worth := 3.0
+		credit := 3.0
 		if a.AtMostOnce {
-			worth = 2
+			credit = 2
 		}
-		possible += worth
+		possible += credit
 		if a.Status == 200 && a.Complete {
-			earned += worth
-			took = append(took, a.Done-a.Sent)
+			earned += credit
+			latencies = append(latencies, a.Done-a.Sent)
 		}
 	}
-	slices.Sort(took)
-	return earned / max(possible, 1), took
+	slices.Sort(latencies)
+	return earned / max(possible, 1), latencies
 }
 
 // Memory returns the resident memory of a dispatcher, in MB.
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -13,7 +13,7 @@
 // SendInstructions sends rate instructions per second in all, each under a key of its own, spread
 // over the dispatchers. It returns the latencies of those that were served, and the number of the
 // others.
-func (b *Bench) SendInstructions(rate int, span time.Duration) (took []time.Duration, failed int) {
+func (b *Bench) SendInstructions(rate int, span time.Duration) (latencies []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	tick := time.NewTicker(time.Second / time.Duration(rate))
@@ -27,7 +27,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if a.Status == 200 && a.Complete {
-				took = append(took, a.Done-a.Sent)
+				latencies = append(latencies, a.Done-a.Sent)
 			} else {
 				failed++
 			}
@@ -35,7 +35,7 @@
 	}
 	b.sequence++
 	all.Wait()
-	return took, failed
+	return latencies, failed
 }
 
 // LedgerFigures returns the ledger figures of one dispatcher.
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -184,12 +184,12 @@
 }
 
 // RegistryLoad sums up the load of the agents: calls answered, calls refused, and bytes sent.
-func (b *Bench) RegistryLoad() (answered, away, bytes int) {
+func (b *Bench) RegistryLoad() (answered, refused, bytes int) {
 	for _, a := range b.registry.agents {
 		x, y, z := a.Load()
-		answered, away, bytes = answered+x, away+y, bytes+z
+		answered, refused, bytes = answered+x, refused+y, bytes+z
 	}
-	return answered, away, bytes
+	return answered, refused, bytes
 }
 
 // LimitRegistry limits the calls per second to all agents together, as if one service were behind
@@ -225,8 +225,8 @@
 func (b *Bench) SetPartition(cut bool) {
 	half, otherHalf := b.Dispatchers[:len(b.Dispatchers)/2], b.Dispatchers[len(b.Dispatchers)/2:]
 	for _, pair := range [][2][]*Dispatcher{{half, otherHalf}, {otherHalf, half}} {
-		b.eachRelay(pair[0], pair[1], func(r *Relay, pair int) {
-			r.Set(pair, LinkConditions{Drop: cut})
+		b.eachRelay(pair[0], pair[1], func(r *Relay, dir int) {
+			r.Set(dir, LinkConditions{Drop: cut})
 			if !cut {
 				r.Reset(false)
 			}
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -46,36 +46,36 @@
 }
 
 // problemf records a failure that the script runner found.
-func (p *play) problemf(form string, args ...any) {
+func (p *play) problemf(format string, args ...any) {
 	p.mu.Lock()
-	p.problems = append(p.problems, fmt.Sprintf(form, args...))
+	p.problems = append(p.problems, fmt.Sprintf(format, args...))
 	p.mu.Unlock()
 }
 
 // Play runs a script in a folder and returns the record and the history of accesses to the settings
 // record.
-func Play(s Script, program Program, folder string) (Record, []Operation, error) {
+func Play(script Script, program Program, folder string) (Record, []Operation, error) {
 	t, err := newTraffic()
 	if err != nil {
 		return Record{}, nil, err
 	}
 	defer t.close()
-	if s.Fault != "" {
-		program.Env = append(slices.Clone(program.Env), FaultEnv+"="+s.Fault)
+	if script.Fault != "" {
+		program.Env = append(slices.Clone(program.Env), FaultEnv+"="+script.Fault)
 	}
-	if s.PowerLoss {
-		program.Env = append(slices.Clone(program.Env), fmt.Sprintf("%s=%d", PowerLossEnv, s.Seed))
+	if script.PowerLoss {
+		program.Env = append(slices.Clone(program.Env), fmt.Sprintf("%s=%d", PowerLossEnv, script.Seed))
 	}
-	f, err := NewFleet(s, program, folder, t.list, t.spare)
+	f, err := NewFleet(script, program, folder, t.list, t.spare)
 	if err != nil {
 		return Record{}, nil, err
 	}
 	defer f.Close()
 	t.now = f.Now
-	if s.Ledger != "" {
-		t.instructions = newInstructionSet(s.Seed, f)
+	if script.Ledger != "" {
+		t.instructions = newInstructionSet(script.Seed, f)
 	}
-	p := &play{script: s, fleet: f, traffic: t, registry: f.registry, acknowledgedAt: map[uint64]time.Duration{}}
+	p := &play{script: script, fleet: f, traffic: t, registry: f.registry, acknowledgedAt: map[uint64]time.Duration{}}
 	if text, err := f.Run(f.Dispatchers[0], "settings", "init"); err != nil {
 		return Record{}, nil, fmt.Errorf("settings init: %w: %s", err, text)
 	}
@@ -90,14 +90,14 @@
 	go t.measureStalls()
 	for _, d := range f.Dispatchers {
 		t.inFlight.Add(1)
-		go t.sendLoop(d, s.Rate)
+		go t.sendLoop(d, script.Rate)
 	}
 	p.began = f.Now()
-	for _, step := range s.Steps {
+	for _, step := range script.Steps {
 		time.Sleep(p.began + duration(step.At) - f.Now())
 		p.runStep(step)
 	}
-	time.Sleep(p.began + duration(s.Last) - f.Now())
+	time.Sleep(p.began + duration(script.Last) - f.Now())
 	p.repair()
 	p.background.Wait()
 	p.waitAgreed()
@@ -107,7 +107,7 @@
 	t.inFlight.Wait()
 	r := p.record()
 	if t.instructions != nil {
-		r.Instructions = t.instructions.collectFates(p, s.Ledger == ledgerOff)
+		r.Instructions = t.instructions.collectFates(p, script.Ledger == ledgerOff)
 	}
 	return r, p.operations, nil
 }
@@ -124,8 +124,8 @@
 	case doReset:
 		p.fleet.eachRelay(from, to, func(r *Relay, _ int) { r.Reset(true) })
 	case doMend:
-		for _, dir := range [][2][]*Dispatcher{{from, to}, {to, from}} {
-			p.fleet.eachRelay(dir[0], dir[1], func(r *Relay, dir int) {
+		for _, pair := range [][2][]*Dispatcher{{from, to}, {to, from}} {
+			p.fleet.eachRelay(pair[0], pair[1], func(r *Relay, dir int) {
 				r.Set(dir, LinkConditions{})
 				r.Reset(false) // connections that lost bytes end
 			})
@@ -302,7 +302,9 @@
 			return o.LeaseMS == 0
 		}
 		if slices.Contains(p.script.NeedClass, o.Name) && o.Unfit != nil && o.LeaseMS == 0 {
-			return true // the version came into force while the dispatcher had no lease; it can't act on that version, and does not
+			// the version came into force while the dispatcher had no lease; it can't act on that
+			// version, and does not
+			return true
 		}
 		if o.Unfit != nil && strings.Contains(o.Unfit.Reason, "brought this dispatcher down twice") && o.LeaseMS == 0 {
 			return true // it was killed twice right after it activated that version, and it reports so
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -81,7 +81,8 @@
 func (p *play) tryPropose(s Step, d *Dispatcher) (again bool) {
 	view, err := p.view(d)
 	if err != nil {
-		return s.WantError != "?" // the version in force can't be read now, so there is nothing to propose a change to
+		// the version in force can't be read now, so there is nothing to propose a change to
+		return s.WantError != "?"
 	}
 	c, err := buildCommand(s, d, view)
 	if err != nil {
@@ -90,7 +91,8 @@
 	}
 	op := Operation{Call: p.fleet.Now(), Base: c.Base, Kind: "propose", Dispatcher: d.Name}
 	r, err := p.fleet.SendCommand(d, c)
-	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // conflict with another proposal
+	// conflict with another proposal
+	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since")
 	switch {
 	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
--- a/internal/proving/proving_test.go
+++ b/internal/proving/proving_test.go
@@ -75,26 +75,26 @@
 
 // tail returns the last lines of a log that are not about requests.
 func tail(text string) string {
-	var some []string
+	var kept []string
 	for line := range strings.Lines(text) {
 		if strings.Contains(line, "agreement:") || strings.Contains(line, "peers:") || strings.Contains(line, "SIGHUP") || strings.Contains(line, "panic") {
-			some = append(some, line)
+			kept = append(kept, line)
 		}
 	}
-	return strings.Join(some[max(0, len(some)-25):], "")
+	return strings.Join(kept[max(0, len(kept)-25):], "")
 }
 
 // TestScriptRoundTrip checks that scripts can be printed and parsed back, that a seed always makes
 // the same script, and that invalid scripts are refused.
 func TestScriptRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
-		shape := GeneratorOptions{Voters: 5, Others: 10, Within: time.Second, Lists: seed%2 == 0, Ledger: []string{"", "site", "process"}[seed%3]}
-		s := Generate(seed, shape)
+		options := GeneratorOptions{Voters: 5, Others: 10, Within: time.Second, Lists: seed%2 == 0, Ledger: []string{"", "site", "process"}[seed%3]}
+		s := Generate(seed, options)
 		again, err := Parse([]byte(s.String()))
 		if err != nil || again.String() != s.String() {
 			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, s, again)
 		}
-		if Generate(seed, shape).String() != s.String() {
+		if Generate(seed, options).String() != s.String() {
 			t.Fatalf("seed %d makes two different scripts", seed)
 		}
 	}
--- a/internal/proving/registry.go
+++ b/internal/proving/registry.go
@@ -131,8 +131,9 @@
 
 // Drain is the drain or removal of a replica, as seen from outside.
 type Drain struct {
-	Replica    string
-	AgreedAt   time.Duration            // when the agreed list was first seen without the replica in service; 0 if never
+	Replica string
+	// AgreedAt is when the agreed list was first seen without the replica in service; 0 if never.
+	AgreedAt   time.Duration
 	NotifiedAt map[string]time.Duration // by dispatcher: when its own registry agent reported the drain
 	EndsAt     time.Duration            // earliest time at which the drain may end; 0 if it does not end
 	ByOperator bool                     // ordered by an operator, so that the registry does not end it
@@ -233,7 +234,7 @@
 // after the dispatcher's own agent reported the drain, or more than Within after the agreed list
 // was seen without the replica. Exempt are the requests that a dispatcher without contact may
 // continue by the last list that it knew.
-func (r *Record) checkDrains(exempt map[string]bool, report func(rule, form string, args ...any)) {
+func (r *Record) checkDrains(exempt map[string]bool, report func(rule, format string, args ...any)) {
 	for _, d := range r.Drains {
 		for _, a := range r.Actions {
 			dispatcher, _, _ := strings.Cut(a.ID, "-")
--- a/internal/proving/script.go
+++ b/internal/proving/script.go
@@ -55,7 +55,9 @@
 	Ledger          string `toml:"ledger,omitempty"`
 	OrderedRecovery bool   `toml:"order,omitempty"` // with Lists: dispatchers recover in stages
 	PowerLoss       bool   `toml:"power,omitempty"` // a killed process loses what it had not synced
-	Standalone      bool   `toml:"apart,omitempty"` // with Lists: no cluster at all; each dispatcher uses its own registry agent alone
+	// Standalone, with Lists, runs dispatchers without a cluster: each uses its own registry agent
+	// alone.
+	Standalone bool `toml:"apart,omitempty"`
 	// NeedClass are dispatchers whose own configuration needs the class "instruction", so that they
 	// turn down a version that renames it in services.*.name.
 	NeedClass []string `toml:"picky,omitempty"`
@@ -77,29 +79,34 @@
 	// Key is the setting that propose and hup change, and Value its new value as JSON.
 	Key   string `toml:"key,omitempty"`
 	Value string `toml:"value,omitempty"`
-	Base  uint64 `toml:"base,omitempty"` // for propose: the version that it is made from; 0 for the one in force at the time
-	// WantError, for propose, hup, rollback and list, is a text that the error must contain; "?"
-	// accepts any outcome. For hup, the log must contain it.
+	// Base, for propose and rollback, is the version that the proposal is made from or goes back
+	// to. For propose, 0 means the version in force at the time.
+	Base uint64 `toml:"base,omitempty"`
+	// WantError is a text that the error of propose, rollback or list must contain; "?" accepts any
+	// outcome. For hup it is a text that the log must contain.
 	WantError string `toml:"wants,omitempty"`
 }
 
 // The kinds of steps. Who is the dispatcher of the step, To the other end of its links.
 const (
-	doCut         = "cut"      // drops what Who sends to To; connections stay open
-	doMend        = "mend"     // undoes all faults of the links between Who and To
-	doDelay       = "delay"    // delays what Who sends to To by Delay and up to half as much jitter
-	doThrottle    = "throttle" // as delay, and limits it to Rate bytes per second
-	doReset       = "reset"    // resets connections between Who and To and refuses new ones
-	doKill        = "kill"
-	doStart       = "start"
-	doStop        = "stop" // sends SIGSTOP
-	doCont        = "cont"
-	doTerm        = "term"
-	doLoseDisk    = "lose"     // kills Who and deletes its cluster log
-	doRemoveDisk  = "away"     // moves away the cluster log of Who, which is not running
-	doReturnDisk  = "back"     // kills Who and puts the log that was moved away in place of its present one
-	doRebootstrap = "refound"  // bootstraps a new cluster at Who from what all folders still have; no dispatcher is running
-	doReplace     = "replace"  // starts Who without a log, and an operator assigns its seat to it
+	doCut        = "cut"      // drops what Who sends to To; connections stay open
+	doMend       = "mend"     // undoes all faults of the links between Who and To
+	doDelay      = "delay"    // delays what Who sends to To by Delay and up to half as much jitter
+	doThrottle   = "throttle" // as delay, and limits it to Rate bytes per second
+	doReset      = "reset"    // resets connections between Who and To and refuses new ones
+	doKill       = "kill"
+	doStart      = "start"
+	doStop       = "stop" // sends SIGSTOP
+	doCont       = "cont"
+	doTerm       = "term"
+	doLoseDisk   = "lose" // kills Who and deletes its cluster log
+	doRemoveDisk = "away" // moves away the cluster log of Who, which is not running
+	// doReturnDisk kills Who and puts the log that was moved away in place of its present one.
+	doReturnDisk = "back"
+	// doRebootstrap bootstraps a new cluster at Who from what all folders still have; no dispatcher
+	// is running.
+	doRebootstrap = "refound"
+	doReplace     = "replace"  // starts Who, whose log was deleted; an operator assigns its seat to the new log
 	doPropose     = "propose"  // proposes a change of a setting at Who
 	doRollback    = "rollback" // proposes the content of version Base at Who
 	doHup         = "hup"      // changes a value in Who's file and sends SIGHUP
@@ -107,15 +114,25 @@
 	// the replica Key, "gone", "new", "restart" (all replicas restart cold), "half" (all replicas
 	// whose IDs begin with Key are removed), "empty", "back:N", "mute", "unmute", "again",
 	// "reborn", "many:N", "twice" or "kind"; registry.apply explains them.
-	doRegistry      = "register"
-	doSurge         = "crowd"   // multiplies the requests at Who by Rate from now on; the additional ones are of one customer
+	doRegistry = "register"
+	// doSurge multiplies the requests at Who by Rate from now on; the additional ones are of one
+	// customer.
+	doSurge         = "crowd"
 	doLoseLedger    = "forget"  // kills Who and deletes its ledger
 	doCopyLedger    = "copy"    // copies the ledger file of Who
 	doRestoreLedger = "restore" // kills Who and replaces its ledger by that copy
-	doAcceptLedger  = "accept"  // an operator at Who lets its ledger be refilled from only one other ledger holder
-	doLedgerDisk    = "disk"    // Value "stall" blocks Who's syncs, "full" makes them fail, "well" ends both
-	doListOrder     = "list"    // an operator at Who orders Value, which is drain, undrain, hold or confirm, for the replica Key
-	doExpect        = "expect"  // waits until Who's status is Value, "lease" or "no lease", or its log contains the text after "log:"
+	// doAcceptLedger has an operator at Who let its ledger be refilled from only one other ledger
+	// holder.
+	doAcceptLedger = "accept"
+	// doLedgerDisk blocks Who's ledger syncs with the value "stall", makes them fail with "full",
+	// and ends both with "well".
+	doLedgerDisk = "disk"
+	// doListOrder has an operator at Who order Value, which is drain, undrain, hold or confirm, for
+	// the replica Key.
+	doListOrder = "list"
+	// doExpect waits until Who's status is Value, "lease" or "no lease", or its log contains the
+	// text after "log:".
+	doExpect = "expect"
 )
 
 var stepNames = map[string]bool{doCut: true, doMend: true, doDelay: true, doThrottle: true, doReset: true, doKill: true, doStart: true, doStop: true,
--- a/internal/proving/traffic.go
+++ b/internal/proving/traffic.go
@@ -40,20 +40,23 @@
 
 const (
 	readTime      = 30 * time.Millisecond
-	readers       = 2
-	writers       = 3
-	spares        = 4                       // running, but not in the registry at first
+	readerCount   = 2
+	writerCount   = 3
+	spareCount    = 4                       // running, but not in the registry at first
 	clientTimeout = 3500 * time.Millisecond // how long clients wait for an answer
-	fullOneIn     = 7                       // where clients repeat: one in this many attempts at a writer is refused without being executed
-	brokenOneIn   = 11                      // one in this many answers of a writer fails before it begins
+	// Where clients repeat instructions, a writer refuses one in refuseOneIn attempts without
+	// executing it.
+	refuseOneIn = 7
+	// A writer's answer to one in failOneIn attempts fails before it begins.
+	failOneIn = 11
 )
 
 func newTraffic() (*traffic, error) {
 	t := &traffic{runs: map[string]int{}, stop: make(chan struct{}), freshClient: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		client: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second}}}
-	for i := range readers + writers + spares {
+	for i := range readerCount + writerCount + spareCount {
 		kind, handle := "reader", t.handleRead
-		if i >= readers && i < readers+writers || i%2 == 0 && i >= readers {
+		if i >= readerCount && i < readerCount+writerCount || i%2 == 0 && i >= readerCount {
 			kind, handle = "writer", t.handleWrite
 		}
 		name := fmt.Sprintf("%s-%d", kind, i)
@@ -63,7 +66,7 @@
 		}
 		t.replicas = append(t.replicas, r)
 		e := standin.Entry{ID: name, Addr: r.Addr, Zone: "z", Kind: kind, State: "in_service", Weight: 1}
-		if i < readers+writers {
+		if i < readerCount+writerCount {
 			t.list = append(t.list, e)
 		} else {
 			t.spare = append(t.spare, e)
@@ -83,10 +86,10 @@
 func (t *traffic) recordAttempt(x *standin.Exchange, name string) {
 	to := t.now()
 	from := to - time.Duration(t.maxStall.Load())
-	mark := string(x.Req.Header.Peek("X-Settings"))
+	tag := string(x.Req.Header.Peek("X-Settings"))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.actions = append(t.actions, Action{Kind: "send", ID: x.ID, Replica: name, VersionTag: mark, From: from, To: to})
+	t.actions = append(t.actions, Action{Kind: "send", ID: x.ID, Replica: name, VersionTag: tag, From: from, To: to})
 }
 
 // handleRead answers a read.
@@ -103,7 +106,7 @@
 	t.waitIfHung(name)
 	t.mu.Lock()
 	n := len(t.actions)
-	if t.instructions != nil && n%fullOneIn == 0 {
+	if t.instructions != nil && n%refuseOneIn == 0 {
 		t.mu.Unlock()
 		x.Status(http.StatusServiceUnavailable, true, "full")
 		return
@@ -113,7 +116,7 @@
 	if t.instructions != nil {
 		t.instructions.countRun(x)
 	}
-	if n%brokenOneIn == 0 {
+	if n%failOneIn == 0 {
 		x.Status(http.StatusInternalServerError, false, "spoilt")
 		return
 	}
@@ -122,7 +125,7 @@
 
 // waitIfHung blocks for longer than any client waits, if the replica is meant to be without power.
 func (t *traffic) waitIfHung(name string) {
-	if _, is := t.hung.Load(name); is {
+	if _, hung := t.hung.Load(name); hung {
 		time.Sleep(2 * clientTimeout)
 	}
 }
@@ -195,7 +198,8 @@
 // sendNumbered sends a dispatcher the request with this number. Odd numbers are instructions.
 func (t *traffic) sendNumbered(d *Dispatcher, n int, customer string) ClientRequest {
 	id := fmt.Sprintf("%s-%06d", d.Name, n)
-	return t.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: id, Customer: customer, AtMostOnce: n%2 == 1}, "", `"`+id+`"`) // a body of its own
+	// each request has a body of its own
+	return t.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: id, Customer: customer, AtMostOnce: n%2 == 1}, "", `"`+id+`"`)
 }
 
 // sendWithResend sends a request, under an idempotency key if one is given. As the protocol
