--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -84,7 +84,7 @@
 }
 
 // sendInstruction sends an instruction and repeats it until its outcome is known.
-func (t *traffic) instr(d *Dispatcher, n int) {
+func (t *traffic) sendInstruction(d *Dispatcher, n int) {
 	defer t.inFlight.Done()
 	o := t.instructions
 	instr := &Instruction{Name: fmt.Sprintf("%s-%06d", d.Name, n)}
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -50,12 +50,12 @@
 	if err := b.registry.apply(key, value, nil); err != nil {
 		return err
 	}
-	b.notify(delay)
+	b.notifyAgents(delay)
 	return nil
 }
 
 // notifyAgents has each agent report the present registry after a delay.
-func (b *Bench) notify(delay func(i int) time.Duration) {
+func (b *Bench) notifyAgents(delay func(i int) time.Duration) {
 	b.registry.mu.Lock()
 	list, version := slices.Clone(b.registry.list), b.registry.version
 	b.registry.mu.Unlock()
@@ -89,7 +89,7 @@
 		}
 	}
 	b.registry.mu.Unlock()
-	b.notify(delay)
+	b.notifyAgents(delay)
 }
 
 // ChangeWeight changes the weight of a replica in the registry, notifies the agents, and returns
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -340,7 +340,7 @@
 
 // readIDs returns, for each first transmission that was repeated, whether a dispatcher's log
 // contains its ID.
-func (p *play) found() map[string]bool {
+func (p *play) readIDs() map[string]bool {
 	found := map[string]bool{}
 	for _, a := range p.traffic.requests {
 		if a.ResendOf != "" {
@@ -367,7 +367,7 @@
 // record collects what was observed, and the versions as the first dispatcher that answers has
 // them.
 func (p *play) record() Record {
-	r := Record{ReadIDs: p.found(), Within: duration(p.script.Within), Alone: p.script.Alone, Actions: p.traffic.actions, Requests: p.traffic.requests, Runs: p.traffic.runs, Drains: p.drains, ColdReplicas: p.coldReplicas, Downtimes: p.fleet.downtimes, Problems: p.problems}
+	r := Record{ReadIDs: p.readIDs(), Within: duration(p.script.Within), Alone: p.script.Alone, Actions: p.traffic.actions, Requests: p.traffic.requests, Runs: p.traffic.runs, Drains: p.drains, ColdReplicas: p.coldReplicas, Downtimes: p.fleet.downtimes, Problems: p.problems}
 	for _, d := range p.fleet.Dispatchers {
 		if view, err := p.view(d); err == nil {
 			for _, v := range view.Record.Versions {
--- a/internal/proving/traffic.go
+++ b/internal/proving/traffic.go
@@ -169,7 +169,7 @@
 		}
 		t.inFlight.Add(1)
 		if t.instructions != nil && n%2 == 1 {
-			go t.instr(d, n)
+			go t.sendInstruction(d, n)
 		} else {
 			go t.sendAndRecord(d, n, "")
 		}
