--- a/internal/proving/cold_load.go
+++ b/internal/proving/cold_load.go
@@ -11,7 +11,7 @@
 type ColdReplica struct {
 	Replica   string
 	Kind      string
-	StartedAt time.Duration // when it started
+	StartedAt time.Duration
 }
 
 // The slow-start rule, as version 1 of a trial's settings states it. Within any span of fallTime,
@@ -44,11 +44,11 @@
 const minColdCapacity = 10
 
 // checkColdLoad reports spans in which all dispatchers together sent a cold replica more than the
-// slow-start rule allows. Replicas in a trial have no set capacity, so the load of others of their
-// kind is taken for it: the mean of the warm ones in the same span, or the mean of all in the
-// busiest span before the start, whichever is higher. The rule has a margin for random variation:
-// here two standard deviations of that number of attempts. The result is the highest load that was
-// found.
+// slow-start rule allows, and returns the highest load that it found. Replicas in a trial have no
+// set capacity, so the load of others of their kind is taken for it: the mean of the warm ones in
+// the same span, or the mean of all in the busiest span before the start, whichever is higher. The
+// rule allows for random variation: here by two standard deviations of the allowed number of
+// attempts.
 func (r *Record) checkColdLoad(report func(rule, format string, args ...any)) (most ColdLoad) {
 	sends := r.sendTimes()
 	coldReplicas := map[string]ColdReplica{}
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -31,9 +31,9 @@
 	Served        int // complete answers
 	MayHaveRun    int // answers 424: it may have run
 	Runs          int // executions, counted by the writers
-	Fate          ledger.Status
-	ListedUnknown bool // listed among the instructions of unknown fate at the end
-	FateRead      bool // Fate could be read at the end
+	LedgerStatus  ledger.Status
+	ListedUnknown bool // listed among the instructions of unknown status at the end
+	StatusRead    bool // LedgerStatus could be read at the end
 }
 
 // InstructionCounts sums up the instructions of a trial.
@@ -64,7 +64,7 @@
 	// common ledger.
 	ledgerOff      = "off"
 	maxRepeats     = 8
-	maxRepeatDelay = 400 * time.Millisecond // upper bound
+	maxRepeatDelay = 400 * time.Millisecond
 	// One in twinOneIn instructions is sent to two dispatchers at the same instant.
 	twinOneIn = 5
 )
@@ -150,9 +150,9 @@
 	return false
 }
 
-// collectFates asks the dispatchers, once all faults are undone, for the fate of each instruction
-// without an answer. If off is set there is no ledger to ask.
-func (o *instructionSet) collectFates(p *play, off bool) []Instruction {
+// collectStatuses asks the first dispatcher, once all faults are undone, for the ledger status of
+// each instruction without a complete answer. If off is set there is no ledger to ask.
+func (o *instructionSet) collectStatuses(p *play, off bool) []Instruction {
 	listed := map[string]bool{}
 	var err error
 	if off {
@@ -172,7 +172,7 @@
 		}
 	}
 	if err != nil && !off {
-		p.problemf("the instructions of unknown fate can't be listed: %v", err)
+		p.problemf("the instructions of unknown status can't be listed: %v", err)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -184,7 +184,7 @@
 			key, _ := once.Key(&h, "", nil)
 			r, err := o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
 			if err == nil && r.Error == "" && len(r.Ledger) == 1 {
-				instr.Fate, instr.FateRead = r.Ledger[0].Entry.Status(), true
+				instr.LedgerStatus, instr.StatusRead = r.Ledger[0].Entry.Status(), true
 			}
 			instr.ListedUnknown = listed[key.String()]
 		}
@@ -210,17 +210,17 @@
 			j.Instructions.RanTwice++
 			report("twice", "instruction %s ran %d times in %d transmissions", o.Name, o.Runs, o.Sends)
 		}
-		if !o.FateRead {
+		if !o.StatusRead {
 			continue
 		}
-		if o.Fate == ledger.Unknown {
+		if o.LedgerStatus == ledger.Unknown {
 			j.Instructions.Unknown++
 			if !o.ListedUnknown {
-				report("unknown", "instruction %s is of unknown fate and not listed", o.Name)
+				report("unknown", "instruction %s has an unknown status and is not listed", o.Name)
 			}
 		}
-		if o.Runs > 0 && (o.Fate == ledger.NeverSent || o.Fate == ledger.NotRun) {
-			report("forgotten", "instruction %s ran, but the ledger says: %v", o.Name, o.Fate)
+		if o.Runs > 0 && (o.LedgerStatus == ledger.NeverSent || o.LedgerStatus == ledger.NotRun) {
+			report("forgotten", "instruction %s ran, but the ledger says: %v", o.Name, o.LedgerStatus)
 		}
 	}
 }
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -16,7 +16,7 @@
 	Dispatcher string // empty where a replica observed it: the request doesn't name the dispatcher
 	Kind       string // "take" (a request was accepted) or "send" (an attempt was sent)
 	ID         string // request ID
-	Replica    string // the replica that an attempt was sent to
+	Replica    string // the replica that an attempt was sent to; empty for "take"
 	VersionTag string // settings version and its fingerprint, as in the X-Settings header
 	From, To   time.Duration
 }
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -107,7 +107,7 @@
 	t.inFlight.Wait()
 	r := p.record()
 	if t.instructions != nil {
-		r.Instructions = t.instructions.collectFates(p, script.Ledger == ledgerOff)
+		r.Instructions = t.instructions.collectStatuses(p, script.Ledger == ledgerOff)
 	}
 	return r, p.operations, nil
 }
--- a/internal/proving/script.go
+++ b/internal/proving/script.go
@@ -68,7 +68,7 @@
 
 // Step is one event of a script. Dispatchers are named v1, v2, ... (voters) and o1, o2, ...
 // (others); "leader" is the voter that leads, "reader" one of the dispatchers that read the
-// registry for all, "*" all dispatchers.
+// registry for all others, and "*" stands for all dispatchers.
 type Step struct {
 	At    string `toml:"at"`
 	Do    string `toml:"do"`
@@ -111,9 +111,10 @@
 	doRollback    = "rollback" // proposes the content of version Base at Who
 	doHup         = "hup"      // changes a value in Who's file and sends SIGHUP
 	// doRegistry changes the registry and has Who's agents report the change. Value is a state of
-	// the replica Key, "gone", "new", "restart" (all replicas restart cold), "half" (all replicas
-	// whose IDs begin with Key are removed), "empty", "back:N", "mute", "unmute", "again",
-	// "reborn", "many:N", "twice" or "kind"; registry.apply explains them.
+	// the replica Key or one of the following, which registry.apply explains: "gone", "new",
+	// "restart" (all replicas restart cold), "half" (all replicas whose IDs begin with Key are
+	// removed), "empty", "back:N", "mute", "unmute", "again", "reborn", "many:N", "twice" and
+	// "kind".
 	doRegistry = "register"
 	// doSurge multiplies the requests at Who by Rate from now on; the additional ones are of one
 	// customer.
--- a/internal/proving/traffic.go
+++ b/internal/proving/traffic.go
@@ -75,14 +75,14 @@
 	return t, nil
 }
 
-// kindOf returns the kind of a replica, which its ID begins with.
+// kindOf returns the kind of a replica, which is the first part of its ID.
 func kindOf(name string) string {
 	kind, _, _ := strings.Cut(name, "-")
 	return kind
 }
 
-// recordAttempt records an attempt that has arrived at a replica. It was sent at the latest now,
-// and at the earliest before the longest recent stall of this process.
+// recordAttempt records an attempt that has arrived at a replica. It was sent no later than now,
+// and no earlier than now minus the longest recent stall of this process.
 func (t *traffic) recordAttempt(x *standin.Exchange, name string) {
 	to := t.now()
 	from := to - time.Duration(t.maxStall.Load())
