--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -68,10 +68,10 @@
 		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
 	"entries-unwritten": {Description: "log entries are acknowledged but not written", inject: func() {
-		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyDisk{Log: l, loseEntries: true} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyLogWriter{Log: l, loseEntries: true} }
 	}},
 	"vote-unwritten": {Description: "votes and terms are sent but not written", inject: func() {
-		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyDisk{Log: l} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyLogWriter{Log: l} }
 	}},
 	"wall-clock-back": {Description: "the wall clock is an hour behind", inject: func() {
 		program.AgreementHooks.WallClock = func() time.Time { return time.Now().Add(-time.Hour) }
@@ -269,14 +269,14 @@
 	return w.Lease.MaySend(once, again)
 }
 
-// lossyDisk is the disk of a log that loses entries or hard states when the process ends: it
+// lossyLogWriter writes a log that loses entries or hard states when the process ends: it
 // acknowledges them but keeps them in memory only.
-type lossyDisk struct {
+type lossyLogWriter struct {
 	*raftlog.Log
 	loseEntries bool // lose entries; otherwise hard states
 }
 
-func (f *lossyDisk) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
+func (f *lossyLogWriter) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
 	if f.loseEntries {
 		// Entries and hard state on disk must stay consistent, or the loss would be detected at the
 		// start.
