--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -10,9 +10,10 @@
 	"standpulley/internal/program"
 )
 
-// Instructions sends so many instructions a second in all, each under a key of its own, spread over the dispatchers, and gives the
-// times of those that were served.
-func (b *Bench) SendInstructions(rate int, span time.Duration) (took []time.Duration, failed int) {
+// SendInstructions sends rate instructions per second in all, each under a key of its own, spread
+// over the dispatchers. It returns the latencies of those that were served, and the number of the
+// others.
+func (b *Bench) SendInstructions(rate int, span time.Duration) (latencies []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	tick := time.NewTicker(time.Second / time.Duration(rate))
@@ -20,26 +21,26 @@
 	n := 0
 	for end := b.Now() + span; b.Now() < end; n++ {
 		<-tick.C
-		d, key := b.Dispatchers[n%len(b.Dispatchers)], fmt.Sprintf("m-%d-%d-%d", rate, b.next, n)
+		d, key := b.Dispatchers[n%len(b.Dispatchers)], fmt.Sprintf("m-%d-%d-%d", rate, b.sequence, n)
 		all.Go(func() {
-			a := b.t.send(d, Asked{Who: d.Name, ID: key, Once: true}, key, "{}")
+			a := b.traffic.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: key, AtMostOnce: true}, key, "{}")
 			mu.Lock()
 			defer mu.Unlock()
-			if a.Status == 200 && a.Whole {
-				took = append(took, a.Done-a.Sent)
+			if a.Status == 200 && a.Complete {
+				latencies = append(latencies, a.Done-a.Sent)
 			} else {
 				failed++
 			}
 		})
 	}
-	b.next++
+	b.sequence++
 	all.Wait()
-	return took, failed
+	return latencies, failed
 }
 
-// LedgerFigures gives those of one dispatcher.
+// LedgerFigures returns the ledger figures of one dispatcher.
 func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Stats, error) {
-	r, err := b.Ask(d, agreement.Command{Do: program.LedgerStatus})
+	r, err := b.SendCommand(d, agreement.Command{Do: program.LedgerStatus})
 	if err != nil || r.Figures == nil {
 		return bookkeeping.Stats{}, fmt.Errorf("no figures: %w %s", err, r.Error)
 	}
--- a/internal/proving/subject.go
+++ b/internal/proving/program.go
@@ -11,9 +11,10 @@
 	"standpulley/internal/program"
 )
 
-// AsDispatcher stands for the program's command line, with the fault that is to be put in, if any: what Fleet runs of it.
+// RunDispatcher runs those commands of the dispatcher program that a Fleet uses, with the fault to
+// be injected, if any.
 func RunDispatcher(args []string) error {
-	PutIn()
+	InjectFault()
 	dir := appliance.Dir(args[len(args)-1])
 	switch do := strings.Join(args[:2], " "); do {
 	case "settings init":
@@ -21,7 +22,7 @@
 	case "settings seat":
 		return program.ReclaimSeat(dir)
 	case "recovery refound", "recovery join":
-		lost, err := strconv.ParseUint(args[3], 16, 64) // after --lost
+		lost, err := strconv.ParseUint(args[3], 16, 64) // the argument after --lost
 		if err != nil {
 			return err
 		}
@@ -37,27 +38,28 @@
 	case "run --state":
 		return program.WithAsyncLog(func() error { return program.RunAppliance(dir) })
 	default:
-		return fmt.Errorf("a trial runs no %q", do)
+		return fmt.Errorf("unsupported command in a trial: %q", do)
 	}
 }
 
-// refound makes a new cluster with a voter as its first, out of what the folders of all know; the others that know the lost one leave it.
-func (p *play) refound(d *Dispatcher) error {
+// rebootstrap bootstraps a new cluster from the log of a voter and what the folders of all
+// dispatchers still have. The others that belong to the lost cluster leave it.
+func (p *play) rebootstrap(d *Dispatcher) error {
 	own, err := agreement.Survey(string(d.dir))
 	if err != nil {
 		return err
 	}
 	lost := strconv.FormatUint(own.Cluster, 16)
-	args, left := []string{"recovery", "refound", "--lost", lost}, []*Dispatcher{}
-	for _, x := range p.f.Dispatchers {
+	args, members := []string{"recovery", "refound", "--lost", lost}, []*Dispatcher{}
+	for _, x := range p.fleet.Dispatchers {
 		if r, err := agreement.Survey(string(x.dir)); err == nil && x != d && r.Cluster == own.Cluster {
-			args, left = append(args, "--from", string(x.dir)), append(left, x)
+			args, members = append(args, "--from", string(x.dir)), append(members, x)
 		}
 	}
-	text, err := p.f.Run(d, args...)
-	for _, x := range left {
+	text, err := p.fleet.Run(d, args...)
+	for _, x := range members {
 		if err == nil {
-			text, err = p.f.Run(x, "recovery", "join", "--lost", lost)
+			text, err = p.fleet.Run(x, "recovery", "join", "--lost", lost)
 		}
 	}
 	if err != nil {
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -12,8 +12,8 @@
 	"standpulley/internal/config"
 )
 
-// change gives the file's settings with one key changed.
-func change(settings map[string]any, key, value string) (map[string]any, error) {
+// changeSetting returns a copy of the settings with one key changed.
+func changeSetting(settings map[string]any, key, value string) (map[string]any, error) {
 	text, err := jsoniter.Marshal(settings)
 	if err != nil {
 		return nil, err
@@ -43,72 +43,74 @@
 	}
 	m, ok := at.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("%s is not a setting", key)
+		return nil, fmt.Errorf("%s is not the key of a setting", key)
 	}
 	m[parts[len(parts)-1]] = v
 	return all, nil
 }
 
-// propose makes a proposal from the version in force by then, or from Base, and waits for what becomes of it. Where another
-// one is under way it tries again, unless any refusal will do.
+// propose proposes a change to the version in force at the time, or to version Base, and waits for
+// the outcome. If another proposal is in progress it tries again, unless any outcome is accepted.
 func (p *play) propose(s Step, d *Dispatcher) {
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if !d.Running() || d.stopped.Load() || !p.tries(s, d) {
-			return // nobody is there to ask, or it is done
+	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if !d.Running() || d.stopped.Load() || !p.tryPropose(s, d) {
+			return // the dispatcher is down, or the proposal is done
 		}
 	}
-	p.fault("propose %s=%s at %s: others are under way all the time", s.Key, s.Value, d.Name)
+	p.problemf("propose %s=%s at %s: other proposals were in progress until the time limit", s.Key, s.Value, d.Name)
 }
 
-// command words a proposal by what is in force.
-func command(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
+// buildCommand makes the command of a proposal from the settings record.
+func buildCommand(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
 	c = agreement.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
 	if s.Do == doRollback {
 		if v := view.Record.Version(s.Base); v != nil {
 			c.Content, c.RollbackTo = v.Content, s.Base
 			return c, nil
 		}
-		return c, fmt.Errorf("version %d is not kept", s.Base)
+		return c, fmt.Errorf("version %d is no longer kept", s.Base)
 	}
 	if s.Base != 0 {
 		c.Base = s.Base
 	}
-	c.Content, err = edited(view.Record.InForce().Content, s.Key, s.Value)
+	c.Content, err = editContent(view.Record.InForce().Content, s.Key, s.Value)
 	return c, err
 }
 
-// tries makes one proposal; it tells whether to try again.
-func (p *play) tries(s Step, d *Dispatcher) (again bool) {
+// tryPropose makes one proposal and reports whether to try again.
+func (p *play) tryPropose(s Step, d *Dispatcher) (again bool) {
 	view, err := p.view(d)
 	if err != nil {
-		return s.Wants != "?" // nobody can know now what to propose it from
+		// the version in force can't be read now, so there is nothing to propose a change to
+		return s.WantError != "?"
 	}
-	c, err := command(s, d, view)
+	c, err := buildCommand(s, d, view)
 	if err != nil {
-		p.fault("propose: %v", err)
+		p.problemf("propose: %v", err)
 		return false
 	}
-	op := Operation{Call: p.f.Now(), Base: c.Base, Kind: "propose", Who: d.Name}
-	r, err := p.f.Ask(d, c)
-	crossed := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since") // by another proposal
+	op := Operation{Call: p.fleet.Now(), Base: c.Base, Kind: "propose", Dispatcher: d.Name}
+	r, err := p.fleet.SendCommand(d, c)
+	// conflict with another proposal
+	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since")
 	switch {
 	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
-		p.note(op)
+		p.recordOperation(op)
 	case r.Error == "":
-		p.follow(d, r.Number, op, s)
-	case s.Wants == "?" || s.Wants != "" && strings.Contains(r.Error, s.Wants):
-	case crossed:
+		p.waitDecided(d, r.Number, op, s)
+	case s.WantError == "?" || s.WantError != "" && strings.Contains(r.Error, s.WantError):
+	case conflict:
 		return true
 	default:
-		p.fault("propose %s=%s at %s: %s", s.Key, s.Value, d.Name, r.Error)
+		p.problemf("propose %s=%s at %s: %s", s.Key, s.Value, d.Name, r.Error)
 	}
 	return false
 }
 
-// follow waits until a version that was entered is in force or turned down.
-func (p *play) follow(d *Dispatcher, number uint64, op Operation, s Step) {
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// waitDecided waits until a recorded version is in force, turned down or withdrawn.
+func (p *play) waitDecided(d *Dispatcher, number uint64, op Operation, s Step) {
+	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !d.Running() {
 			break
 		}
@@ -118,42 +120,43 @@
 		}
 		v := view.Record.Version(number)
 		if v == nil {
-			p.fault("version %d was entered and is not there", number)
+			p.problemf("version %d was recorded but is missing", number)
 			return
 		}
 		switch v.State {
 		case agree.InForce, agree.Superseded:
-			now := p.f.Now()
+			now := p.fleet.Now()
 			p.mu.Lock()
-			if _, ok := p.acked[number]; !ok {
-				p.acked[number] = now
+			if _, ok := p.acknowledgedAt[number]; !ok {
+				p.acknowledgedAt[number] = now
 			}
 			p.mu.Unlock()
 			op.Return, op.Number = now, number
-			p.note(op)
-			if s.Wants != "" && s.Wants != "?" {
-				p.fault("version %d (%s=%s) is in force, wanted was: %s", number, s.Key, s.Value, s.Wants)
+			p.recordOperation(op)
+			if s.WantError != "" && s.WantError != "?" {
+				p.problemf("version %d (%s=%s) is in force, expected the error: %s", number, s.Key, s.Value, s.WantError)
 			}
 			return
 		case agree.TurnedDown, agree.Withdrawn:
-			if s.Wants == "" {
-				p.fault("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
-			} else if s.Wants != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.Wants) {
-				p.fault("version %d: turned down for %v, wanted was %s", number, v.Fault, s.Wants)
+			if s.WantError == "" {
+				p.problemf("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
+			} else if s.WantError != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.WantError) {
+				p.problemf("version %d: turned down because of %v, expected the error: %s", number, v.Fault, s.WantError)
 			}
 			return
 		}
 	}
 	op.Unknown = true
-	p.note(op)
+	p.recordOperation(op)
 }
 
-func edited(content, key, value string) (string, error) {
+// editContent returns the content of a version with one key changed.
+func editContent(content, key, value string) (string, error) {
 	var all map[string]any
 	if err := jsoniter.UnmarshalFromString(content, &all); err != nil {
 		return "", err
 	}
-	all, err := change(all, key, value)
+	all, err := changeSetting(all, key, value)
 	if err != nil {
 		return "", err
 	}
--- a/internal/proving/relay.go
+++ b/internal/proving/relay.go
@@ -8,62 +8,63 @@
 	"time"
 )
 
-// Weather is what a link does to what is sent over it in one direction.
-type Weather struct {
-	Lost   bool          // bytes vanish; the connection stays open and silent
-	Delay  time.Duration // of each piece
-	Jitter time.Duration // added, drawn from 0 to this
-	Rate   int           // bytes a second; 0 for no limit
+// LinkConditions says what a link does to the bytes that are sent over it in one direction.
+type LinkConditions struct {
+	Drop   bool          // bytes are dropped; the connection stays open and idle
+	Delay  time.Duration // added to each chunk
+	Jitter time.Duration // random addition to Delay, from 0 to this
+	Rate   int           // bytes per second; 0 for no limit
 }
 
-// Relay carries the connections of one dispatcher to one voter. There and Back may be set while it runs.
+// Relay forwards the connections of one dispatcher to one voter. The conditions of both directions
+// can be set while it runs.
 type Relay struct {
 	Addr string
 
-	to   string
-	ln   net.Listener
-	mu   sync.Mutex
-	sky  [2]Weather // there, back
-	down bool       // connections are refused
-	open map[net.Conn]bool
-	Sent [2]int64 // bytes, there and back
+	target     string
+	ln         net.Listener
+	mu         sync.Mutex
+	conditions [2]LinkConditions // to the voter, from the voter
+	refusing   bool              // new connections are refused
+	conns      map[net.Conn]bool
+	Bytes      [2]int64 // bytes received for each direction, to and from the voter
 }
 
 const (
-	there = 0
-	back  = 1
+	toVoter   = 0
+	fromVoter = 1
 )
 
-// NewRelay listens on a free loopback port and leads to an address.
-func NewRelay(to string) (*Relay, error) {
+// NewRelay listens on a free loopback port and forwards connections to target.
+func NewRelay(target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: ln.Addr().String(), to: to, ln: ln, open: map[net.Conn]bool{}}
+	r := &Relay{Addr: ln.Addr().String(), target: target, ln: ln, conns: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
 
-// Set changes the weather in one direction.
-func (r *Relay) Set(way int, w Weather) {
+// Set changes the conditions in one direction.
+func (r *Relay) Set(dir int, c LinkConditions) {
 	r.mu.Lock()
-	r.sky[way] = w
+	r.conditions[dir] = c
 	r.mu.Unlock()
 }
 
-// Reset breaks all connections, and refuses new ones while down.
-func (r *Relay) Reset(down bool) {
+// Reset resets all connections; new ones are refused if refuse is set.
+func (r *Relay) Reset(refuse bool) {
 	r.mu.Lock()
-	r.down = down
-	for c := range r.open {
-		_ = c.(*net.TCPConn).SetLinger(0) // it may have ended by itself
-		_ = c.Close()
+	r.refusing = refuse
+	for conn := range r.conns {
+		_ = conn.(*net.TCPConn).SetLinger(0) // the connection may have ended already
+		_ = conn.Close()
 	}
 	r.mu.Unlock()
 }
 
-// Close ends the relay.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Reset(true)
@@ -75,70 +76,72 @@
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go r.proxy(c)
 	}
 }
 
-func (r *Relay) carry(near net.Conn) {
-	defer near.Close()
+// proxy forwards one connection until either side ends it.
+func (r *Relay) proxy(downstream net.Conn) {
+	defer downstream.Close()
 	r.mu.Lock()
-	down := r.down
+	refusing := r.refusing
 	r.mu.Unlock()
-	if down {
-		_ = near.(*net.TCPConn).SetLinger(0)
+	if refusing {
+		_ = downstream.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.to, time.Second)
+	upstream, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer upstream.Close()
 	r.mu.Lock()
-	r.open[near], r.open[far] = true, true
+	r.conns[downstream], r.conns[upstream] = true, true
 	r.mu.Unlock()
 	done := make(chan bool, 2)
-	go r.pump(near, far, there, done)
-	go r.pump(far, near, back, done)
+	go r.copyStream(downstream, upstream, toVoter, done)
+	go r.copyStream(upstream, downstream, fromVoter, done)
 	<-done
 	r.mu.Lock()
-	delete(r.open, near)
-	delete(r.open, far)
+	delete(r.conns, downstream)
+	delete(r.conns, upstream)
 	r.mu.Unlock()
 }
 
-// pump carries one direction, piece by piece, by the weather at the time. What was lost once leaves a hole, so nothing
-// more of that connection gets through.
-func (r *Relay) pump(from, to net.Conn, way int, done chan<- bool) {
+// copyStream forwards one direction of a connection, chunk by chunk, under the conditions of the
+// moment. Once bytes were dropped, nothing more of that connection is forwarded: the stream would
+// have a gap.
+func (r *Relay) copyStream(from, to net.Conn, dir int, done chan<- bool) {
 	defer func() { done <- true }()
 	buf := make([]byte, 16<<10)
-	hole := false
+	dropped := false
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
 			r.mu.Lock()
-			w := r.sky[way]
-			r.Sent[way] += int64(n)
+			c := r.conditions[dir]
+			r.Bytes[dir] += int64(n)
 			r.mu.Unlock()
-			hole = hole || w.Lost
-			wait := w.Delay
-			if w.Jitter > 0 {
-				wait += rand.N(w.Jitter)
+			dropped = dropped || c.Drop
+			wait := c.Delay
+			if c.Jitter > 0 {
+				wait += rand.N(c.Jitter)
 			}
-			if w.Rate > 0 {
-				wait += time.Duration(n) * time.Second / time.Duration(w.Rate)
+			if c.Rate > 0 {
+				wait += time.Duration(n) * time.Second / time.Duration(c.Rate)
 			}
 			if wait > 0 {
 				time.Sleep(wait)
 			}
-			if !hole {
+			if !dropped {
 				if _, err := to.Write(buf[:n]); err != nil {
 					return
 				}
 			}
 		}
 		if err != nil {
-			if hole && err == io.EOF {
-				_, _ = io.Copy(io.Discard, to) // half open: the other side learns of nothing
+			if dropped && err == io.EOF {
+				_, _ = io.Copy(io.Discard, to) // half-open connection: the other side is not notified
 			}
 			return
 		}
--- a/internal/proving/script.go
+++ b/internal/proving/script.go
@@ -1,23 +1,26 @@
-// Package proving is the ground on which several processes of the real program are tried together: links between them that
-// lose, delay and cut what is said, processes that are killed, stopped and lose their disk, clients and stand-in replicas
-// that record what was done from outside, and a judge that holds the record against the promise.
+// Package proving is a test harness that runs several dispatcher processes together. The links
+// between them drop, delay and reset traffic; processes are killed, stopped and lose their disks;
+// clients and fake replicas record from outside what was done; and a judge checks that record
+// against the guarantees of the cluster.
 //
-//	script.go   what happens, as TOML
-//	draw.go     scripts from seeds
-//	relay.go    a link with its weather
-//	fleet.go    the processes, their files and links
-//	traffic.go  clients and replicas, and what they record
-//	subject.go  the program that is tried, as a part of the tests
-//	play.go     carries a script out
-//	propose.go  the proposals in it
-//	operators.go what operators do in it, and what it waits for
-//	register.go the history of versions as a register
-//	register_list.go the register of replicas with its agents
-//	faults.go   faults put in on purpose
-//	measure.go  fleets that are measured
-//	cold.go     the rule on cold replicas
-//	orders.go   instructions that clients repeat, and what must become of them
-//	judge.go    the promise, over the record alone
+//	script.go            the scripts of trials, as TOML
+//	generate.go          scripts generated from seeds
+//	play.go              runs a script
+//	propose.go           proposals in a script
+//	operators.go         operator commands in a script, and conditions that it waits for
+//	fleet.go             the processes, their files and links
+//	program.go           the program under test, run by the test binary
+//	relay.go             a link with its conditions
+//	traffic.go           clients and replicas, and what they record
+//	instructions.go      instructions that clients repeat, and the rules for them
+//	registry.go          the registry of replicas with its agents, and the rules for drains
+//	cold_load.go         the rule for the load of cold replicas
+//	linearizable.go      the check that the history of versions is linearizable
+//	judge.go             the checks of a record
+//	faults.go            faults that are injected on purpose
+//	measure.go           fleets that are measured
+//	measure_ledger.go    measurements of the ledger
+//	measure_lists.go     measurements of replica lists and recovery
 package proving
 
 import (
@@ -32,80 +35,112 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script is one trial.
+// Script describes one trial.
 type Script struct {
-	Name            string `toml:"name"`
-	Seed            uint64 `toml:"seed,omitempty"`
-	Voters          int    `toml:"voters"`
-	Others          int    `toml:"others"`
-	Within          string `toml:"within"`
-	Alone           string `toml:"alone"`
-	Rate            int    `toml:"rate"` // requests a second at each dispatcher
-	Fault           string `toml:"fault,omitempty"`
-	Lists           bool   `toml:"lists,omitempty"` // dispatchers agree on lists of replicas too
-	Steps           []Step `toml:"step"`
-	Last            string `toml:"last"`             // how long the trial goes on after its start; then all is mended and must agree again
-	Ledger          string `toml:"ledger,omitempty"` // dispatchers remember instructions together, and that survives this; clients repeat
-	OrderedRecovery bool   `toml:"order,omitempty"`  // with Lists: dispatchers come back in stages
-	Power           bool   `toml:"power,omitempty"`  // whoever is killed loses what was not synced
-	Standalone      bool   `toml:"apart,omitempty"`  // with Lists: no agreement at all, each goes by its own register
-	// Dispatchers that turn down what moves services.*.name away from "instruction", as their own file needs it.
-	Picky []string `toml:"picky,omitempty"`
-	// Voters that come back in the end with the log of a cluster that was given up: they may never act again.
-	Astray []string `toml:"astray,omitempty"`
+	Name   string `toml:"name"`
+	Seed   uint64 `toml:"seed,omitempty"`
+	Voters int    `toml:"voters"`
+	Others int    `toml:"others"`
+	Within string `toml:"within"`
+	Alone  string `toml:"alone"`
+	Rate   int    `toml:"rate"` // requests per second at each dispatcher
+	Fault  string `toml:"fault,omitempty"`
+	Lists  bool   `toml:"lists,omitempty"` // dispatchers also agree on lists of replicas
+	Steps  []Step `toml:"step"`
+	// Last is how long the steps and the traffic run. Then all faults are undone, and all
+	// dispatchers must agree again.
+	Last string `toml:"last"`
+	// Ledger says what the ledger of instructions must survive; clients repeat instructions under
+	// the same key. Empty: no ledger and no repeats; "off": repeats without a ledger.
+	Ledger          string `toml:"ledger,omitempty"`
+	OrderedRecovery bool   `toml:"order,omitempty"` // with Lists: dispatchers recover in stages
+	PowerLoss       bool   `toml:"power,omitempty"` // a killed process loses what it had not synced
+	// Standalone, with Lists, runs dispatchers without a cluster: each uses its own registry agent
+	// alone.
+	Standalone bool `toml:"apart,omitempty"`
+	// NeedClass are dispatchers whose own configuration needs the class "instruction", so that they
+	// turn down a version that renames it in services.*.name.
+	NeedClass []string `toml:"picky,omitempty"`
+	// Stranded are voters that end the trial with the log of an abandoned cluster: they must never
+	// act again.
+	Stranded []string `toml:"astray,omitempty"`
 }
 
-// Step is one thing that happens. Dispatchers are v1, v2, ... and o1, o2, ...; "leader" is the voter that leads, "*" all.
+// Step is one event of a script. Dispatchers are named v1, v2, ... (voters) and o1, o2, ...
+// (others); "leader" is the voter that leads, "reader" one of the dispatchers that read the
+// registry for all others, and "*" stands for all dispatchers.
 type Step struct {
 	At    string `toml:"at"`
 	Do    string `toml:"do"`
 	Who   string `toml:"who,omitempty"`
-	To    string `toml:"to,omitempty"`    // for links: the other side
+	To    string `toml:"to,omitempty"`    // for links: the other end
 	Delay string `toml:"delay,omitempty"` // for delay
 	Rate  int    `toml:"rate,omitempty"`  // for throttle
-	Key   string `toml:"key,omitempty"`   // for propose and hup: the setting that changes ...
-	Value string `toml:"value,omitempty"` // ... and its value as JSON
-	Base  uint64 `toml:"base,omitempty"`  // for propose: 0 is the version in force by then
-	Wants string `toml:"wants,omitempty"` // for propose, hup, rollback: "refused" with this word in the error, or any if "?"
+	// Key is the setting that propose and hup change, and Value its new value as JSON.
+	Key   string `toml:"key,omitempty"`
+	Value string `toml:"value,omitempty"`
+	// Base, for propose and rollback, is the version that the proposal is made from or goes back
+	// to. For propose, 0 means the version in force at the time.
+	Base uint64 `toml:"base,omitempty"`
+	// WantError is a text that the error of propose, rollback or list must contain; "?" accepts any
+	// outcome. For hup it is a text that the log must contain.
+	WantError string `toml:"wants,omitempty"`
 }
 
-// The steps.
+// The kinds of steps. Who is the dispatcher of the step, To the other end of its links.
 const (
-	doCut      = "cut"      // what Who sends does not get to To; connections stay open
-	doMend     = "mend"     // all is well between Who and To
-	doDelay    = "delay"    // what Who sends to To comes later by Delay and half as much jitter
-	doThrottle = "throttle" // ... and at Rate bytes a second
-	doReset    = "reset"    // connections between Who and To break, and new ones are refused
-	doKill     = "kill"
-	doStart    = "start"
-	doStop     = "stop" // SIGSTOP
-	doCont     = "cont"
-	doTerm     = "term"
-	doLose     = "lose"     // kills it and takes its disk away
-	doAway     = "away"     // takes its disk away; it does not run
-	doBack     = "back"     // kills it and puts that disk in the place of what it has by now
-	doRefound  = "refound"  // makes a new cluster at Who of what all folders still know; nobody runs
-	doReplace  = "replace"  // starts it with an empty disk, to which its seat is given on
-	doPropose  = "propose"  // at Who
-	doRollback = "rollback" // at Who, to version Base
-	doHup      = "hup"      // Who's file gets another value, and SIGHUP
-	doRegister = "register" // the register changes, and the agents of Who hear of it: Value is a state of the replica Key, "gone",
-	// "new", "restart" (all come back cold), "half" (all whose names begin with Key go), "empty", "back:N", "mute", "unmute" or "again"
-	doCrowd   = "crowd"   // Rate times as many requests come at Who from now on; those that are more are of one customer
-	doForget  = "forget"  // kills it and takes its ledger away
-	doCopy    = "copy"    // keeps a copy of its ledger's file ...
-	doRestore = "restore" // ... and kills it and puts that in the place of what it has by now
-	doAccept  = "accept"  // an operator at Who has its ledger filled from one other
-	doDisk    = "disk"    // Value: stall or full holds up Who's syncs or has them fail, well ends that
-	doList    = "list"    // an operator at Who: Value is drain, undrain, hold or confirm, Key the replica
-	doExpect  = "expect"  // waits until Who's status has Value, generously
+	doCut        = "cut"      // drops what Who sends to To; connections stay open
+	doMend       = "mend"     // undoes all faults of the links between Who and To
+	doDelay      = "delay"    // delays what Who sends to To by Delay and up to half as much jitter
+	doThrottle   = "throttle" // as delay, and limits it to Rate bytes per second
+	doReset      = "reset"    // resets connections between Who and To and refuses new ones
+	doKill       = "kill"
+	doStart      = "start"
+	doStop       = "stop" // sends SIGSTOP
+	doCont       = "cont"
+	doTerm       = "term"
+	doLoseDisk   = "lose" // kills Who and deletes its cluster log
+	doRemoveDisk = "away" // moves away the cluster log of Who, which is not running
+	// doReturnDisk kills Who and puts the log that was moved away in place of its present one.
+	doReturnDisk = "back"
+	// doRebootstrap bootstraps a new cluster at Who from what all folders still have; no dispatcher
+	// is running.
+	doRebootstrap = "refound"
+	doReplace     = "replace"  // starts Who, whose log was deleted; an operator assigns its seat to the new log
+	doPropose     = "propose"  // proposes a change of a setting at Who
+	doRollback    = "rollback" // proposes the content of version Base at Who
+	doHup         = "hup"      // changes a value in Who's file and sends SIGHUP
+	// doRegistry changes the registry and has Who's agents report the change. Value is a state of
+	// the replica Key or one of the following, which registry.apply explains: "gone", "new",
+	// "restart" (all replicas restart cold), "half" (all replicas whose IDs begin with Key are
+	// removed), "empty", "back:N", "mute", "unmute", "again", "reborn", "many:N", "twice" and
+	// "kind".
+	doRegistry = "register"
+	// doSurge multiplies the requests at Who by Rate from now on; the additional ones are of one
+	// customer.
+	doSurge         = "crowd"
+	doLoseLedger    = "forget"  // kills Who and deletes its ledger
+	doCopyLedger    = "copy"    // copies the ledger file of Who
+	doRestoreLedger = "restore" // kills Who and replaces its ledger by that copy
+	// doAcceptLedger has an operator at Who let its ledger be refilled from only one other ledger
+	// holder.
+	doAcceptLedger = "accept"
+	// doLedgerDisk blocks Who's ledger syncs with the value "stall", makes them fail with "full",
+	// and ends both with "well".
+	doLedgerDisk = "disk"
+	// doListOrder has an operator at Who order Value, which is drain, undrain, hold or confirm, for
+	// the replica Key.
+	doListOrder = "list"
+	// doExpect waits until Who's status is Value, "lease" or "no lease", or its log contains the
+	// text after "log:".
+	doExpect = "expect"
 )
 
-var known = map[string]bool{doCut: true, doMend: true, doDelay: true, doThrottle: true, doReset: true, doKill: true, doStart: true, doStop: true,
-	doCont: true, doTerm: true, doLose: true, doRefound: true, doReplace: true, doPropose: true, doRollback: true, doHup: true, doExpect: true,
-	doRegister: true, doCrowd: true, doList: true, doForget: true, doCopy: true, doRestore: true, doDisk: true, doAccept: true, doAway: true, doBack: true}
+var stepNames = map[string]bool{doCut: true, doMend: true, doDelay: true, doThrottle: true, doReset: true, doKill: true, doStart: true, doStop: true,
+	doCont: true, doTerm: true, doLoseDisk: true, doRebootstrap: true, doReplace: true, doPropose: true, doRollback: true, doHup: true, doExpect: true,
+	doRegistry: true, doSurge: true, doListOrder: true, doLoseLedger: true, doCopyLedger: true, doRestoreLedger: true, doLedgerDisk: true, doAcceptLedger: true, doRemoveDisk: true, doReturnDisk: true}
 
-// Parse reads a script and checks it.
+// Parse decodes a script and checks it.
 func Parse(text []byte) (Script, error) {
 	var s Script
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -116,17 +151,17 @@
 }
 
 //go:embed scripts/*.toml
-var named embed.FS
+var scriptFiles embed.FS
 
-// Named gives the scripts of the hard cases.
+// NamedScripts returns the scripts of the hard cases, which are built into the program.
 func NamedScripts() ([]Script, error) {
-	files, err := fs.Glob(named, "scripts/*.toml")
+	files, err := fs.Glob(scriptFiles, "scripts/*.toml")
 	if err != nil {
 		return nil, err
 	}
 	var all []Script
 	for _, file := range files {
-		text, err := named.ReadFile(file)
+		text, err := scriptFiles.ReadFile(file)
 		if err != nil {
 			return nil, err
 		}
@@ -139,7 +174,8 @@
 	return all, nil
 }
 
-// For tells whether a script could find a fault: one about lists or the ledger needs those.
+// CanDetect reports whether a script could detect a fault: faults in lists, the ledger or recovery
+// show only in scripts that use those.
 func (s Script) CanDetect(fault string) bool {
 	switch {
 	case strings.HasPrefix(fault, "list-"):
@@ -152,7 +188,7 @@
 	return s.Ledger == ""
 }
 
-// Load reads a script's file.
+// Load reads a script from a file.
 func Load(path string) (Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -165,6 +201,7 @@
 	return s, nil
 }
 
+// check validates the numbers, durations and step names of a script.
 func (s *Script) check() error {
 	if s.Voters != 3 && s.Voters != 5 {
 		return fmt.Errorf("script %s: voters must be 3 or 5", s.Name)
@@ -182,14 +219,14 @@
 		if err != nil {
 			return fmt.Errorf("script %s: step %d: %w", s.Name, i, err)
 		}
-		if !known[p.Do] {
-			return fmt.Errorf("script %s: step %d: %q is not known", s.Name, i, p.Do)
+		if !stepNames[p.Do] {
+			return fmt.Errorf("script %s: step %d: unknown step %q", s.Name, i, p.Do)
 		}
 	}
 	return nil
 }
 
-// String is the script as TOML.
+// String returns the script as TOML.
 func (s Script) String() string {
 	var b strings.Builder
 	if err := toml.NewEncoder(&b).SetIndentTables(false).Encode(s); err != nil {
@@ -198,7 +235,8 @@
 	return b.String()
 }
 
-func length(text string) time.Duration {
-	d, _ := time.ParseDuration(text) // check has seen to it
+// duration parses a duration that check has validated; an empty text is 0.
+func duration(text string) time.Duration {
+	d, _ := time.ParseDuration(text) // check has validated it
 	return d
 }
--- a/internal/proving/traffic.go
+++ b/internal/proving/traffic.go
@@ -18,51 +18,55 @@
 
 // traffic is the clients and replicas of a trial, and what they record.
 type traffic struct {
-	now    func() time.Duration
-	mu     sync.Mutex
-	acts   []Act
-	asked  []Asked
-	runs   map[string]int
-	orders *orders      // nil where clients repeat nothing
-	crowds sync.Map     // dispatchers at which so many times the usual come
-	hung   sync.Map     // replicas that say nothing any more
-	stall  atomic.Int64 // the longest of late that this process itself was held up
+	now          func() time.Duration
+	mu           sync.Mutex
+	actions      []Action
+	requests     []ClientRequest
+	runs         map[string]int
+	instructions *instructionSet // nil where clients don't repeat instructions
+	surges       sync.Map        // by dispatcher name: the factor by which its requests are multiplied
+	hung         sync.Map        // by ID: replicas that no longer answer
+	// maxStall bounds, in nanoseconds, how long this process itself was recently not scheduled.
+	maxStall atomic.Int64
 
-	replicas []*standin.Replica
-	list     []standin.Entry
-	spare    []standin.Entry
-	client   *http.Client
-	fresh    *http.Client // that keeps no connection
-	open     sync.WaitGroup
-	stop     chan struct{}
+	replicas    []*standin.Replica
+	list        []standin.Entry
+	spare       []standin.Entry
+	client      *http.Client
+	freshClient *http.Client // uses a new connection for each request
+	inFlight    sync.WaitGroup
+	stop        chan struct{}
 }
 
 const (
-	readTime  = 30 * time.Millisecond
-	readers   = 2
-	writers   = 3
-	spares    = 4                       // that no list names at first
-	askLimit  = 3500 * time.Millisecond // that clients wait
-	fullOne   = 7                       // of so many calls of a writer one is turned away unrun, where clients repeat
-	brokenOne = 11                      // of so many answers of a writer breaks before it begins
+	readTime      = 30 * time.Millisecond
+	readerCount   = 2
+	writerCount   = 3
+	spareCount    = 4                       // running, but not in the registry at first
+	clientTimeout = 3500 * time.Millisecond // how long clients wait for an answer
+	// Where clients repeat instructions, a writer refuses one in refuseOneIn attempts without
+	// executing it.
+	refuseOneIn = 7
+	// A writer's answer to one in failOneIn attempts fails before it begins.
+	failOneIn = 11
 )
 
 func newTraffic() (*traffic, error) {
-	t := &traffic{runs: map[string]int{}, stop: make(chan struct{}), fresh: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	t := &traffic{runs: map[string]int{}, stop: make(chan struct{}), freshClient: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		client: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second}}}
-	for i := range readers + writers + spares {
-		kind, play := "reader", t.read
-		if i >= readers && i < readers+writers || i%2 == 0 && i >= readers {
-			kind, play = "writer", t.write
+	for i := range readerCount + writerCount + spareCount {
+		kind, handle := "reader", t.handleRead
+		if i >= readerCount && i < readerCount+writerCount || i%2 == 0 && i >= readerCount {
+			kind, handle = "writer", t.handleWrite
 		}
 		name := fmt.Sprintf("%s-%d", kind, i)
-		r, err := standin.Start("127.0.0.1:0", func(x *standin.Exchange) { play(x, name) })
+		r, err := standin.Start("127.0.0.1:0", func(x *standin.Exchange) { handle(x, name) })
 		if err != nil {
 			return nil, err
 		}
 		t.replicas = append(t.replicas, r)
 		e := standin.Entry{ID: name, Addr: r.Addr, Zone: "z", Kind: kind, State: "in_service", Weight: 1}
-		if i < readers+writers {
+		if i < readerCount+writerCount {
 			t.list = append(t.list, e)
 		} else {
 			t.spare = append(t.spare, e)
@@ -71,61 +75,65 @@
 	return t, nil
 }
 
-// kindOf gives the kind of a replica by its name.
+// kindOf returns the kind of a replica, which is the first part of its ID.
 func kindOf(name string) string {
 	kind, _, _ := strings.Cut(name, "-")
 	return kind
 }
 
-// saw records that an attempt has come. It left no later than now, and no earlier than this process was last not held up.
-func (t *traffic) saw(x *standin.Exchange, name string) {
+// recordAttempt records an attempt that has arrived at a replica. It was sent no later than now,
+// and no earlier than now minus the longest recent stall of this process.
+func (t *traffic) recordAttempt(x *standin.Exchange, name string) {
 	to := t.now()
-	from := to - time.Duration(t.stall.Load())
-	mark := string(x.Req.Header.Peek("X-Settings"))
+	from := to - time.Duration(t.maxStall.Load())
+	tag := string(x.Req.Header.Peek("X-Settings"))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.acts = append(t.acts, Act{What: "send", ID: x.ID, Where: name, Mark: mark, From: from, To: to})
+	t.actions = append(t.actions, Action{Kind: "send", ID: x.ID, Replica: name, VersionTag: tag, From: from, To: to})
 }
 
-func (t *traffic) read(x *standin.Exchange, name string) {
-	t.saw(x, name)
-	t.hang(name)
+// handleRead answers a read.
+func (t *traffic) handleRead(x *standin.Exchange, name string) {
+	t.recordAttempt(x, name)
+	t.waitIfHung(name)
 	time.Sleep(readTime)
 	x.Read(0)
 }
 
-func (t *traffic) write(x *standin.Exchange, name string) {
-	t.saw(x, name)
-	t.hang(name)
+// handleWrite answers a write; some are refused or fail, by their count.
+func (t *traffic) handleWrite(x *standin.Exchange, name string) {
+	t.recordAttempt(x, name)
+	t.waitIfHung(name)
 	t.mu.Lock()
-	n := len(t.acts)
-	if t.orders != nil && n%fullOne == 0 {
+	n := len(t.actions)
+	if t.instructions != nil && n%refuseOneIn == 0 {
 		t.mu.Unlock()
 		x.Status(http.StatusServiceUnavailable, true, "full")
 		return
 	}
 	t.runs[x.ID]++
 	t.mu.Unlock()
-	if t.orders != nil {
-		t.orders.ran(x)
+	if t.instructions != nil {
+		t.instructions.countRun(x)
 	}
-	if n%brokenOne == 0 {
+	if n%failOneIn == 0 {
 		x.Status(http.StatusInternalServerError, false, "spoilt")
 		return
 	}
 	x.Answer("one", "two")
 }
 
-// hang waits for longer than any client where a replica has lost its power.
-func (t *traffic) hang(name string) {
-	if _, is := t.hung.Load(name); is {
-		time.Sleep(2 * askLimit)
+// waitIfHung blocks for longer than any client waits, if the replica is meant to be without power.
+func (t *traffic) waitIfHung(name string) {
+	if _, hung := t.hung.Load(name); hung {
+		time.Sleep(2 * clientTimeout)
 	}
 }
 
-// meter follows how long this process is held up by others on the machine.
-func (t *traffic) meter() {
-	var late [64]time.Duration // of the last seconds
+// measureStalls keeps track of how long this process is not scheduled because of others on the
+// machine.
+func (t *traffic) measureStalls() {
+	var worstDelays [64]time.Duration // of the last seconds
 	for i := 0; ; i++ {
 		begin := time.Now()
 		worst := time.Duration(0)
@@ -134,12 +142,12 @@
 			time.Sleep(time.Millisecond)
 			worst = max(worst, time.Since(at)-time.Millisecond)
 		}
-		late[i%len(late)] = worst
+		worstDelays[i%len(worstDelays)] = worst
 		all := time.Duration(0)
-		for _, l := range late {
+		for _, l := range worstDelays {
 			all = max(all, l)
 		}
-		t.stall.Store(int64(2*all + 5*time.Millisecond))
+		t.maxStall.Store(int64(2*all + 5*time.Millisecond))
 		select {
 		case <-t.stop:
 			return
@@ -148,9 +156,9 @@
 	}
 }
 
-// ask sends requests to a dispatcher at a steady pace, whether or not it answers.
-func (t *traffic) ask(d *Dispatcher, rate int) {
-	defer t.open.Done()
+// sendLoop sends requests to a dispatcher at a constant rate, whether or not it answers.
+func (t *traffic) sendLoop(d *Dispatcher, rate int) {
+	defer t.inFlight.Done()
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
 	for n := 0; ; n++ {
@@ -159,75 +167,79 @@
 			return
 		case <-tick.C:
 		}
-		t.open.Add(1)
-		if t.orders != nil && n%2 == 1 {
-			go t.order(d, n)
+		t.inFlight.Add(1)
+		if t.instructions != nil && n%2 == 1 {
+			go t.sendInstruction(d, n)
 		} else {
-			go t.one(d, n, "")
+			go t.sendAndRecord(d, n, "")
 		}
-		if x, ok := t.crowds.Load(d.Name); ok {
+		if x, ok := t.surges.Load(d.Name); ok {
 			for range x.(int) - 1 {
 				n++
-				t.open.Add(1)
-				go t.one(d, n, crowdCustomer)
+				t.inFlight.Add(1)
+				go t.sendAndRecord(d, n, surgeCustomer)
 			}
 		}
 	}
 }
 
-// crowdCustomer is whose requests those of a crowd are.
-const crowdCustomer = "crowd"
+// surgeCustomer is the customer of the additional requests in a surge.
+const surgeCustomer = "crowd"
 
-func (t *traffic) one(d *Dispatcher, n int, customer string) {
-	defer t.open.Done()
-	a := t.try(d, n, customer)
+// sendAndRecord sends one request and records the result.
+func (t *traffic) sendAndRecord(d *Dispatcher, n int, customer string) {
+	defer t.inFlight.Done()
+	a := t.sendNumbered(d, n, customer)
 	t.mu.Lock()
-	t.asked = append(t.asked, a)
+	t.requests = append(t.requests, a)
 	t.mu.Unlock()
 }
 
-// try sends a dispatcher one request.
-func (t *traffic) try(d *Dispatcher, n int, customer string) Asked {
+// sendNumbered sends a dispatcher the request with this number. Odd numbers are instructions.
+func (t *traffic) sendNumbered(d *Dispatcher, n int, customer string) ClientRequest {
 	id := fmt.Sprintf("%s-%06d", d.Name, n)
-	return t.send(d, Asked{Who: d.Name, ID: id, Customer: customer, Once: n%2 == 1}, "", `"`+id+`"`) // words of its own
+	// each request has a body of its own
+	return t.sendWithResend(d, ClientRequest{Dispatcher: d.Name, ID: id, Customer: customer, AtMostOnce: n%2 == 1}, "", `"`+id+`"`)
 }
 
-// send sends it, with the key that names an instruction, if any. As the protocol page says of clients, one whose connection ends before the
-// dispatcher has read its request sends it once more, on a new connection. Who was so slow to say something that the dispatcher had closed
-// by then finds just that. What the dispatcher has read it must answer: the second sending has an id of its own, so that record can tell.
-func (t *traffic) send(d *Dispatcher, a Asked, key, body string) Asked {
+// sendWithResend sends a request, under an idempotency key if one is given. As the protocol
+// requires of clients, a request whose connection ends before the dispatcher has read it is sent
+// once more on a new connection. A client may meet this when it was slow to send and the dispatcher
+// had closed the idle connection by then. A request that the dispatcher has read must be answered:
+// the second transmission has an ID of its own, so that the record can tell them apart.
+func (t *traffic) sendWithResend(d *Dispatcher, a ClientRequest, key, body string) ClientRequest {
 	first := a
 	a, connected := t.sendOnce(t.client, d, a, key, body)
 	var slow net.Error
-	if a.Status != 0 || a.Why == nil || !connected || errors.As(a.Why, &slow) && slow.Timeout() || t.came(a.ID) {
+	if a.Status != 0 || a.Err == nil || !connected || errors.As(a.Err, &slow) && slow.Timeout() || t.reachedReplica(a.ID) {
 		return a
 	}
 	again := first
-	again.ID, again.Unread = first.ID+"r", first.ID
-	a, _ = t.sendOnce(t.fresh, d, again, key, body)
+	again.ID, again.ResendOf = first.ID+"r", first.ID
+	a, _ = t.sendOnce(t.freshClient, d, again, key, body)
 	return a
 }
 
-// came tells whether an attempt of a request has come to a replica.
-func (t *traffic) came(id string) bool {
+// reachedReplica reports whether an attempt of a request has arrived at a replica.
+func (t *traffic) reachedReplica(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.acts, func(a Act) bool { return a.ID == id })
+	return slices.ContainsFunc(t.actions, func(a Action) bool { return a.ID == id })
 }
 
-// sendOnce sends it, and tells whether a connection was there for it.
-func (t *traffic) sendOnce(client *http.Client, d *Dispatcher, a Asked, key, body string) (Asked, bool) {
+// sendOnce sends a request, and reports whether it got a connection.
+func (t *traffic) sendOnce(client *http.Client, d *Dispatcher, a ClientRequest, key, body string) (ClientRequest, bool) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.Listen+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return a, false // the address is one of ours
+		return a, false // can't happen: the address is one that the fleet chose
 	}
 	class := "enquiry"
-	if a.Once {
+	if a.AtMostOnce {
 		class = "instruction"
 	}
 	req.Header.Set("X-Trace-Id", a.ID)
 	req.Header.Set("X-Qos", class)
-	req.Header.Set("X-Expires-In", fmt.Sprintf("%dm", askLimit.Milliseconds()))
+	req.Header.Set("X-Expires-In", fmt.Sprintf("%dm", clientTimeout.Milliseconds()))
 	req.Header.Set("X-Props", "prompt_len=100,max_out=10")
 	if a.Customer != "" {
 		req.Header.Set("X-Customer", a.Customer)
@@ -239,16 +251,17 @@
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}))
 	a.Sent = t.now()
 	resp, err := client.Do(req)
-	if a.Why = err; err == nil {
-		a.Status, a.Mark = resp.StatusCode, resp.Header.Get("X-Settings")
+	if a.Err = err; err == nil {
+		a.Status, a.VersionTag = resp.StatusCode, resp.Header.Get("X-Settings")
 		text, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		a.Whole = err == nil && strings.HasSuffix(string(text), "[DONE]\n\n")
+		a.Complete = err == nil && strings.HasSuffix(string(text), "[DONE]\n\n")
 	}
 	a.Done = t.now()
 	return a, connected.Load()
 }
 
+// close stops the replicas.
 func (t *traffic) close() {
 	for _, r := range t.replicas {
 		r.Close()
