--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	fileMode = 0o600
-	openWait = time.Second // for another process to let go of the file
+	fileMode    = 0o600
+	lockTimeout = time.Second // for another process to let go of the file
 )
 
 // Options say how a file is opened.
@@ -55,11 +55,11 @@
 		}
 		at = f.mount.volatile
 	}
-	if err := inspect(at, opt.Kind); err != nil {
+	if err := checkFile(at, opt.Kind); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	err = Guard(func() error {
-		f.DB, err = bolt.Open(at, fileMode, &bolt.Options{Timeout: openWait, FreelistType: bolt.FreelistMapType,
+	err = CatchPanic(func() error {
+		f.DB, err = bolt.Open(at, fileMode, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType,
 			NoFreelistSync: true, // a list of free pages has no checksum, and a damaged one would overwrite what is in use
 			NoSync:         !opt.Sync || TestDisk != nil})
 		return err
@@ -75,7 +75,7 @@
 
 // Commit is bbolt's Update: when it returns, what f wrote is on disk, or none of it.
 func (f *File) Commit(change func(tx *bolt.Tx) error) error {
-	if err := Guard(func() error { return f.Update(change) }); err != nil {
+	if err := CatchPanic(func() error { return f.Update(change) }); err != nil {
 		return err
 	}
 	if f.mount != nil && f.opt.Sync {
@@ -100,7 +100,7 @@
 }
 
 // Guard turns a panic into an error: bbolt panics on pages that are damaged.
-func Guard(f func() error) (err error) {
+func CatchPanic(f func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("damaged: %v", r)
@@ -109,28 +109,28 @@
 	return f()
 }
 
-var sums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // ErrChecksum says that a record is not as it was written.
 var ErrChecksum = errors.New("its checksum is wrong")
 
 // Seal puts a checksum over key and value before the value.
-func Seal(key, value []byte) []byte {
-	sum := crc32.Update(crc32.Checksum(key, sums), sums, value)
+func AddChecksum(key, value []byte) []byte {
+	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), sum), value...)
 }
 
 // Unseal gives the value that Seal was given, if it is still that.
-func Unseal(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < 4 || crc32.Update(crc32.Checksum(key, sums), sums, sealed[4:]) != binary.BigEndian.Uint32(sealed) {
+func VerifyChecksum(key, sealed []byte) ([]byte, error) {
+	if len(sealed) < 4 || crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, sealed[4:]) != binary.BigEndian.Uint32(sealed) {
 		return nil, ErrChecksum
 	}
 	return sealed[4:], nil
 }
 
-// inspect tells of a commit that was cut short, which the file's other page of record makes up for, and of a file whose
+// checkFile tells of a commit that was cut short, which the file's other page of record makes up for, and of a file whose
 // end is missing, which nothing does.
-func inspect(path, kind string) error {
+func checkFile(path, kind string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -177,7 +177,7 @@
 		return fmt.Errorf("the file is cut short: %d bytes of %d", info.Size(), need)
 	}
 	w := walk{f: f, page: size, high: uint64(need / size), used: map[uint64]bool{}}
-	if err := w.sound(root); err != nil {
+	if err := w.checkTree(root); err != nil {
 		return err
 	}
 	if torn > 0 {
--- a/internal/boltfile/power.go
+++ b/internal/boltfile/power.go
@@ -14,19 +14,19 @@
 // SimulatedDisk stands for a disk that loses power when the process is killed, so that tests see what was not synced really lost. bbolt
 // works on a volatile copy of each file, which is thrown away at the next start. A sync carries the pages that differ to the
 // file proper, in any order, and the two pages of record after all others, as bbolt syncs between them. Killed in between, some
-// are there and others are not. A write of one page may be torn, too.
+// are exists and others are not. A write of one page may be torn, too.
 //
-// A file of the same name with the ending Stall holds up syncs for as long as it is there, one with the ending Full has them fail.
+// A file of the same name with the ending Stall holds up syncs for as long as it is exists, one with the ending Full has them fail.
 type SimulatedDisk struct {
 	Seed uint64
 
-	mu   sync.Mutex
-	cut  int // so many pages more, and the power is gone; 0: it stays
-	rand *rand.Rand
+	mu        sync.Mutex
+	pagesLeft int // so many pages more, and the power is gone; 0: it stays
+	rand      *rand.Rand
 }
 
 // pages of record, at the beginning of a file.
-const recordPages = 2
+const metaPages = 2
 
 type mount struct {
 	disk           *SimulatedDisk
@@ -34,11 +34,11 @@
 	page           int
 }
 
-// volatileEnding is that of the copy that bbolt works on.
-const volatileEnding = ".volatile"
+// volatileSuffix is that of the copy that bbolt works on.
+const volatileSuffix = ".volatile"
 
 func (d *SimulatedDisk) mount(path string) (*mount, error) {
-	m := &mount{disk: d, path: path, volatile: path + volatileEnding, page: os.Getpagesize()}
+	m := &mount{disk: d, path: path, volatile: path + volatileSuffix, page: os.Getpagesize()}
 	text, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -59,37 +59,37 @@
 	FullSuffix  = ".full"
 )
 
-func there(path string) bool {
+func exists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
 
-var errPower = errors.New("the power is gone")
+var errPowerLost = errors.New("the power is gone")
 
 // CutAfter has the power go once so many pages more were written: nothing is written any more.
-func (d *SimulatedDisk) CutAfter(pages int) {
+func (d *SimulatedDisk) CutPowerAfter(pages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = pages + 1
+	d.pagesLeft = pages + 1
 }
 
-func (d *SimulatedDisk) gone() bool {
+func (d *SimulatedDisk) powerLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cut > 1 {
-		d.cut--
+	if d.pagesLeft > 1 {
+		d.pagesLeft--
 		return false
 	}
-	return d.cut == 1
+	return d.pagesLeft == 1
 }
 
 // sync carries over what has changed.
 func (m *mount) sync() error {
 	d := m.disk
-	for there(m.path + StallSuffix) {
+	for exists(m.path + StallSuffix) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	if there(m.path + FullSuffix) {
+	if exists(m.path + FullSuffix) {
 		return syscall.ENOSPC
 	}
 	now, err := os.ReadFile(m.volatile)
@@ -111,7 +111,7 @@
 		if end <= len(was) && bytes.Equal(now[at:end], was[at:end]) {
 			continue
 		}
-		if at < recordPages*m.page {
+		if at < metaPages*m.page {
 			record = append(record, at)
 		} else {
 			others = append(others, at)
@@ -125,8 +125,8 @@
 	torn := d.rand.IntN(m.page)
 	d.mu.Unlock()
 	for _, at := range append(others, record...) {
-		if d.gone() {
-			return errPower
+		if d.powerLost() {
+			return errPowerLost
 		}
 		end := min(at+m.page, len(now))
 		cut := min(at+torn, end) // in two writes: the process may be killed between
--- a/internal/boltfile/walk.go
+++ b/internal/boltfile/walk.go
@@ -30,11 +30,11 @@
 var errDamaged = errors.New("damaged")
 
 // sound checks all pages that are in use, from the root of the newest page of record on.
-func (w *walk) sound(root uint64) error { return w.follow(root, 0, nil, nil) }
+func (w *walk) checkTree(root uint64) error { return w.checkPage(root, 0, nil, nil) }
 
 // follow checks a page and all that it names. Its keys lie from low on and below high; nil bounds nothing.
-func (w *walk) follow(id uint64, depth int, low, high []byte) error {
-	if depth > maxDepth || id < recordPages || id >= w.high {
+func (w *walk) checkPage(id uint64, depth int, low, high []byte) error {
+	if depth > maxDepth || id < metaPages || id >= w.high {
 		return fmt.Errorf("%w: page %d is named, of %d", errDamaged, id, w.high)
 	}
 	head := make([]byte, pageHeader)
@@ -55,11 +55,11 @@
 	if _, err := w.f.ReadAt(b, int64(id)*w.page); err != nil {
 		return fmt.Errorf("%w: page %d: %w", errDamaged, id, err)
 	}
-	return w.elements(id, b[pageHeader:], flags, count, depth, low, high)
+	return w.checkElements(id, b[pageHeader:], flags, count, depth, low, high)
 }
 
 // elements checks what a page holds, b without its header.
-func (w *walk) elements(id uint64, b []byte, flags uint16, count, depth int, low, high []byte) error {
+func (w *walk) checkElements(id uint64, b []byte, flags uint16, count, depth int, low, high []byte) error {
 	if count*elementSize > len(b) {
 		return fmt.Errorf("%w: page %d holds %d elements", errDamaged, id, count)
 	}
@@ -86,7 +86,7 @@
 			if i+1 < count {
 				next = keys[i+1]
 			}
-			if err := w.follow(binary.LittleEndian.Uint64(e[8:]), depth+1, keys[i], next); err != nil {
+			if err := w.checkPage(binary.LittleEndian.Uint64(e[8:]), depth+1, keys[i], next); err != nil {
 				return err
 			}
 			continue
@@ -101,12 +101,12 @@
 			continue
 		}
 		if root := binary.LittleEndian.Uint64(b[from:]); root != 0 {
-			if err := w.follow(root, depth+1, nil, nil); err != nil {
+			if err := w.checkPage(root, depth+1, nil, nil); err != nil {
 				return err
 			}
 		} else if inner := b[from+bucketHeader : from+value]; len(inner) < pageHeader || binary.LittleEndian.Uint16(inner[8:]) != leafPage {
 			return fmt.Errorf("%w: page %d, a bucket inside", errDamaged, id)
-		} else if err := w.elements(id, inner[pageHeader:], leafPage, int(binary.LittleEndian.Uint16(inner[10:])), depth+1, nil, nil); err != nil {
+		} else if err := w.checkElements(id, inner[pageHeader:], leafPage, int(binary.LittleEndian.Uint16(inner[10:])), depth+1, nil, nil); err != nil {
 			return err
 		}
 	}
--- a/internal/bookkeeping/holder.go
+++ b/internal/bookkeeping/holder.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	holderInbox = 4096 // ops that wait
-	commitMost  = 512  // records of one commit
-	foldMost    = 256  // records that are folded between two commits
-	foldAt      = 1.5  // records for each entry, and the oldest are folded
-	clockEvery  = time.Second
-	clockIdle   = 10 * time.Second // where nothing else is to be written
+	holderQueueSize    = 4096 // ops that wait
+	maxCommitRecords   = 512  // records of one commit
+	compactBatch       = 256  // records that are folded between two commits
+	compactRatio       = 1.5  // records for each entry, and the oldest are folded
+	clockCheckInterval = time.Second
+	clockWriteInterval = 10 * time.Second // where nothing else is to be written
 )
 
 // holder keeps a part of the ledger: one goroutine owns the table and the file. What came while a commit ran goes into the next
 // one together (group commit).
 type holder struct {
-	log     *ledgerlog.Log
-	table   *ledger.Table
-	inbox   chan held
-	done    chan struct{}
-	start   time.Time
-	base    time.Duration // what the file's clock had counted at the start
-	records int           // in the file
-	whole   atomic.Bool
-	writes  atomic.Uint64 // commits, as others are told
-	disk    uint64
-	failed  atomic.Bool // the file can't be written: nothing is granted any more
-	commits atomic.Int64
-	entries atomic.Int64
-	seen    func() map[string]ledgerlog.Seen // of the others' files, which are remembered with the clock
-	reply   func(*ledger.Reply)              // a seam
-	idle    time.Duration                    // when the clock was written last
+	log          *ledgerlog.Log
+	table        *ledger.Table
+	inbox        chan queuedOp
+	done         chan struct{}
+	start        time.Time
+	clockBase    time.Duration // what the file's clock had counted at the start
+	recordCount  int           // in the file
+	complete     atomic.Bool
+	writes       atomic.Uint64 // commits, as others are told
+	disk         uint64
+	failed       atomic.Bool // the file can't be written: nothing is granted any more
+	commits      atomic.Int64
+	entries      atomic.Int64
+	files        func() map[string]ledgerlog.FileVersion // of the others' files, which are remembered with the clock
+	replyHook    func(*ledger.Reply)                     // a seam
+	clockWritten time.Duration                           // when the clock was written last
 }
 
-// held is an op that waits, or something else that is to be done on the holder's goroutine.
-type held struct {
-	op   ledger.Op
-	then func(ledger.Reply)
-	do   func() // instead of an op
+// queuedOp is an op that waits, or something else that is to be done on the holder's goroutine.
+type queuedOp struct {
+	op    ledger.Op
+	reply func(ledger.Reply)
+	run   func() // instead of an op
 }
 
 var (
@@ -54,13 +54,13 @@
 	errFailed = errors.New("the ledger can't be written")
 )
 
-func openHolder(path string, opt Options, seen func() map[string]ledgerlog.Seen) (*holder, error) {
-	h := &holder{table: ledger.NewTable(opt.Limits), inbox: make(chan held, holderInbox), done: make(chan struct{}), start: time.Now(), seen: seen, reply: opt.Hooks.Reply}
+func openHolder(path string, opt Options, seen func() map[string]ledgerlog.FileVersion) (*holder, error) {
+	h := &holder{table: ledger.NewTable(opt.Limits), inbox: make(chan queuedOp, holderQueueSize), done: make(chan struct{}), start: time.Now(), files: seen, replyHook: opt.Hooks.Reply}
 	var last time.Duration
 	var err error
 	began := time.Now()
 	h.log, err = ledgerlog.Open(path, opt.NewID, opt.Durability.synced(), func(r ledgerlog.Record) {
-		h.records++
+		h.recordCount++
 		if opt.Hooks.SkipLoad {
 			return
 		}
@@ -71,30 +71,30 @@
 		return nil, err
 	}
 	s := h.log.State()
-	h.base, h.disk = max(last, s.Clock), s.Disk
+	h.clockBase, h.disk = max(last, s.Clock), s.Disk
 	h.writes.Store(s.Writes)
 	h.entries.Store(int64(h.table.Len()))
-	slog.Info("ledger: open", "entries", h.table.Len(), "records", h.records, "whole", s.Whole, "took", time.Since(began).Round(time.Millisecond))
+	slog.Info("ledger: open", "entries", h.table.Len(), "records", h.recordCount, "whole", s.Whole, "took", time.Since(began).Round(time.Millisecond))
 	return h, nil
 }
 
 // now is the holder's clock: it counts while the process runs, so that nothing is forgotten early whatever the wall clock says.
-func (h *holder) now() time.Duration { return h.base + time.Since(h.start) }
+func (h *holder) now() time.Duration { return h.clockBase + time.Since(h.start) }
 
 // ask hands an op to the holder. It does not block.
-func (h *holder) ask(op ledger.Op, then func(ledger.Reply)) {
+func (h *holder) submit(op ledger.Op, then func(ledger.Reply)) {
 	select {
-	case h.inbox <- held{op: op, then: then}:
+	case h.inbox <- queuedOp{op: op, reply: then}:
 	default:
 		then(ledger.Reply{Error: errBusy.Error()})
 	}
 }
 
-// within runs f on the holder's goroutine and waits for it, or gives up.
-func (h *holder) within(limit time.Duration, f func()) error {
+// runWithin runs f on the holder's goroutine and waits for it, or gives up.
+func (h *holder) runWithin(limit time.Duration, f func()) error {
 	finished := make(chan struct{})
 	select {
-	case h.inbox <- held{do: func() { f(); close(finished) }}:
+	case h.inbox <- queuedOp{run: func() { f(); close(finished) }}:
 	case <-time.After(limit):
 		return errBusy
 	}
@@ -111,7 +111,7 @@
 // run owns the holder until stop is closed.
 func (h *holder) run(stop <-chan struct{}) {
 	defer close(h.done)
-	tick := time.NewTicker(clockEvery)
+	tick := time.NewTicker(clockCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -123,34 +123,34 @@
 		case first := <-h.inbox:
 			h.batch(first)
 		case <-tick.C:
-			h.remember()
+			h.writeClock()
 		}
-		h.fold()
+		h.compact()
 	}
 }
 
-// remember writes the clock now and then, and what was heard of the others' files, where that has changed.
-func (h *holder) remember() {
+// writeClock writes the clock now and then, and what was heard of the others' files, where that has changed.
+func (h *holder) writeClock() {
 	now := h.now()
-	if h.failed.Load() || !h.log.Remember(h.seen()) && now-h.idle < clockIdle {
+	if h.failed.Load() || !h.log.SetSeen(h.files()) && now-h.clockWritten < clockWriteInterval {
 		return
 	}
-	h.idle = now
-	h.wrote(h.log.Commit(nil, now))
+	h.clockWritten = now
+	h.committed(h.log.Commit(nil, now))
 }
 
 // batch carries out what has come, writes it in one commit, and answers after that.
-func (h *holder) batch(first held) {
+func (h *holder) batch(first queuedOp) {
 	var records []ledgerlog.Record
 	var answers []func()
 	next, more := first, true
 	for more {
-		if next.do != nil {
-			next.do()
+		if next.run != nil {
+			next.run()
 		} else {
-			h.one(next, &records, &answers)
+			h.apply(next, &records, &answers)
 		}
-		if len(records) >= commitMost {
+		if len(records) >= maxCommitRecords {
 			break
 		}
 		select {
@@ -160,8 +160,8 @@
 		}
 	}
 	if len(records) > 0 {
-		h.wrote(h.log.Commit(records, h.now()))
-		h.records += len(records)
+		h.committed(h.log.Commit(records, h.now()))
+		h.recordCount += len(records)
 		h.entries.Store(int64(h.table.Len()))
 	}
 	for _, answer := range answers {
@@ -169,9 +169,9 @@
 	}
 }
 
-func (h *holder) one(x held, records *[]ledgerlog.Record, answers *[]func()) {
-	if h.failed.Load() && x.op.Do != ledger.Lookup {
-		*answers = append(*answers, func() { x.then(ledger.Reply{Error: errFailed.Error()}) })
+func (h *holder) apply(x queuedOp, records *[]ledgerlog.Record, answers *[]func()) {
+	if h.failed.Load() && x.op.Kind != ledger.Lookup {
+		*answers = append(*answers, func() { x.reply(ledger.Reply{Error: errFailed.Error()}) })
 		return
 	}
 	r, learned := h.table.Do(h.now(), x.op)
@@ -179,19 +179,19 @@
 		*records = append(*records, ledgerlog.Record{Key: x.op.Key, Customer: x.op.Customer, At: h.now(), Entry: learned})
 	}
 	*answers = append(*answers, func() {
-		r.Whole = h.whole.Load()
+		r.Complete = h.complete.Load()
 		if r.Granted && h.failed.Load() {
 			r = ledger.Reply{Error: errFailed.Error()} // it was not written
 		}
-		if h.reply != nil {
-			h.reply(&r)
+		if h.replyHook != nil {
+			h.replyHook(&r)
 		}
-		x.then(r)
+		x.reply(r)
 	})
 }
 
-// wrote notes how a commit went. After one that failed nothing is granted: what is on disk is not known.
-func (h *holder) wrote(err error) {
+// committed notes how a commit went. After one that failed nothing is granted: what is on disk is not known.
+func (h *holder) committed(err error) {
 	if err != nil {
 		if !h.failed.Swap(true) {
 			slog.Error("ledger: it can't be written, so this holder grants nothing more", "error", err)
@@ -202,16 +202,16 @@
 	h.writes.Store(h.log.State().Writes)
 }
 
-// fold takes old records out, a few at a time, so that the writer never waits long.
-func (h *holder) fold() {
-	if h.failed.Load() || h.records < foldMost || float64(h.records) < foldAt*float64(h.table.Len())+foldMost {
+// compact takes old records out, a few at a time, so that the writer never waits long.
+func (h *holder) compact() {
+	if h.failed.Load() || h.recordCount < compactBatch || float64(h.recordCount) < compactRatio*float64(h.table.Len())+compactBatch {
 		return
 	}
-	before := h.records
+	before := h.recordCount
 	again := 0
 	seen := map[ledger.Key]bool{}
-	n, err := h.log.Fold(foldMost, h.now(), func(r ledgerlog.Record) (ledgerlog.Record, bool) {
-		e, customer, at := h.table.Keeps(h.now(), r.Key)
+	n, err := h.log.Compact(compactBatch, h.now(), func(r ledgerlog.Record) (ledgerlog.Record, bool) {
+		e, customer, at := h.table.Get(h.now(), r.Key)
 		if len(e.Attempts)+len(e.Resolutions) == 0 || seen[r.Key] {
 			return r, false
 		}
@@ -219,8 +219,8 @@
 		again++
 		return ledgerlog.Record{Key: r.Key, Customer: customer, At: at, Entry: e}, true
 	})
-	h.wrote(err)
-	h.records = before - n + again
+	h.committed(err)
+	h.recordCount = before - n + again
 }
 
 // dump gives what the file holds after a record, at most so many: it reads beside the writer, which does not wait. An entry may come
--- a/internal/bookkeeping/noted.go
+++ b/internal/bookkeeping/intent.go
@@ -10,7 +10,7 @@
 )
 
 // note is an instruction as the core sees it.
-type note struct {
+type intentRecorder struct {
 	k *Service
 	i Instruction
 }
@@ -18,17 +18,17 @@
 // Note makes an instruction that this dispatcher takes known to the core. Named tells that it is known to be the same as others of
 // its key: by a key that the client gave, or as a marked repeat.
 func (k *Service) IntentRecorder(key ledger.Key, customer string, named bool) dispatch.IntentRecorder {
-	return &note{k: k, i: Instruction{Key: key, Customer: customer, Named: named}}
+	return &intentRecorder{k: k, i: Instruction{Key: key, Customer: customer, Identified: named}}
 }
 
 // Begin is dispatch.Noted.
-func (n *note) Begin(until time.Time, then func(end func(logic.Outcome), err error)) {
-	n.k.Begin(&n.i, until, func(a ledger.Attempt, err error) {
+func (r *intentRecorder) Begin(until time.Time, then func(end func(logic.Outcome), err error)) {
+	r.k.RecordIntent(&r.i, until, func(a ledger.Attempt, err error) {
 		if err != nil {
 			then(nil, err)
 			return
 		}
-		then(func(o logic.Outcome) { n.k.Ended(&n.i, a, n.k.outcome(o)) }, nil)
+		then(func(o logic.Outcome) { r.k.RecordOutcome(&r.i, a, r.k.outcome(o)) }, nil)
 	})
 }
 
@@ -51,13 +51,13 @@
 }
 
 // twice is an error that tells of an earlier attempt.
-type twice struct{ text string }
+type earlierAttemptError struct{ text string }
 
-func (t *twice) Error() string    { return t.text }
-func (t *twice) MayHaveRun() bool { return true }
+func (t *earlierAttemptError) Error() string    { return t.text }
+func (t *earlierAttemptError) MayHaveRun() bool { return true }
 
 // MayHaveRun tells whether an error says that an earlier attempt ran, or may have.
 func MayHaveRun(err error) bool {
-	var t *twice
+	var t *earlierAttemptError
 	return errors.As(err, &t)
 }
--- a/internal/bookkeeping/desk.go
+++ b/internal/bookkeeping/operator.go
@@ -8,8 +8,8 @@
 	"standpulley/internal/ledger"
 )
 
-// deskWait is how long an operator waits for the holders.
-const deskWait = 3 * time.Second
+// operatorTimeout is how long an operator waits for the holders.
+const operatorTimeout = 3 * time.Second
 
 // Unknown gives the instructions of which nobody knows whether they ran, as far as holders know that are there, and at most as many
 // as one answer holds.
@@ -21,9 +21,9 @@
 		var a Answer
 		var err error
 		if name == k.opt.Name {
-			a, err = k.Serve(Call{Unknown: unknownMost})
+			a, err = k.Serve(Call{MaxUnknown: maxUnknownRows})
 		} else {
-			err = k.opt.Call(name, Call{Unknown: unknownMost}, &a, deskWait)
+			err = k.opt.Call(name, Call{MaxUnknown: maxUnknownRows}, &a, operatorTimeout)
 		}
 		if err != nil {
 			continue
@@ -54,13 +54,13 @@
 
 // Show gives all that is known of one instruction.
 func (k *Service) Show(key ledger.Key) (Row, error) {
-	_, c := k.collect(ledger.Op{Do: ledger.Lookup, Key: key}, deskWait, func(c *ledger.Tally) ledger.Verdict {
-		if c.Known() == ledger.Yes && !c.Heard() {
-			return ledger.Open // all that answer are wanted
+	_, c := k.queryHolders(ledger.Op{Kind: ledger.Lookup, Key: key}, operatorTimeout, func(c *ledger.Tally) ledger.Verdict {
+		if c.Known() == ledger.Yes && !c.AllAnswered() {
+			return ledger.Pending // all that answer are wanted
 		}
 		return c.Known()
 	})
-	if !c.Enough() {
+	if !c.MajorityAnswered() {
 		return Row{}, errors.New("too few holders answer to know all of it")
 	}
 	return Row{Key: key, Customer: c.Customer, Entry: c.Entry}, nil
@@ -83,7 +83,7 @@
 	}
 	e := row.Entry.Clone()
 	e.Settle(w)
-	v, _ := k.collect(ledger.Op{Do: ledger.Merge, Key: key, Customer: row.Customer, Entry: e}, deskWait, (*ledger.Tally).Granted)
+	v, _ := k.queryHolders(ledger.Op{Kind: ledger.Merge, Key: key, Customer: row.Customer, Entry: e}, operatorTimeout, (*ledger.Tally).Granted)
 	if v != ledger.Yes {
 		return errors.New("too few holders have noted it: whether it stands shows later")
 	}
@@ -92,13 +92,13 @@
 
 // Ready tells whether a majority of the holders is there and whole, as far as was heard of late. It asks where nothing was.
 func (k *Service) Ready() bool {
-	if at := k.readyAt.Load(); time.Since(k.start) < time.Duration(at)+readyFor {
+	if at := k.readyAt.Load(); time.Since(k.start) < time.Duration(at)+readyTTL {
 		return true
 	}
-	if k.asking.CompareAndSwap(false, true) {
+	if k.checkingReady.CompareAndSwap(false, true) {
 		go func() {
-			defer k.asking.Store(false)
-			if v, _ := k.collect(ledger.Op{Do: ledger.Lookup}, k.opt.FindTimeout, (*ledger.Tally).Known); v == ledger.Yes {
+			defer k.checkingReady.Store(false)
+			if v, _ := k.queryHolders(ledger.Op{Kind: ledger.Lookup}, k.opt.FindTimeout, (*ledger.Tally).Known); v == ledger.Yes {
 				k.readyAt.Store(int64(time.Since(k.start)))
 			}
 		}()
@@ -106,8 +106,8 @@
 	return false
 }
 
-// readyFor is how long what was heard of the holders counts.
-const readyFor = time.Second
+// readyTTL is how long what was heard of the holders counts.
+const readyTTL = time.Second
 
 // Export gives what this dispatcher's file holds after a record, with the record to go on from and whether that was all. An entry may
 // come in several parts.
@@ -115,13 +115,13 @@
 	if k.holder == nil {
 		return nil, 0, false, errors.New("this dispatcher holds no ledger: ask a voter")
 	}
-	return k.holder.dump(after, dumpMost)
+	return k.holder.dump(after, maxDumpRows)
 }
 
 // Import has the holders learn entries, as they were exported. It stands once a majority of them has all of it on disk.
 func (k *Service) Import(rows []Row) error {
 	for _, r := range rows {
-		if v, _ := k.collect(ledger.Op{Do: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, deskWait, (*ledger.Tally).Granted); v != ledger.Yes {
+		if v, _ := k.queryHolders(ledger.Op{Kind: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, operatorTimeout, (*ledger.Tally).Granted); v != ledger.Yes {
 			return fmt.Errorf("too few holders have noted %s: import it again, which does no harm", r.Key)
 		}
 	}
--- a/internal/bookkeeping/refill.go
+++ b/internal/bookkeeping/refill.go
@@ -17,8 +17,8 @@
 }
 
 const (
-	checkPause = 200 * time.Millisecond
-	callLimit  = 2 * time.Second
+	checkInterval = 200 * time.Millisecond
+	callTimeout   = 2 * time.Second
 )
 
 // check finds out whether this holder knows all that it ever acknowledged, and mends it where it does not. Until it does, what the
@@ -28,7 +28,7 @@
 	for {
 		err := k.checkOnce()
 		if err == nil {
-			k.holder.whole.Store(true)
+			k.holder.complete.Store(true)
 			slog.Info("ledger: this holder knows all that it acknowledged", "entries", k.holder.entries.Load())
 			return
 		}
@@ -39,7 +39,7 @@
 		select {
 		case <-k.stop:
 			return
-		case <-time.After(checkPause):
+		case <-time.After(checkInterval):
 		}
 	}
 }
@@ -51,54 +51,54 @@
 		return fmt.Errorf("the agreed record can't be read: %w", err)
 	}
 	var state ledgerlog.State
-	if err := h.within(callLimit, func() { state = h.log.State() }); err != nil {
+	if err := h.runWithin(callTimeout, func() { state = h.log.State() }); err != nil {
 		return err
 	}
 	switch {
 	case k.opt.Hooks.AssumeComplete:
-		return k.setWhole()
+		return k.markComplete()
 	case !known: // no holder of this name ever acknowledged anything
 		if err := k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk); err != nil {
 			return err
 		}
-		return k.setWhole()
+		return k.markComplete()
 	case was != state.Disk && !state.Whole:
 		slog.Warn("ledger: this holder's file is new and the one before is lost: it is filled from the others", "lost", was, "new", state.Disk)
 		if err := k.refill(); err != nil {
 			return err
 		}
-		if err := k.setWhole(); err != nil {
+		if err := k.markComplete(); err != nil {
 			return err
 		}
 		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
 	case was != state.Disk: // it was filled, and ended before that was on record
 		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
 	case !state.Whole: // it was new, and ended before it knew
-		return k.setWhole()
+		return k.markComplete()
 	}
-	old, err := k.restored(state)
+	old, err := k.isStaleCopy(state)
 	if err == nil && old {
 		slog.Warn("ledger: this holder's file is an old copy of what it was: it is filled from the others", "commits", state.Writes)
 		if err = k.refill(); err == nil {
-			err = k.setWhole()
+			err = k.markComplete()
 		}
 	}
 	return err
 }
 
-// restored asks enough others what they last heard of this holder's file. One that has fewer commits than that is a copy from before.
-func (k *Service) restored(state ledgerlog.State) (bool, error) {
+// isStaleCopy asks enough others what they last heard of this holder's file. One that has fewer commits than that is a copy from before.
+func (k *Service) isStaleCopy(state ledgerlog.State) (bool, error) {
 	heard := 0
 	for _, name := range k.opt.Holders {
 		if name == k.opt.Name {
 			continue
 		}
 		var a Answer
-		if k.opt.Call(name, Call{About: k.opt.Name}, &a, callLimit) != nil {
+		if k.opt.Call(name, Call{LastSeenOf: k.opt.Name}, &a, callTimeout) != nil {
 			continue
 		}
 		heard++
-		if a.About.Disk == state.Disk && a.About.Writes > state.Writes {
+		if a.LastSeen.Disk == state.Disk && a.LastSeen.Writes > state.Writes {
 			return true, nil
 		}
 	}
@@ -116,25 +116,25 @@
 		return errors.New("this dispatcher holds no ledger")
 	case why == "":
 		return errors.New("a word needs a reason")
-	case k.holder.whole.Load():
+	case k.holder.complete.Load():
 		return errors.New("this holder knows all that it acknowledged: there is nothing to accept")
 	}
 	slog.Warn("ledger: this holder is to be filled from one other, by an operator's word", "by", by, "why", why)
-	k.accepts.Store(true)
+	k.acceptLoss.Store(true)
 	return nil
 }
 
 // refill takes over what the other holders know. Enough of them must be whole themselves.
 func (k *Service) refill() error {
-	need, taken := ledger.Refill(len(k.opt.Holders)), 0
-	if k.accepts.Load() {
+	need, taken := ledger.RefillQuorum(len(k.opt.Holders)), 0
+	if k.acceptLoss.Load() {
 		need = 1
 	}
 	for _, name := range k.opt.Holders {
 		if name == k.opt.Name || taken == need {
 			continue
 		}
-		rows, err := k.takeAll(name)
+		rows, err := k.copyFrom(name)
 		if err != nil {
 			slog.Warn("ledger: a holder gives nothing to fill from", "holder", name, "why", err)
 			continue
@@ -148,20 +148,20 @@
 	return nil
 }
 
-func (k *Service) takeAll(name string) (rows int, err error) {
+func (k *Service) copyFrom(name string) (rows int, err error) {
 	var after uint64
 	for {
 		var a Answer
-		if err := k.opt.Call(name, Call{Dump: &after}, &a, callLimit); err != nil {
+		if err := k.opt.Call(name, Call{DumpAfter: &after}, &a, callTimeout); err != nil {
 			return rows, err
 		}
-		if !a.Whole {
+		if !a.Complete {
 			return rows, fmt.Errorf("it is not whole itself")
 		}
 		after = a.Next
 		failed := make(chan error, len(a.Rows))
 		for _, r := range a.Rows {
-			k.holder.ask(ledger.Op{Do: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, func(r ledger.Reply) {
+			k.holder.submit(ledger.Op{Kind: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, func(r ledger.Reply) {
 				if r.Error != "" {
 					failed <- fmt.Errorf("%s", r.Error)
 					return
@@ -181,9 +181,9 @@
 	}
 }
 
-func (k *Service) setWhole() (err error) {
+func (k *Service) markComplete() (err error) {
 	h := k.holder
-	if e := h.within(callLimit, func() { err = h.log.Whole(true, h.now()) }); e != nil {
+	if e := h.runWithin(callTimeout, func() { err = h.log.SetComplete(true, h.now()) }); e != nil {
 		return e
 	}
 	return err
--- a/internal/bookkeeping/bookkeeping.go
+++ b/internal/bookkeeping/service.go
@@ -66,44 +66,44 @@
 	SkipLoad           bool                                               // what is on disk is not read at the start
 }
 
-// asked is who answers ops: this dispatcher's own holder, or a sender to another.
-type asked interface {
-	ask(op ledger.Op, then func(ledger.Reply))
+// holderClient is who answers ops: this dispatcher's own holder, or a sender to another.
+type holderClient interface {
+	submit(op ledger.Op, then func(ledger.Reply))
 }
 
 // Service is the part.
 type Service struct {
-	opt     Options
-	holder  *holder // nil where this dispatcher holds nothing
-	holders []asked
-	stop    chan struct{}
-	ended   sync.WaitGroup
-	numbers atomic.Uint64
-	calls   atomic.Int64
-	untold  atomic.Int64
-	telling atomic.Int64 // outcomes that a holder has not heard yet
-	start   time.Time
-	readyAt atomic.Int64 // since start, when a majority was heard to be whole
-	asking  atomic.Bool  // whether that is so
-	accepts atomic.Bool  // to be filled from one other holder
-	waits   waits
-	seen    seen
+	opt           Options
+	holder        *holder // nil where this dispatcher holds nothing
+	holders       []holderClient
+	stop          chan struct{}
+	goroutines    sync.WaitGroup
+	attemptNumber atomic.Uint64
+	calls         atomic.Int64
+	undelivered   atomic.Int64
+	delivering    atomic.Int64 // outcomes that a holder has not heard yet
+	start         time.Time
+	readyAt       atomic.Int64 // since start, when a majority was heard to be whole
+	checkingReady atomic.Bool  // whether that is so
+	acceptLoss    atomic.Bool  // to be filled from one other holder
+	waits         intentWaits
+	files         fileVersions
 }
 
-// seen is what was heard last of each holder's file.
-type seen struct {
+// fileVersions is what was heard last of each holder's file.
+type fileVersions struct {
 	mu  sync.Mutex
-	all map[string]ledgerlog.Seen
+	all map[string]ledgerlog.FileVersion
 }
 
-func (s *seen) of(name string) ledgerlog.Seen {
+func (s *fileVersions) get(name string) ledgerlog.FileVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[name]
 }
 
-// note takes what a holder says of its file. Another file takes the place of the one before.
-func (s *seen) note(name string, is ledgerlog.Seen) {
+// update takes what a holder says of its file. Another file takes the place of the one before.
+func (s *fileVersions) update(name string, is ledgerlog.FileVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if was := s.all[name]; was.Disk != is.Disk || was.Writes < is.Writes {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (s *seen) copy() map[string]ledgerlog.Seen {
+func (s *fileVersions) snapshot() map[string]ledgerlog.FileVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.all)
@@ -119,27 +119,27 @@
 
 // Open opens the ledger and begins.
 func Open(opt Options) (*Service, error) {
-	k := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), seen: seen{all: map[string]ledgerlog.Seen{}}}
-	k.readyAt.Store(-int64(readyFor)) // never yet
+	k := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), files: fileVersions{all: map[string]ledgerlog.FileVersion{}}}
+	k.readyAt.Store(-int64(readyTTL)) // never yet
 	if slices.Contains(opt.Holders, opt.Name) {
-		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, k.seen.copy)
+		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, k.files.snapshot)
 		if err != nil {
 			return nil, err
 		}
 		k.holder = h
 		for name, is := range h.log.State().Seen {
-			k.seen.note(name, is)
+			k.files.update(name, is)
 		}
-		k.ended.Go(func() { h.run(k.stop) })
+		k.goroutines.Go(func() { h.run(k.stop) })
 	}
 	for _, name := range opt.Holders {
 		if name == opt.Name {
 			k.holders = append(k.holders, k.holder)
 			continue
 		}
-		s := &sender{name: name, speak: opt.Call, limit: opt.FindTimeout, inbox: make(chan held, senderInbox), calls: &k.calls, seen: &k.seen}
+		s := &sender{name: name, transport: opt.Call, timeout: opt.FindTimeout, inbox: make(chan queuedOp, senderQueueSize), calls: &k.calls, files: &k.files}
 		k.holders = append(k.holders, s)
-		k.ended.Go(func() { s.run(k.stop) })
+		k.goroutines.Go(func() { s.run(k.stop) })
 	}
 	return k, nil
 }
@@ -147,20 +147,20 @@
 // Run begins to find out whether what is on disk is all that it was. The agreed record must be there to be asked.
 func (k *Service) Run() {
 	if k.holder != nil {
-		k.ended.Go(k.check)
+		k.goroutines.Go(k.check)
 	}
 }
 
-// closeWait is how long an end waits for holders to hear what became of the last instructions. What they do not hear stays unknown.
-const closeWait = 300 * time.Millisecond
+// closeTimeout is how long an end waits for holders to hear what became of the last instructions. What they do not hear stays unknown.
+const closeTimeout = 300 * time.Millisecond
 
 // Close ends the part.
 func (k *Service) Close() error {
-	for end := time.Now().Add(closeWait); k.telling.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(closeTimeout); k.delivering.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	close(k.stop)
-	k.ended.Wait()
+	k.goroutines.Wait()
 	if k.holder != nil {
 		return k.holder.log.Close()
 	}
@@ -169,21 +169,21 @@
 
 // Call is what one dispatcher asks of a holder.
 type Call struct {
-	Ops     []ledger.Op `json:"ops,omitempty"`
-	Dump    *uint64     `json:"dump,omitempty"`    // what the file holds after this record
-	Unknown int         `json:"unknown,omitempty"` // at most so many of which nobody knows the fate
-	About   string      `json:"about,omitempty"`   // what was heard last of this holder's file
+	Ops        []ledger.Op `json:"ops,omitempty"`
+	DumpAfter  *uint64     `json:"dump,omitempty"`    // what the file holds after this record
+	MaxUnknown int         `json:"unknown,omitempty"` // at most so many of which nobody knows the fate
+	LastSeenOf string      `json:"about,omitempty"`   // what was heard last of this holder's file
 }
 
 // Answer is what it hears.
 type Answer struct {
-	Replies []ledger.Reply `json:"replies,omitempty"`
-	Rows    []Row          `json:"rows,omitempty"`
-	Next    uint64         `json:"next,omitempty"` // of a dump: the record to go on from
-	Last    bool           `json:"last,omitempty"`
-	Whole   bool           `json:"whole"`
-	File    ledgerlog.Seen `json:"file"` // of the one that answers
-	About   ledgerlog.Seen `json:"about"`
+	Replies  []ledger.Reply        `json:"replies,omitempty"`
+	Rows     []Row                 `json:"rows,omitempty"`
+	Next     uint64                `json:"next,omitempty"` // of a dump: the record to go on from
+	Last     bool                  `json:"last,omitempty"`
+	Complete bool                  `json:"whole"`
+	File     ledgerlog.FileVersion `json:"file"` // of the one that answers
+	LastSeen ledgerlog.FileVersion `json:"about"`
 }
 
 // Row is one entry on its way.
@@ -194,9 +194,9 @@
 }
 
 const (
-	dumpMost    = 1000 // entries of one answer
-	unknownMost = 1000
-	opsMost     = 1024
+	maxDumpRows    = 1000 // entries of one answer
+	maxUnknownRows = 1000
+	maxOpsServed   = 1024
 )
 
 // Serve answers a call of another dispatcher.
@@ -205,24 +205,24 @@
 	if h == nil {
 		return a, errors.New("this dispatcher holds no ledger")
 	}
-	if len(c.Ops) > opsMost {
+	if len(c.Ops) > maxOpsServed {
 		return a, fmt.Errorf("%d questions are too many", len(c.Ops))
 	}
-	a = Answer{Replies: make([]ledger.Reply, len(c.Ops)), Whole: h.whole.Load(), File: ledgerlog.Seen{Disk: h.disk, Writes: h.writes.Load()}}
+	a = Answer{Replies: make([]ledger.Reply, len(c.Ops)), Complete: h.complete.Load(), File: ledgerlog.FileVersion{Disk: h.disk, Writes: h.writes.Load()}}
 	var all sync.WaitGroup
 	all.Add(len(c.Ops))
 	for i, op := range c.Ops {
-		h.ask(op, func(r ledger.Reply) { a.Replies[i] = r; all.Done() })
+		h.submit(op, func(r ledger.Reply) { a.Replies[i] = r; all.Done() })
 	}
 	all.Wait()
-	if c.About != "" {
-		a.About = k.seen.of(c.About)
+	if c.LastSeenOf != "" {
+		a.LastSeen = k.files.get(c.LastSeenOf)
 	}
-	if c.Dump != nil {
-		a.Rows, a.Next, a.Last, err = h.dump(*c.Dump, dumpMost)
+	if c.DumpAfter != nil {
+		a.Rows, a.Next, a.Last, err = h.dump(*c.DumpAfter, maxDumpRows)
 	}
-	if c.Unknown > 0 && err == nil {
-		err = h.within(time.Second, func() { a.Rows = h.unknown(min(c.Unknown, unknownMost)) })
+	if c.MaxUnknown > 0 && err == nil {
+		err = h.runWithin(time.Second, func() { a.Rows = h.unknown(min(c.MaxUnknown, maxUnknownRows)) })
 	}
 	return a, err
 }
@@ -237,29 +237,29 @@
 
 // Stats gives them.
 func (k *Service) Stats() Stats {
-	f := Stats{Calls: k.calls.Load(), Untold: k.untold.Load()}
+	f := Stats{Calls: k.calls.Load(), Untold: k.undelivered.Load()}
 	f.WaitP50, f.WaitP99 = k.waits.percentiles()
 	if h := k.holder; h != nil {
-		f.Holds, f.Entries, f.Commits, f.Whole, f.Failed, f.Bytes = true, h.entries.Load(), h.commits.Load(), h.whole.Load(), h.failed.Load(), h.log.Size()
+		f.Holds, f.Entries, f.Commits, f.Whole, f.Failed, f.Bytes = true, h.entries.Load(), h.commits.Load(), h.complete.Load(), h.failed.Load(), h.log.Size()
 	}
 	return f
 }
 
-// waits are the latest times that intents took.
-type waits struct {
+// intentWaits are the latest times that intents took.
+type intentWaits struct {
 	mu   sync.Mutex
 	last [1024]time.Duration
 	n    int
 }
 
-func (w *waits) note(d time.Duration) {
+func (w *intentWaits) add(d time.Duration) {
 	w.mu.Lock()
 	w.last[w.n%len(w.last)] = d
 	w.n++
 	w.mu.Unlock()
 }
 
-func (w *waits) percentiles() (p50, p99 time.Duration) {
+func (w *intentWaits) percentiles() (p50, p99 time.Duration) {
 	w.mu.Lock()
 	some := slices.Clone(w.last[:min(w.n, len(w.last))])
 	w.mu.Unlock()
--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/bookkeeping/service_test.go
@@ -107,7 +107,7 @@
 // whole waits until a holder knows all that it acknowledged.
 func (r *ring) whole(name string) {
 	r.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !r.keepers[name].holder.whole.Load(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !r.keepers[name].holder.complete.Load(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("%s is never whole", name)
 		}
@@ -175,7 +175,7 @@
 	}
 	end(logic.Delivered)
 	r.told("c", 1, ledger.DidRun)
-	if err := a.CheckRepeat(key(1), in(time.Second)); !MayHaveRun(err) { // it hears as much as forbids it, and no more
+	if err := a.CheckRepeat(key(1), in(time.Second)); !MayHaveRun(err) { // it hears as much as errorForStatus it, and no more
 		t.Errorf("after it ran: %v", err)
 	}
 	// One that breaks off stays unknown until an operator settles it, once.
@@ -215,10 +215,10 @@
 		t.Errorf("one away: %v", err)
 	}
 	r.sever("b", true)
-	if _, err := begin(a, 3); !errors.Is(err, ErrNoNote) || MayHaveRun(err) {
+	if _, err := begin(a, 3); !errors.Is(err, ErrNotRecorded) || MayHaveRun(err) {
 		t.Errorf("two away: %v", err)
 	}
-	if err := a.CheckRepeat(key(4), in(time.Second)); !errors.Is(err, ErrNotFound) {
+	if err := a.CheckRepeat(key(4), in(time.Second)); !errors.Is(err, ErrUndetermined) {
 		t.Errorf("two away: %v", err)
 	}
 	if err := a.CheckRepeat(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
@@ -255,8 +255,8 @@
 		t.Fatal(err)
 	}
 	r.start("b") // it hears from a alone that it had more commits, and c is needed to fill it
-	time.Sleep(2 * checkPause)
-	if r.keepers["b"].holder.whole.Load() {
+	time.Sleep(2 * checkInterval)
+	if r.keepers["b"].holder.complete.Load() {
 		t.Error("an old copy counts as one that knows")
 	}
 	r.sever("c", false)
@@ -268,11 +268,11 @@
 	}
 	r.sever("a", true)
 	r.start("b")
-	time.Sleep(2 * checkPause)
-	if r.keepers["b"].holder.whole.Load() {
+	time.Sleep(2 * checkInterval)
+	if r.keepers["b"].holder.complete.Load() {
 		t.Error("a new file counts as one that knows")
 	}
-	if err := r.keepers["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrNotFound) {
+	if err := r.keepers["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrUndetermined) {
 		t.Errorf("c and the new b are no majority that knows: %v", err)
 	}
 	if err := r.keepers["b"].Accept("op", ""); err == nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -101,7 +101,7 @@
 			t.Outcome = outcome
 		}
 	}
-	e.Join(Entry{Resolutions: []Resolution{w}})
+	e.Merge(Entry{Resolutions: []Resolution{w}})
 }
 
 // Record adds what is known of an attempt.
@@ -138,8 +138,8 @@
 	e.Attempts = kept
 }
 
-// Of tells what is known of an attempt.
-func (e *Entry) Of(a Attempt) (o Outcome, known bool) {
+// OutcomeOf tells what is known of an attempt.
+func (e *Entry) OutcomeOf(a Attempt) (o Outcome, known bool) {
 	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t AttemptRecord, a Attempt) int { return t.compare(a) })
 	if !there {
 		return Intent, false
@@ -147,8 +147,8 @@
 	return e.Attempts[at].Outcome, true
 }
 
-// Others tells what the other attempts come to: whether this one may be sent beside them.
-func (e *Entry) Others(a Attempt) Status {
+// StatusOfOthers tells what the other attempts come to: whether this one may be sent beside them.
+func (e *Entry) StatusOfOthers(a Attempt) Status {
 	o := Entry{}
 	for _, t := range e.Attempts {
 		if t.Attempt != a {
@@ -158,8 +158,8 @@
 	return o.Status()
 }
 
-// Join adds what another dispatcher knows. It is commutative, associative and idempotent.
-func (e *Entry) Join(o Entry) {
+// Merge adds what another dispatcher knows. It is commutative, associative and idempotent.
+func (e *Entry) Merge(o Entry) {
 	for _, t := range o.Attempts {
 		e.Record(t.Attempt, t.Outcome)
 	}
@@ -169,11 +169,11 @@
 		}
 	}
 	slices.SortFunc(e.Resolutions, func(a, b Resolution) int {
-		return cmp.Or(cmp.Compare(a.Wall, b.Wall), cmp.Compare(a.By, b.By), cmp.Compare(a.Why, b.Why), cmp.Compare(truth(a.Ran), truth(b.Ran)))
+		return cmp.Or(cmp.Compare(a.Wall, b.Wall), cmp.Compare(a.By, b.By), cmp.Compare(a.Why, b.Why), cmp.Compare(boolToInt(a.Ran), boolToInt(b.Ran)))
 	})
 }
 
-func truth(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -25,7 +25,7 @@
 		e.Record(attempt(rapid.IntRange(0, 3).Draw(t, "n")), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "words") {
-		e.Join(Entry{Resolutions: []Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "by"))}}})
+		e.Merge(Entry{Resolutions: []Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "by"))}}})
 	}
 	return e
 })
@@ -33,7 +33,7 @@
 func joined(entries ...Entry) Entry {
 	var e Entry
 	for _, o := range entries {
-		e.Join(o)
+		e.Merge(o)
 	}
 	return e
 }
@@ -56,7 +56,7 @@
 			t.Fatalf("%v and %v come to %v", a.Status(), b.Status(), all.Status())
 		}
 		for _, x := range a.Attempts {
-			if o, known := all.Of(x.Attempt); !known || o < x.Outcome {
+			if o, known := all.OutcomeOf(x.Attempt); !known || o < x.Outcome {
 				t.Fatalf("%v became %v", x.Outcome, o)
 			}
 		}
@@ -112,7 +112,7 @@
 	var refusal *Refusal
 	flood := 0
 	for i := range 5000 {
-		if err := table.Take(0, key(i), "flood", attempt(i)); err == nil {
+		if err := table.RecordIntent(0, key(i), "flood", attempt(i)); err == nil {
 			flood++
 		} else if !errors.As(err, &refusal) {
 			t.Fatal(err)
@@ -122,21 +122,21 @@
 		t.Errorf("the flood holds %d", flood)
 	}
 	for i := range 100 {
-		if err := table.Take(time.Minute, key(10000+i), "other", attempt(i)); err != nil {
+		if err := table.RecordIntent(time.Minute, key(10000+i), "other", attempt(i)); err != nil {
 			t.Fatalf("the other's %d: %v", i, err)
 		}
 	}
-	e := table.Look(time.Hour-1, key(0))
+	e := table.Lookup(time.Hour-1, key(0))
 	if e.Status() != Unknown || table.Len() != flood+100 {
 		t.Errorf("%v of %d entries", e.Status(), table.Len())
 	}
-	if err := table.Take(time.Hour-1, key(0), "flood", attempt(9)); err != nil {
+	if err := table.RecordIntent(time.Hour-1, key(0), "flood", attempt(9)); err != nil {
 		t.Errorf("no room for what is there: %v", err)
 	}
-	if e := table.Look(time.Hour, key(1)); e.Status() != NeverSent {
+	if e := table.Lookup(time.Hour, key(1)); e.Status() != NeverSent {
 		t.Errorf("kept too long: %v", e.Status())
 	}
-	if e := table.Look(time.Hour, key(0)); e.Status() != Unknown || table.Len() != 101 {
+	if e := table.Lookup(time.Hour, key(0)); e.Status() != Unknown || table.Len() != 101 {
 		t.Errorf("forgotten early: %v, %d left", e.Status(), table.Len())
 	}
 	// What is learned is never refused, even beyond the bound.
@@ -145,7 +145,7 @@
 		e.Record(attempt(1), Ran)
 		table.Merge(time.Hour, key(50000+i), "learned", e)
 	}
-	if table.Len() != 2101 || table.Take(time.Hour, key(99999), "new", attempt(1)) == nil {
+	if table.Len() != 2101 || table.RecordIntent(time.Hour, key(99999), "new", attempt(1)) == nil {
 		t.Errorf("%d entries", table.Len())
 	}
 }
@@ -171,7 +171,7 @@
 					continue
 				}
 				r, _ := tables[i].Do(0, op)
-				r.Whole = whole[i]
+				r.Complete = whole[i]
 				c.Add(&r)
 			}
 			return c
@@ -182,10 +182,10 @@
 				i := rapid.IntRange(0, n-1).Draw(t, "whose")
 				if !slices.Contains(whole, false) {
 					tables[i], whole[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), false
-					left := Refill(n)
+					left := RefillQuorum(n)
 					for _, j := range rapid.Permutation(order(n)).Draw(t, "from") {
 						if j != i && left > 0 && rapid.IntRange(0, 5).Draw(t, "answers") > 0 {
-							for k, r := range tables[j].all {
+							for k, r := range tables[j].rows {
 								tables[i].Merge(0, k, r.customer, r.Clone())
 							}
 							left--
@@ -194,11 +194,11 @@
 					whole[i] = left == 0
 				}
 			}
-			seen := do(Op{Do: Lookup, Key: key(1)}, "look")
+			seen := do(Op{Kind: Lookup, Key: key(1)}, "look")
 			if sent > 0 && seen.Known() == Yes && seen.Entry.MaySend() {
 				t.Fatal("what was let send is not known to a majority")
 			}
-			if do(Op{Do: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(taker)}, "take").Granted() == Yes {
+			if do(Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(taker)}, "take").Granted() == Yes {
 				if sent++; sent > 1 {
 					t.Fatal("two takers are let send")
 				}
@@ -218,8 +218,8 @@
 func TestTakeGoesByWhatTheTakerKnows(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	take := func(n int, own ...AttemptRecord) Reply {
-		r, learned := table.Do(0, Op{Do: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(n), Entry: Entry{Attempts: own}})
-		if o, known := learned.Of(attempt(n)); r.Granted != (known && o == Intent) {
+		r, learned := table.Do(0, Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(n), Entry: Entry{Attempts: own}})
+		if o, known := learned.OutcomeOf(attempt(n)); r.Granted != (known && o == Intent) {
 			t.Errorf("granted %v, and on disk %+v", r.Granted, learned)
 		}
 		return r
@@ -232,7 +232,7 @@
 	if take(2).Granted || !take(2, AttemptRecord{attempt(1), NeverRan}).Granted {
 		t.Error("takes")
 	}
-	if _, learned := table.Do(0, Op{Do: Merge, Key: key(1), Entry: Entry{Attempts: []AttemptRecord{{attempt(3), NeverRan}}}}); len(learned.Attempts) != 1 {
+	if _, learned := table.Do(0, Op{Kind: Merge, Key: key(1), Entry: Entry{Attempts: []AttemptRecord{{attempt(3), NeverRan}}}}); len(learned.Attempts) != 1 {
 		t.Error("nothing is learned")
 	}
 	if take(3, AttemptRecord{attempt(2), NeverRan}).Granted {
@@ -244,7 +244,7 @@
 func TestManyAttemptsOfOneEntry(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	end := func(n int, o Outcome) {
-		if err := table.Take(0, key(1), "c", attempt(n)); err != nil {
+		if err := table.RecordIntent(0, key(1), "c", attempt(n)); err != nil {
 			t.Fatal(err)
 		}
 		if o != Intent {
@@ -254,22 +254,22 @@
 	for n := range 500 {
 		end(n, NeverRan)
 	}
-	if e := table.Look(0, key(1)); len(e.Attempts) > attemptsMost || e.Status() != NotRun {
+	if e := table.Lookup(0, key(1)); len(e.Attempts) > maxAttempts || e.Status() != NotRun {
 		t.Errorf("%d attempts, %v", len(e.Attempts), e.Status())
 	}
 	for n := range 500 {
 		end(1000+n, Ran)
 	}
-	if e := table.Look(0, key(1)); len(e.Attempts) > attemptsMost || e.Status() != DidRun {
+	if e := table.Lookup(0, key(1)); len(e.Attempts) > maxAttempts || e.Status() != DidRun {
 		t.Errorf("%d attempts, %v", len(e.Attempts), e.Status())
 	}
-	for n := range attemptsMost - 1 {
+	for n := range maxAttempts - 1 {
 		end(2000+n, Intent)
 	}
-	if table.Take(0, key(1), "c", attempt(9999)) == nil {
+	if table.RecordIntent(0, key(1), "c", attempt(9999)) == nil {
 		t.Error("no bound on attempts that nobody knows of")
 	}
-	if o, known := table.all[key(1)].Of(attempt(2000)); !known || o != Intent {
+	if o, known := table.rows[key(1)].OutcomeOf(attempt(2000)); !known || o != Intent {
 		t.Error("an unknown attempt was dropped")
 	}
 }
@@ -277,7 +277,7 @@
 func BenchmarkMillionEntries(b *testing.B) {
 	table := NewTable(Limits{MaxEntries: 1 << 20, Retention: time.Hour, Share: 1e9})
 	for i := range b.N {
-		if err := table.Take(0, key(i%1_000_000), "c", attempt(i)); err != nil {
+		if err := table.RecordIntent(0, key(i%1_000_000), "c", attempt(i)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -39,23 +39,23 @@
 // share of what is left, a new instruction is refused. The share follows the room that is free (dynamic thresholds, Choudhury
 // and Hahne 1998): alone a customer may take most of the table, and a flood of one always leaves room for others.
 type Table struct {
-	limits Limits
-	all    map[Key]*row
-	held   map[string]int // entries by customer
-	old    ages
+	limits      Limits
+	rows        map[Key]*row
+	perCustomer map[string]int // entries by customer
+	byExpiry    expiryHeap
 }
 
 type row struct {
 	Entry
-	key      Key
-	customer string
-	until    time.Duration // by the holder's monotonic clock, which runs on from what it was at a restart
-	at       int           // in old
+	key       Key
+	customer  string
+	expires   time.Duration // by the holder's monotonic clock, which runs on from what it was at a restart
+	heapIndex int           // in old
 }
 
 // NewTable makes an empty one.
 func NewTable(limits Limits) *Table {
-	return &Table{limits: limits, all: map[Key]*row{}, held: map[string]int{}}
+	return &Table{limits: limits, rows: map[Key]*row{}, perCustomer: map[string]int{}}
 }
 
 // Refusal is why an instruction was not taken: it never ran, and may be tried again later.
@@ -64,78 +64,78 @@
 func (r *Refusal) Error() string { return r.Reason }
 
 // Len is the number of entries.
-func (t *Table) Len() int { return len(t.all) }
+func (t *Table) Len() int { return len(t.rows) }
 
-// Look gives what is known of an instruction; a fresh entry where nothing is.
-func (t *Table) Look(now time.Duration, key Key) Entry {
+// Lookup gives what is known of an instruction; a fresh entry where nothing is.
+func (t *Table) Lookup(now time.Duration, key Key) Entry {
 	t.expire(now)
-	if r := t.all[key]; r != nil {
+	if r := t.rows[key]; r != nil {
 		return r.Clone()
 	}
 	return Entry{}
 }
 
-// Take notes the intent to send an attempt of an instruction, or refuses. An entry that is there already always has room for
+// RecordIntent notes the intent to send an attempt of an instruction, or refuses. An entry that is there already always has room for
 // what is learned of it.
-func (t *Table) Take(now time.Duration, key Key, customer string, a Attempt) error {
+func (t *Table) RecordIntent(now time.Duration, key Key, customer string, a Attempt) error {
 	t.expire(now)
-	r := t.all[key]
-	if r != nil && len(r.Attempts) >= attemptsMost {
-		if _, known := r.Of(a); !known {
+	r := t.rows[key]
+	if r != nil && len(r.Attempts) >= maxAttempts {
+		if _, known := r.OutcomeOf(a); !known {
 			return &Refusal{fmt.Sprintf("%d attempts of these words are remembered, and nobody knows what became of them", len(r.Attempts))}
 		}
 	}
 	if r == nil {
-		free := t.limits.MaxEntries - len(t.all)
+		free := t.limits.MaxEntries - len(t.rows)
 		if free <= 0 {
-			return &Refusal{fmt.Sprintf("%d instructions are remembered, as many as there is room for", len(t.all))}
+			return &Refusal{fmt.Sprintf("%d instructions are remembered, as many as there is room for", len(t.rows))}
 		}
-		if held := t.held[customer]; float64(held) >= t.limits.Share*float64(free) {
+		if held := t.perCustomer[customer]; float64(held) >= t.limits.Share*float64(free) {
 			return &Refusal{fmt.Sprintf("%d instructions of this customer are remembered, its share of the room that is left", held)}
 		}
 		r = t.add(now, key, customer)
 	}
 	r.Record(a, Intent)
-	t.touch(now, r)
+	t.extend(now, r)
 	return nil
 }
 
 // Merge joins what is known elsewhere, or what became of an attempt. It is never refused: forgetting it could let it run twice.
 func (t *Table) Merge(now time.Duration, key Key, customer string, e Entry) {
 	t.expire(now)
-	r := t.all[key]
+	r := t.rows[key]
 	if r == nil {
 		r = t.add(now, key, customer)
 	}
-	r.Join(e)
-	t.touch(now, r)
+	r.Merge(e)
+	t.extend(now, r)
 }
 
 func (t *Table) add(now time.Duration, key Key, customer string) *row {
-	r := &row{key: key, customer: customer, until: now + t.limits.Retention}
-	t.all[key] = r
-	t.held[customer]++
-	heap.Push(&t.old, r)
+	r := &row{key: key, customer: customer, expires: now + t.limits.Retention}
+	t.rows[key] = r
+	t.perCustomer[customer]++
+	heap.Push(&t.byExpiry, r)
 	return r
 }
 
-// attemptsMost bounds the attempts of one entry: the same words may well be meant many times.
-const attemptsMost = 64
+// maxAttempts bounds the attempts of one entry: the same words may well be meant many times.
+const maxAttempts = 64
 
 // touch keeps an entry for longer; never for less. Where it holds many attempts, those go that add nothing to its fate.
-func (t *Table) touch(now time.Duration, r *row) {
-	r.trim(attemptsMost / 2)
-	r.until = max(r.until, now+t.limits.Retention)
-	heap.Fix(&t.old, r.at)
+func (t *Table) extend(now time.Duration, r *row) {
+	r.trim(maxAttempts / 2)
+	r.expires = max(r.expires, now+t.limits.Retention)
+	heap.Fix(&t.byExpiry, r.heapIndex)
 }
 
 // expire forgets what is old enough.
 func (t *Table) expire(now time.Duration) {
-	for len(t.old) > 0 && t.old[0].until <= now {
-		r := heap.Pop(&t.old).(*row)
-		delete(t.all, r.key)
-		if t.held[r.customer]--; t.held[r.customer] == 0 {
-			delete(t.held, r.customer)
+	for len(t.byExpiry) > 0 && t.byExpiry[0].expires <= now {
+		r := heap.Pop(&t.byExpiry).(*row)
+		delete(t.rows, r.key)
+		if t.perCustomer[r.customer]--; t.perCustomer[r.customer] == 0 {
+			delete(t.perCustomer, r.customer)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // Unknown gives the instructions whose fate nobody knows, for staff, at most so many.
 func (t *Table) Unknown(most int) map[Key]Entry {
 	some := map[Key]Entry{}
-	for key, r := range t.all {
+	for key, r := range t.rows {
 		if len(some) >= most {
 			break
 		}
@@ -154,24 +154,24 @@
 	return some
 }
 
-// Keeps gives an entry with its customer and when it was last added to.
-func (t *Table) Keeps(now time.Duration, key Key) (e Entry, customer string, at time.Duration) {
+// Get gives an entry with its customer and when it was last added to.
+func (t *Table) Get(now time.Duration, key Key) (e Entry, customer string, at time.Duration) {
 	t.expire(now)
-	r := t.all[key]
+	r := t.rows[key]
 	if r == nil {
 		return Entry{}, "", 0
 	}
-	return r.Clone(), r.customer, r.until - t.limits.Retention
+	return r.Clone(), r.customer, r.expires - t.limits.Retention
 }
 
-// ages orders rows by when they may be forgotten.
-type ages []*row
+// expiryHeap orders rows by when they may be forgotten.
+type expiryHeap []*row
 
-func (a ages) Len() int           { return len(a) }
-func (a ages) Less(i, j int) bool { return a[i].until < a[j].until }
-func (a ages) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].at, a[j].at = i, j }
-func (a *ages) Push(x any)        { r := x.(*row); r.at = len(*a); *a = append(*a, r) }
-func (a *ages) Pop() any {
+func (a expiryHeap) Len() int           { return len(a) }
+func (a expiryHeap) Less(i, j int) bool { return a[i].expires < a[j].expires }
+func (a expiryHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].heapIndex, a[j].heapIndex = i, j }
+func (a *expiryHeap) Push(x any)        { r := x.(*row); r.heapIndex = len(*a); *a = append(*a, r) }
+func (a *expiryHeap) Pop() any {
 	old := *a
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/ledger/holder.go
+++ b/internal/ledger/tally.go
@@ -7,7 +7,7 @@
 
 // Op is what a dispatcher asks of a holder.
 type Op struct {
-	Do        Kind    `json:"do"`
+	Kind      OpKind  `json:"do"`
 	Key       Key     `json:"key"`
 	Customer  string  `json:"customer,omitempty"`
 	Attempt   Attempt `json:"attempt"`         // for Take
@@ -15,14 +15,14 @@
 	Entry     Entry   `json:"entry"`           // for Take and Learn: what the asker knows
 }
 
-// Kind is what an Op wants.
-type Kind uint8
+// OpKind is what an Op wants.
+type OpKind uint8
 
 // The kinds.
 const (
-	Lookup       Kind = iota // what is known of an instruction
-	RecordIntent             // note the intent to send an attempt, if nothing forbids it
-	Merge                    // add what became of attempts, or an operator's word
+	Lookup       OpKind = iota // what is known of an instruction
+	RecordIntent               // note the intent to send an attempt, if nothing forbids it
+	Merge                      // add what became of attempts, or an operator's word
 )
 
 // Reply answers an Op.
@@ -30,17 +30,17 @@
 	Granted  bool   `json:"granted,omitempty"`  // for Take: the intent is noted, and will still be
 	Entry    Entry  `json:"entry"`              // what is known, where it is not granted, or was asked for
 	Customer string `json:"customer,omitempty"` // whose it is, where that is known
-	Whole    bool   `json:"whole,omitempty"`    // the holder knows all that it ever acknowledged: what it does not know, it never took
+	Complete bool   `json:"whole,omitempty"`    // the holder knows all that it ever acknowledged: what it does not know, it never took
 	Refusal  string `json:"refusal,omitempty"`  // no room: the instruction never ran, and may be tried again later
 	Error    string `json:"error,omitempty"`    // nothing was noted, or may have been
 }
 
 // Do carries out an Op on a holder's table. Learned is what must be on disk before the Reply leaves; nothing where it is empty.
 func (t *Table) Do(now time.Duration, op Op) (r Reply, learned Entry) {
-	switch op.Do {
+	switch op.Kind {
 	case Lookup:
-		r.Entry = t.Look(now, op.Key)
-		if row := t.all[op.Key]; row != nil {
+		r.Entry = t.Lookup(now, op.Key)
+		if row := t.rows[op.Key]; row != nil {
 			r.Customer = row.customer
 		}
 	case Merge:
@@ -48,17 +48,17 @@
 		r.Granted = true
 		learned = op.Entry
 	case RecordIntent:
-		known := t.Look(now, op.Key)
-		known.Join(op.Entry)
-		if o, tried := known.Of(op.Attempt); tried && o != Intent {
+		known := t.Lookup(now, op.Key)
+		known.Merge(op.Entry)
+		if o, tried := known.OutcomeOf(op.Attempt); tried && o != Intent {
 			r.Entry = known // it has ended already, as what asks for it was given up
 			return r, Entry{}
 		}
-		if f := known.Others(op.Attempt); op.Exclusive && f != NeverSent && f != NotRun {
+		if f := known.StatusOfOthers(op.Attempt); op.Exclusive && f != NeverSent && f != NotRun {
 			r.Entry = known
 			return r, Entry{}
 		}
-		if err := t.Take(now, op.Key, op.Customer, op.Attempt); err != nil {
+		if err := t.RecordIntent(now, op.Key, op.Customer, op.Attempt); err != nil {
 			r.Refusal = err.Error()
 			return r, Entry{}
 		}
@@ -76,16 +76,16 @@
 // what is known: any two majorities share one that has it.
 func Majority(n int) int { return n/2 + 1 }
 
-// Refill is how many other holders a holder must hear whole that has lost what it knew, before it counts as whole again: one
+// RefillQuorum is how many other holders a holder must hear whole that has lost what it knew, before it counts as whole again: one
 // of them has each entry that it noted with the fewest others.
-func Refill(n int) int { return n - Majority(n) + 1 }
+func RefillQuorum(n int) int { return n - Majority(n) + 1 }
 
 // Verdict is what the holders' replies come to.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Open    Verdict = iota // more replies are awaited
+	Pending Verdict = iota // more replies are awaited
 	Yes                    // enough have granted it, or have said what they know
 	No                     // so many turned it down that the others can't make up for it
 	Unclear                // too few answer: it can't be found out
@@ -93,9 +93,9 @@
 
 // Tally adds up replies of n holders to one Op.
 type Tally struct {
-	n, granted, denied, whole, failed int
-	check                             bool
-	need                              int
+	holders, granted, denied, complete, failed int
+	exclusive                                  bool
+	required                                   int
 
 	Entry    Entry  // all that was said
 	Customer string // likewise
@@ -104,13 +104,15 @@
 
 // NewTally begins for n holders. Where other attempts forbid what is asked for, only those count as granting it that would know
 // of them: one that has lost its disk would grant it twice.
-func NewTally(n int, check bool) *Tally { return &Tally{n: n, check: check, need: Majority(n)} }
+func NewTally(n int, check bool) *Tally {
+	return &Tally{holders: n, exclusive: check, required: Majority(n)}
+}
 
-// All has all holders be needed, so that what is noted outlives the loss of all disks but one.
-func (c *Tally) All() { c.Require(c.n) }
+// RequireAll has all holders be needed, so that what is noted outlives the loss of all disks but one.
+func (c *Tally) RequireAll() { c.Require(c.holders) }
 
 // Require sets how many must grant it.
-func (c *Tally) Require(n int) { c.need = n }
+func (c *Tally) Require(n int) { c.required = n }
 
 // Add takes a reply, or that a holder gave none.
 func (c *Tally) Add(r *Reply) {
@@ -118,7 +120,7 @@
 	case r == nil || r.Error != "":
 		c.failed++
 		return
-	case r.Granted && c.check && !r.Whole:
+	case r.Granted && c.exclusive && !r.Complete:
 		c.failed++
 	case r.Granted:
 		c.granted++
@@ -130,44 +132,44 @@
 	default:
 		c.denied++
 	}
-	if r.Whole {
-		c.whole++
+	if r.Complete {
+		c.complete++
 	}
-	c.Entry.Join(r.Entry)
+	c.Entry.Merge(r.Entry)
 	c.Customer = cmp.Or(c.Customer, r.Customer)
 }
 
 // Granted is the verdict on a Take or Learn.
 func (c *Tally) Granted() Verdict {
-	need := c.need
+	need := c.required
 	switch {
 	case c.granted >= need:
 		return Yes
-	case c.denied > c.n-need:
+	case c.denied > c.holders-need:
 		return No
-	case c.granted+c.denied+c.failed == c.n && c.denied > 0 && c.granted+c.failed >= need:
+	case c.granted+c.denied+c.failed == c.holders && c.denied > 0 && c.granted+c.failed >= need:
 		return No // it was turned down, and who might have granted it does not answer
-	case c.failed > c.n-need || c.granted+c.denied+c.failed == c.n:
+	case c.failed > c.holders-need || c.granted+c.denied+c.failed == c.holders:
 		return Unclear
 	}
-	return Open
+	return Pending
 }
 
-// Heard tells whether all holders have answered, or failed to.
-func (c *Tally) Heard() bool { return c.granted+c.denied+c.failed == c.n }
+// AllAnswered tells whether all holders have answered, or failed to.
+func (c *Tally) AllAnswered() bool { return c.granted+c.denied+c.failed == c.holders }
 
-// Enough tells whether a majority has answered.
-func (c *Tally) Enough() bool { return c.granted+c.denied >= Majority(c.n) }
+// MajorityAnswered tells whether a majority has answered.
+func (c *Tally) MajorityAnswered() bool { return c.granted+c.denied >= Majority(c.holders) }
 
 // Known is the verdict on a Look: Yes once a majority that is whole has said what it knows. What forbids a repeat counts
 // whoever says it, so all are heard before it is unclear.
 func (c *Tally) Known() Verdict {
-	need := Majority(c.n)
+	need := Majority(c.holders)
 	switch {
-	case c.whole >= need || !c.Entry.MaySend():
+	case c.complete >= need || !c.Entry.MaySend():
 		return Yes
-	case c.Heard():
+	case c.AllAnswered():
 		return Unclear
 	}
-	return Open
+	return Pending
 }
--- a/internal/ledger/count_test.go
+++ b/internal/ledger/tally_test.go
@@ -6,7 +6,7 @@
 // any more. In every order of the replies the one that forbids a repeat counts; without one it is unclear only when all were heard.
 func TestOneHolderThatKnowsIsHeard(t *testing.T) {
 	a := Attempt{Owner: "a", Boot: 1, N: 1}
-	knows := &Reply{Whole: true}
+	knows := &Reply{Complete: true}
 	knows.Entry.Record(a, Intent)
 	for at := range 3 {
 		for _, forbids := range []bool{true, false} {
@@ -18,9 +18,9 @@
 				case forbids:
 					c.Add(knows)
 				default:
-					c.Add(&Reply{Whole: true})
+					c.Add(&Reply{Complete: true})
 				}
-				want := Open
+				want := Pending
 				if forbids && i >= at {
 					want = Yes
 				} else if i == 2 {
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -21,7 +21,7 @@
 	"standpulley/internal/ledger"
 )
 
-func draw() uint64 { return 42 }
+func newID() uint64 { return 42 }
 
 func key(n int) (k ledger.Key) {
 	binary.BigEndian.PutUint64(k[8:], uint64(n))
@@ -37,7 +37,7 @@
 // opened opens a log and gives what it held.
 func opened(path string) (*Log, []Record, error) {
 	var all []Record
-	l, err := Open(path, draw, true, func(r Record) { all = append(all, r) })
+	l, err := Open(path, newID, true, func(r Record) { all = append(all, r) })
 	return l, all, err
 }
 
@@ -70,14 +70,14 @@
 		t.Errorf("%+v", s)
 	}
 	// Old records go, and what is still kept comes again behind the others.
-	n, err := l.Fold(3, 6*time.Second, func(r Record) (Record, bool) { return r, r.Key == key(2) })
+	n, err := l.Compact(3, 6*time.Second, func(r Record) (Record, bool) { return r, r.Key == key(2) })
 	if err != nil || n != 3 {
 		t.Errorf("%d %v", n, err)
 	}
-	if !l.Remember(map[string]Seen{"v2": {7, 8}}) || l.Remember(map[string]Seen{"v2": {7, 8}}) {
+	if !l.SetSeen(map[string]FileVersion{"v2": {7, 8}}) || l.SetSeen(map[string]FileVersion{"v2": {7, 8}}) {
 		t.Error("news")
 	}
-	if err := l.Whole(true, 0); err != nil {
+	if err := l.SetComplete(true, 0); err != nil {
 		t.Error(err)
 	}
 	if err := l.Close(); err != nil {
@@ -92,7 +92,7 @@
 	for _, r := range all {
 		keys = append(keys, r.Key)
 	}
-	if s := l.State(); !reflect.DeepEqual(keys, []ledger.Key{key(4), key(5), key(2)}) || !s.Whole || s.Seen["v2"] != (Seen{7, 8}) || s.Clock != 6*time.Second {
+	if s := l.State(); !reflect.DeepEqual(keys, []ledger.Key{key(4), key(5), key(2)}) || !s.Whole || s.Seen["v2"] != (FileVersion{7, 8}) || s.Clock != 6*time.Second {
 		t.Errorf("%v %+v", keys, s)
 	}
 }
@@ -174,7 +174,7 @@
 			acked++
 		}
 		if r.IntN(2) == 0 { // it is killed in the middle of a sync, which has carried over some pages
-			boltfile.TestDisk.CutAfter(r.IntN(6))
+			boltfile.TestDisk.CutPowerAfter(r.IntN(6))
 			if err := l.Commit([]Record{record(acked + 1)}, 0); err == nil {
 				acked++
 			}
@@ -194,7 +194,7 @@
 			ledger.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "words") {
-		r.Entry.Join(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: rapid.String().Draw(t, "by"), Why: rapid.String().Draw(t, "why")}}})
+		r.Entry.Merge(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: rapid.String().Draw(t, "by"), Why: rapid.String().Draw(t, "why")}}})
 	}
 	return r
 })
@@ -213,9 +213,9 @@
 	if again, err := Parse(later); err != nil || !reflect.DeepEqual(again, r) {
 		t.Errorf("%+v %v", again, err)
 	}
-	odd := putBytes(r.Append(nil), fieldAttempt, putNumber(nil, attemptOutcome, 9))
-	for name, b := range map[string][]byte{"outcome": odd, "no key": putNumber(nil, fieldAt, 1), "short key": putBytes(nil, fieldKey, []byte("x")),
-		"type": putNumber(nil, fieldKey, 1), "cut": r.Append(nil)[:20]} {
+	odd := appendBytes(r.Append(nil), fieldAttempt, appendVarint(nil, attemptOutcome, 9))
+	for name, b := range map[string][]byte{"outcome": odd, "no key": appendVarint(nil, fieldAt, 1), "short key": appendBytes(nil, fieldKey, []byte("x")),
+		"type": appendVarint(nil, fieldKey, 1), "cut": r.Append(nil)[:20]} {
 		if _, err := Parse(b); err == nil {
 			t.Errorf("%s: taken", name)
 		}
@@ -233,7 +233,7 @@
 
 func FuzzParse(f *testing.F) {
 	r := record(3)
-	r.Entry.Join(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: true, By: "op", Why: "books", Wall: "now"}}})
+	r.Entry.Merge(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: true, By: "op", Why: "books", Wall: "now"}}})
 	f.Add(r.Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := Parse(b)
--- a/internal/ledgerlog/log.go
+++ b/internal/ledgerlog/log.go
@@ -35,16 +35,16 @@
 
 // State is what a file says of itself, beside its records.
 type State struct {
-	Disk   uint64          // drawn with the file: one that was lost is another
-	Boots  uint64          // how often it was opened
-	Whole  bool            // it knows all that its holder ever acknowledged; else what it does not know tells nothing
-	Clock  time.Duration   // what the holder's clock had counted by the last commit
-	Writes uint64          // commits so far: a copy from earlier has fewer
-	Seen   map[string]Seen // what was heard last of other holders' files
+	Disk   uint64                 // drawn with the file: one that was lost is another
+	Boots  uint64                 // how often it was opened
+	Whole  bool                   // it knows all that its holder ever acknowledged; else what it does not know tells nothing
+	Clock  time.Duration          // what the holder's clock had counted by the last commit
+	Writes uint64                 // commits so far: a copy from earlier has fewer
+	Seen   map[string]FileVersion // what was heard last of other holders' files
 }
 
 // Seen is a holder's file as another one heard of it.
-type Seen struct {
+type FileVersion struct {
 	Disk   uint64 `json:"disk,omitempty"`
 	Writes uint64 `json:"writes,omitempty"`
 }
@@ -61,15 +61,15 @@
 
 // Open opens a file, or makes one with a drawn number, and hands out its records in order. What is damaged or foreign is an
 // error that says so. Without sync a commit survives the end of the process, and not a loss of power.
-func Open(path string, draw func() uint64, sync bool, each func(Record)) (*Log, error) {
+func Open(path string, newID func() uint64, sync bool, each func(Record)) (*Log, error) {
 	f, err := boltfile.Open(path, boltfile.Options{Kind: "ledger", Sync: sync})
 	if err != nil {
 		return nil, err
 	}
 	l := &Log{next: 1}
 	l.db = f
-	err = boltfile.Guard(func() error {
-		if err := l.begin(draw); err != nil {
+	err = boltfile.CatchPanic(func() error {
+		if err := l.initialize(newID); err != nil {
 			return err
 		}
 		return l.load(each)
@@ -84,7 +84,7 @@
 	return l, nil
 }
 
-func (l *Log) begin(draw func() uint64) error {
+func (l *Log) initialize(newID func() uint64) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if meta == nil {
@@ -96,14 +96,14 @@
 					return err
 				}
 			}
-			l.state = State{Disk: draw()}
+			l.state = State{Disk: newID()}
 			meta = tx.Bucket(metaBucket)
-			return errors.Join(meta.Put(formatKey, []byte(format)), meta.Put(stateKey, boltfile.Seal(stateKey, l.state.bytes())))
+			return errors.Join(meta.Put(formatKey, []byte(format)), meta.Put(stateKey, boltfile.AddChecksum(stateKey, l.state.bytes())))
 		}
 		if is := string(meta.Get(formatKey)); is != format {
 			return fmt.Errorf("its format is %q, wanted is %q", is, format)
 		}
-		text, err := boltfile.Unseal(stateKey, meta.Get(stateKey))
+		text, err := boltfile.VerifyChecksum(stateKey, meta.Get(stateKey))
 		if err != nil {
 			return fmt.Errorf("damaged: state: %w", err)
 		}
@@ -120,7 +120,7 @@
 			if n != l.next && l.next != 1 {
 				return fmt.Errorf("damaged: record %d where %d should follow", n, l.next)
 			}
-			text, err := boltfile.Unseal(k, v)
+			text, err := boltfile.VerifyChecksum(k, v)
 			if err != nil {
 				return fmt.Errorf("damaged: record %d: %w", n, err)
 			}
@@ -157,12 +157,12 @@
 		}
 		for _, r := range records {
 			k := binary.BigEndian.AppendUint64(nil, next)
-			if err := b.Put(k, boltfile.Seal(k, r.Append(nil))); err != nil {
+			if err := b.Put(k, boltfile.AddChecksum(k, r.Append(nil))); err != nil {
 				return err
 			}
 			next++
 		}
-		return tx.Bucket(metaBucket).Put(stateKey, boltfile.Seal(stateKey, state.bytes()))
+		return tx.Bucket(metaBucket).Put(stateKey, boltfile.AddChecksum(stateKey, state.bytes()))
 	})
 	if err == nil {
 		l.state, l.next = state, next
@@ -171,9 +171,9 @@
 }
 
 // Whole notes that the file knows all that its holder ever acknowledged, or that it does not.
-func (l *Log) Whole(is bool, clock time.Duration) error {
+func (l *Log) SetComplete(complete bool, clock time.Duration) error {
 	before := l.state.Whole
-	l.state.Whole = is
+	l.state.Whole = complete
 	if err := l.Commit(nil, clock); err != nil {
 		l.state.Whole = before
 		return err
@@ -195,7 +195,7 @@
 			}
 			read++
 			next = binary.BigEndian.Uint64(k)
-			text, err := boltfile.Unseal(k, v)
+			text, err := boltfile.VerifyChecksum(k, v)
 			if err != nil {
 				return fmt.Errorf("damaged: record %d: %w", next, err)
 			}
@@ -212,13 +212,13 @@
 
 // Fold takes the oldest records out, so many at most, and puts in their place what live gives for their keys: nothing of what
 // is no longer kept. It tells how many it took out.
-func (l *Log) Fold(most int, clock time.Duration, live func(Record) (Record, bool)) (folded int, err error) {
+func (l *Log) Compact(most int, clock time.Duration, live func(Record) (Record, bool)) (folded int, err error) {
 	var again []Record
 	var keys [][]byte
 	err = l.db.View(func(tx *bolt.Tx) error {
 		c := tx.Bucket(recordBucket).Cursor()
 		for k, v := c.First(); k != nil && len(keys) < most; k, v = c.Next() {
-			text, err := boltfile.Unseal(k, v)
+			text, err := boltfile.VerifyChecksum(k, v)
 			if err != nil {
 				return err
 			}
@@ -255,7 +255,7 @@
 func (l *Log) Close() error { return l.db.Close() }
 
 // Remember takes what was heard of other holders' files, for the next commit. It tells whether that is news.
-func (l *Log) Remember(seen map[string]Seen) bool {
+func (l *Log) SetSeen(seen map[string]FileVersion) bool {
 	if maps.Equal(seen, l.state.Seen) {
 		return false
 	}
--- a/internal/ledgerlog/record.go
+++ b/internal/ledgerlog/record.go
@@ -22,35 +22,35 @@
 // The fields of a record, in the wire format of protocol buffers: a reader passes over those that it does not know, so later
 // versions may add some. docs/ledger.md has them as a message.
 const (
-	fieldKey      protowire.Number = 1
-	fieldCustomer protowire.Number = 2
-	fieldAt       protowire.Number = 3 // milliseconds
-	fieldAttempt  protowire.Number = 4
-	fieldWord     protowire.Number = 5
+	fieldKey        protowire.Number = 1
+	fieldCustomer   protowire.Number = 2
+	fieldAt         protowire.Number = 3 // milliseconds
+	fieldAttempt    protowire.Number = 4
+	fieldResolution protowire.Number = 5
 
-	attemptTaker   protowire.Number = 1
+	attemptOwner   protowire.Number = 1
 	attemptBoot    protowire.Number = 2
 	attemptN       protowire.Number = 3
 	attemptOutcome protowire.Number = 4
 
-	wordRan  protowire.Number = 1
-	wordBy   protowire.Number = 2
-	wordWhy  protowire.Number = 3
-	wordWall protowire.Number = 4
+	resolutionRan  protowire.Number = 1
+	resolutionBy   protowire.Number = 2
+	resolutionWhy  protowire.Number = 3
+	resolutionWall protowire.Number = 4
 )
 
 // Append writes a record behind b.
 func (r *Record) Append(b []byte) []byte {
-	b = putBytes(b, fieldKey, r.Key[:])
-	b = putBytes(b, fieldCustomer, []byte(r.Customer))
-	b = putNumber(b, fieldAt, uint64(r.At.Milliseconds()))
+	b = appendBytes(b, fieldKey, r.Key[:])
+	b = appendBytes(b, fieldCustomer, []byte(r.Customer))
+	b = appendVarint(b, fieldAt, uint64(r.At.Milliseconds()))
 	for _, t := range r.Entry.Attempts {
 		var m []byte
-		m = putBytes(m, attemptTaker, []byte(t.Owner))
-		m = putNumber(m, attemptBoot, t.Boot)
-		m = putNumber(m, attemptN, t.N)
-		m = putNumber(m, attemptOutcome, uint64(t.Outcome))
-		b = putBytes(b, fieldAttempt, m)
+		m = appendBytes(m, attemptOwner, []byte(t.Owner))
+		m = appendVarint(m, attemptBoot, t.Boot)
+		m = appendVarint(m, attemptN, t.N)
+		m = appendVarint(m, attemptOutcome, uint64(t.Outcome))
+		b = appendBytes(b, fieldAttempt, m)
 	}
 	for _, w := range r.Entry.Resolutions {
 		var m []byte
@@ -58,20 +58,20 @@
 		if w.Ran {
 			ran = 1
 		}
-		m = putNumber(m, wordRan, ran)
-		m = putBytes(m, wordBy, []byte(w.By))
-		m = putBytes(m, wordWhy, []byte(w.Why))
-		m = putBytes(m, wordWall, []byte(w.Wall))
-		b = putBytes(b, fieldWord, m)
+		m = appendVarint(m, resolutionRan, ran)
+		m = appendBytes(m, resolutionBy, []byte(w.By))
+		m = appendBytes(m, resolutionWhy, []byte(w.Why))
+		m = appendBytes(m, resolutionWall, []byte(w.Wall))
+		b = appendBytes(b, fieldResolution, m)
 	}
 	return b
 }
 
-func putBytes(b []byte, n protowire.Number, v []byte) []byte {
+func appendBytes(b []byte, n protowire.Number, v []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-func putNumber(b []byte, n protowire.Number, v uint64) []byte {
+func appendVarint(b []byte, n protowire.Number, v uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 }
 
@@ -114,7 +114,7 @@
 func Parse(b []byte) (r Record, err error) {
 	keyed := false
 	err = fields(b, func(n protowire.Number, v uint64, text []byte, isText bool) error {
-		if n <= fieldWord && isText != (n != fieldAt) {
+		if n <= fieldResolution && isText != (n != fieldAt) {
 			return errField
 		}
 		switch n {
@@ -137,12 +137,12 @@
 				return err
 			}
 			r.Entry.Record(t.Attempt, t.Outcome)
-		case fieldWord:
-			w, err := parseWord(text)
+		case fieldResolution:
+			w, err := parseResolution(text)
 			if err != nil {
 				return err
 			}
-			r.Entry.Join(ledger.Entry{Resolutions: []ledger.Resolution{w}})
+			r.Entry.Merge(ledger.Entry{Resolutions: []ledger.Resolution{w}})
 		}
 		return nil
 	})
@@ -156,11 +156,11 @@
 
 func parseAttempt(b []byte) (t ledger.AttemptRecord, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, text []byte, isText bool) error {
-		if n <= attemptOutcome && isText != (n == attemptTaker) {
+		if n <= attemptOutcome && isText != (n == attemptOwner) {
 			return errField
 		}
 		switch n {
-		case attemptTaker:
+		case attemptOwner:
 			t.Owner = string(text)
 		case attemptBoot:
 			t.Boot = v
@@ -177,19 +177,19 @@
 	return t, err
 }
 
-func parseWord(b []byte) (w ledger.Resolution, err error) {
+func parseResolution(b []byte) (w ledger.Resolution, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, text []byte, isText bool) error {
-		if n <= wordWall && isText != (n != wordRan) {
+		if n <= resolutionWall && isText != (n != resolutionRan) {
 			return errField
 		}
 		switch n {
-		case wordRan:
+		case resolutionRan:
 			w.Ran = v != 0
-		case wordBy:
+		case resolutionBy:
 			w.By = string(text)
-		case wordWhy:
+		case resolutionWhy:
 			w.Why = string(text)
-		case wordWall:
+		case resolutionWall:
 			w.Wall = string(text)
 		}
 		return nil
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -25,7 +25,7 @@
 var (
 	metaBucket  = []byte("meta")
 	entryBucket = []byte("entries")
-	noteBucket  = []byte("notes")
+	valueBucket = []byte("notes")
 
 	formatKey   = []byte("format")
 	identityKey = []byte("identity")
@@ -48,13 +48,13 @@
 }
 
 // Open opens a file, or makes one with a drawn disk number. What is damaged or foreign is an error that says so.
-func Open(path string, draw func() uint64) (*Log, error) {
+func Open(path string, newID func() uint64) (*Log, error) {
 	f, err := boltfile.Open(path, boltfile.Options{Kind: "log of the agreement", Sync: true})
 	if err != nil {
 		return nil, err
 	}
 	l := &Log{db: f, mem: raft.NewMemoryStorage()}
-	err = l.begin(draw)
+	err = l.initialize(newID)
 	if err == nil {
 		err = l.load()
 	}
@@ -64,26 +64,26 @@
 	return l, nil
 }
 
-func (l *Log) begin(draw func() uint64) error {
+func (l *Log) initialize(newID func() uint64) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if meta == nil {
 			if name, _ := tx.Cursor().First(); name != nil {
 				return errors.New("a file of another program")
 			}
-			for _, b := range [][]byte{metaBucket, entryBucket, noteBucket} {
+			for _, b := range [][]byte{metaBucket, entryBucket, valueBucket} {
 				if _, err := tx.CreateBucket(b); err != nil {
 					return err
 				}
 			}
 			meta = tx.Bucket(metaBucket)
-			l.identity = Identity{Disk: draw()}
+			l.identity = Identity{Disk: newID()}
 			return errors.Join(meta.Put(formatKey, []byte(format)), meta.Put(identityKey, l.identity.bytes()))
 		}
 		if is := string(meta.Get(formatKey)); is != format {
 			return fmt.Errorf("its format is %q, wanted is %q", is, format)
 		}
-		text, err := boltfile.Unseal(identityKey, meta.Get(identityKey))
+		text, err := boltfile.VerifyChecksum(identityKey, meta.Get(identityKey))
 		if err != nil || len(text) != 16 {
 			return fmt.Errorf("damaged: identity: %w", err)
 		}
@@ -93,7 +93,7 @@
 }
 
 func (i Identity) bytes() []byte {
-	return boltfile.Seal(identityKey, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, i.Disk), i.Cluster))
+	return boltfile.AddChecksum(identityKey, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, i.Disk), i.Cluster))
 }
 
 // load reads everything and checks that it is whole and in order.
@@ -144,7 +144,7 @@
 }
 
 func read(key, sealed []byte, into proto.Message) error {
-	text, err := boltfile.Unseal(key, sealed)
+	text, err := boltfile.VerifyChecksum(key, sealed)
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return err
 	}
-	return b.Put(key, boltfile.Seal(key, text))
+	return b.Put(key, boltfile.AddChecksum(key, text))
 }
 
 // putSnapshot puts a snapshot in the place of the entries up to an index.
@@ -256,18 +256,18 @@
 // SetValue keeps a small value under a name.
 func (l *Log) SetValue(name string, value []byte) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
-		return tx.Bucket(noteBucket).Put([]byte(name), boltfile.Seal([]byte(name), value))
+		return tx.Bucket(valueBucket).Put([]byte(name), boltfile.AddChecksum([]byte(name), value))
 	})
 }
 
 // Value gives a value that was kept; nil if there is none.
 func (l *Log) Value(name string) (value []byte, err error) {
 	err = l.db.View(func(tx *bolt.Tx) error {
-		v := tx.Bucket(noteBucket).Get([]byte(name))
+		v := tx.Bucket(valueBucket).Get([]byte(name))
 		if v == nil {
 			return nil
 		}
-		text, err := boltfile.Unseal([]byte(name), v)
+		text, err := boltfile.VerifyChecksum([]byte(name), v)
 		if err != nil {
 			return fmt.Errorf("damaged: note %s: %w", name, err)
 		}
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-func draw() uint64 { return 42 }
+func newID() uint64 { return 42 }
 
 func entry(index, term uint64, text string) *raftpb.Entry {
 	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(text)}
@@ -34,7 +34,7 @@
 func filled(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log.db")
-	l, err := Open(path, draw)
+	l, err := Open(path, newID)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	if note, err := l.Value("other"); note != nil || err != nil {
 		t.Errorf("note %q %v", note, err)
 	}
-	if _, err := Open(path, draw); err == nil || !strings.Contains(err.Error(), "another program") {
+	if _, err := Open(path, newID); err == nil || !strings.Contains(err.Error(), "another program") {
 		t.Errorf("opened twice: %v", err)
 	}
 	// A snapshot of our own keeps what follows it; another's takes the place of all.
@@ -110,7 +110,7 @@
 		if err := os.WriteFile(p, change(bytes.Clone(whole)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, err := Open(p, draw)
+		l, err := Open(p, newID)
 		if err == nil {
 			defer l.Close()
 		}
