--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,10 +1,12 @@
-// Package ledger decides what is known of instructions, which must not run twice: what each attempt of one came to, how what
-// several dispatchers know is joined, when a repeat may be sent on, how many are kept and for whom, and who keeps them. It does
-// no I/O, reads no clock and keeps no goroutines.
+// Package ledger holds what is known of instructions, which are requests that must not run twice.
+// It decides what the recorded outcomes of an instruction's attempts add up to, how the records of
+// several dispatchers are merged, when a repeat may be sent, how many instructions are remembered
+// for each customer, and what the replies of the ledger holders amount to. It does no I/O, reads no
+// clock and starts no goroutines.
 //
-//	ledger.go  an instruction's entry: attempts, an operator's word, and what they come to
-//	table.go   entries within bounds, with expiry, fair to customers
-//	holder.go  what is asked of those who hold entries, and what their replies come to
+//	ledger.go  the entry of an instruction: its attempts, operators' resolutions and the resulting status
+//	table.go   a bounded table of entries with expiry and a fair share for each customer
+//	tally.go   operations on a holder, and counting the holders' replies
 package ledger
 
 import (
@@ -12,41 +14,45 @@
 	"slices"
 )
 
-// Outcome is what is known of one attempt. A greater one includes the lesser: knowledge only grows, and where two
-// dispatchers know differently the one that forbids more counts.
+// Outcome is what is known of one attempt. Outcomes are ordered: a greater one includes the
+// knowledge of a lesser one. An outcome never decreases, and where two dispatchers disagree, the
+// greater one wins.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
-	Intent   Outcome = iota // it is about to leave, or has: it may have run, or may yet
-	NeverRan                // proven by the wire never to have run
-	Ran                     // it ran
+	Intent   Outcome = iota // the attempt is about to be sent or was sent: it may have run, or may still run
+	NeverRan                // the transport proves that the attempt never ran
+	Ran                     // the attempt ran
 )
 
 func (o Outcome) String() string { return [...]string{"intent", "never ran", "ran"}[o] }
 
-// Attempt names one send: by the dispatcher, its life and a number in it.
+// Attempt identifies one send of an instruction: by the dispatcher that sent it, that dispatcher's
+// process start (boot) and a sequence number within it.
 type Attempt struct {
 	Owner string `json:"taker"`
 	Boot  uint64 `json:"boot"`
 	N     uint64 `json:"n"`
 }
 
-// Resolution is an operator's, who looked into the books. What it settled stands with the attempts; the words are the audit trail.
+// Resolution is an operator's statement that an instruction ran or never ran, made after checking
+// the business records. Settle applies it to the attempts; the resolution itself is kept as an
+// audit trail.
 type Resolution struct {
 	Ran  bool   `json:"ran"`
 	By   string `json:"by"`
 	Why  string `json:"why"`
-	Wall string `json:"wall"` // for people
+	Wall string `json:"wall"` // wall-clock time, for display only
 }
 
-// Entry is what is known of one instruction. Its zero value knows nothing.
+// Entry is what is known of one instruction. The zero value is an instruction that was never sent.
 type Entry struct {
-	Attempts    []AttemptRecord `json:"attempts"`        // in order
-	Resolutions []Resolution    `json:"words,omitempty"` // all that were given, in order: an audit trail
+	Attempts    []AttemptRecord `json:"attempts"`        // sorted by Attempt
+	Resolutions []Resolution    `json:"words,omitempty"` // all that were given, sorted; an audit trail
 }
 
-// AttemptRecord is an attempt and what is known of it.
+// AttemptRecord is an attempt with its outcome.
 type AttemptRecord struct {
 	Attempt
 	Outcome Outcome `json:"outcome"`
@@ -56,21 +62,22 @@
 	return cmp.Or(cmp.Compare(a.Owner, b.Owner), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.N, b.N))
 }
 
-// Status is what an entry comes to.
+// Status is what an entry says of its instruction as a whole.
 type Status uint8
 
-// The fates.
+// The statuses of an instruction.
 const (
-	NeverSent Status = iota // nothing was ever sent
-	NotRun                  // all that was sent is proven never to have run, or an operator says so
-	Unknown                 // it may have run, or may yet
-	DidRun                  // it ran
+	NeverSent Status = iota // no attempt was sent
+	NotRun                  // each attempt is proven never to have run, or an operator says so
+	Unknown                 // an attempt may have run, or may still run
+	DidRun                  // an attempt ran
 )
 
 func (f Status) String() string { return [...]string{"fresh", "never ran", "unknown", "ran"}[f] }
 
-// Status reads an entry. Only proof for every attempt, or an operator's word for those that have none, makes an instruction one
-// that never ran; that one ran outweighs everything.
+// Status derives the status of the instruction from its attempts. It is DidRun if any attempt ran.
+// It is NotRun only if for every attempt there is proof, or an operator's resolution, that it never
+// ran.
 func (e *Entry) Status() Status {
 	worst := NeverSent
 	for _, t := range e.Attempts {
@@ -86,11 +93,11 @@
 	return worst
 }
 
-// MaySend tells whether a repeat may be sent on.
+// MaySend reports whether a repeat may be sent.
 func (e *Entry) MaySend() bool { f := e.Status(); return f == NeverSent || f == NotRun }
 
-// Settle takes an operator's word for the attempts whose fate nobody knows by now. It says nothing of later ones: those need
-// another.
+// Settle applies an operator's resolution to the attempts whose outcome is unknown at this time. It
+// does not apply to later attempts, which need a resolution of their own.
 func (e *Entry) Settle(w Resolution) {
 	outcome := NeverRan
 	if w.Ran {
@@ -104,7 +111,7 @@
 	e.Merge(Entry{Resolutions: []Resolution{w}})
 }
 
-// Record adds what is known of an attempt.
+// Record adds an attempt or raises its outcome.
 func (e *Entry) Record(a Attempt, o Outcome) {
 	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t AttemptRecord, a Attempt) int { return t.compare(a) })
 	if !there {
@@ -113,8 +120,8 @@
 	e.Attempts[at].Outcome = max(e.Attempts[at].Outcome, o)
 }
 
-// trim drops attempts whose going changes no fate, where there are more than so many: those that never ran, then all but the last
-// that ran. What nobody knows stays.
+// trim drops attempts until at most so many are left, without changing the status: attempts that
+// never ran, and all but the last that ran. Attempts of unknown outcome are always kept.
 func (e *Entry) trim(most int) {
 	ran := -1
 	for i, t := range e.Attempts {
@@ -138,7 +145,7 @@
 	e.Attempts = kept
 }
 
-// OutcomeOf tells what is known of an attempt.
+// OutcomeOf returns the outcome of an attempt and whether the attempt is in the entry.
 func (e *Entry) OutcomeOf(a Attempt) (o Outcome, known bool) {
 	at, there := slices.BinarySearchFunc(e.Attempts, a, func(t AttemptRecord, a Attempt) int { return t.compare(a) })
 	if !there {
@@ -147,7 +154,8 @@
 	return e.Attempts[at].Outcome, true
 }
 
-// StatusOfOthers tells what the other attempts come to: whether this one may be sent beside them.
+// StatusOfOthers returns the status that the entry has without the given attempt. It decides
+// whether that attempt may be sent beside the others.
 func (e *Entry) StatusOfOthers(a Attempt) Status {
 	o := Entry{}
 	for _, t := range e.Attempts {
@@ -158,7 +166,8 @@
 	return o.Status()
 }
 
-// Merge adds what another dispatcher knows. It is commutative, associative and idempotent.
+// Merge adds what another dispatcher knows of the instruction. It is commutative, associative and
+// idempotent.
 func (e *Entry) Merge(o Entry) {
 	for _, t := range o.Attempts {
 		e.Record(t.Attempt, t.Outcome)
@@ -180,5 +189,5 @@
 	return 0
 }
 
-// Clone is a copy of its own.
+// Clone returns a deep copy.
 func (e *Entry) Clone() Entry { return Entry{slices.Clone(e.Attempts), slices.Clone(e.Resolutions)} }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,18 +19,18 @@
 	return k
 }
 
-var anEntry = rapid.Custom(func(t *rapid.T) Entry {
+var entryGen = rapid.Custom(func(t *rapid.T) Entry {
 	var e Entry
 	for range rapid.IntRange(0, 4).Draw(t, "attempts") {
 		e.Record(attempt(rapid.IntRange(0, 3).Draw(t, "n")), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
 	}
-	for range rapid.IntRange(0, 2).Draw(t, "words") {
+	for range rapid.IntRange(0, 2).Draw(t, "resolutions") {
 		e.Merge(Entry{Resolutions: []Resolution{{Ran: rapid.Bool().Draw(t, "ran"), By: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "by"))}}})
 	}
 	return e
 })
 
-func joined(entries ...Entry) Entry {
+func merged(entries ...Entry) Entry {
 	var e Entry
 	for _, o := range entries {
 		e.Merge(o)
@@ -38,53 +38,53 @@
 	return e
 }
 
-func same(a, b Entry) bool {
+func equal(a, b Entry) bool {
 	return len(a.Attempts) == len(b.Attempts) && len(a.Resolutions) == len(b.Resolutions) && (len(a.Attempts) == 0 || reflect.DeepEqual(a.Attempts, b.Attempts)) &&
 		(len(a.Resolutions) == 0 || reflect.DeepEqual(a.Resolutions, b.Resolutions))
 }
 
-// The laws of joining, and what may never happen by it: nothing that was forbidden is allowed by knowing more, but for proof of
-// the very attempts, or an operator's word.
-func TestJoinLaws(t *testing.T) {
+// Merging is commutative, associative and idempotent, and never makes an attempt's outcome smaller.
+// An instruction may be sent after a merge only if every attempt is known never to have run.
+func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := anEntry.Draw(t, "a"), anEntry.Draw(t, "b"), anEntry.Draw(t, "c")
-		if !same(joined(a, b), joined(b, a)) || !same(joined(joined(a, b), c), joined(a, joined(b, c))) || !same(joined(a, a), joined(a)) {
+		a, b, c := entryGen.Draw(t, "a"), entryGen.Draw(t, "b"), entryGen.Draw(t, "c")
+		if !equal(merged(a, b), merged(b, a)) || !equal(merged(merged(a, b), c), merged(a, merged(b, c))) || !equal(merged(a, a), merged(a)) {
 			t.Fatalf("%+v %+v %+v", a, b, c)
 		}
-		all := joined(a, b)
+		all := merged(a, b)
 		if (a.Status() == DidRun || b.Status() == DidRun) && all.Status() != DidRun {
-			t.Fatalf("%v and %v come to %v", a.Status(), b.Status(), all.Status())
+			t.Fatalf("%v merged with %v is %v", a.Status(), b.Status(), all.Status())
 		}
 		for _, x := range a.Attempts {
 			if o, known := all.OutcomeOf(x.Attempt); !known || o < x.Outcome {
-				t.Fatalf("%v became %v", x.Outcome, o)
+				t.Fatalf("outcome %v became %v", x.Outcome, o)
 			}
 		}
 		if all.MaySend() {
 			for _, x := range all.Attempts {
 				if x.Outcome != NeverRan {
-					t.Fatalf("it may be sent on though %v is %v", x.Attempt, x.Outcome)
+					t.Fatalf("may be sent although attempt %v is %v", x.Attempt, x.Outcome)
 				}
 			}
 		}
 	})
 }
 
-func TestFates(t *testing.T) {
+func TestStatus(t *testing.T) {
 	for name, x := range map[string]struct {
 		outcomes []Outcome
 		words    []Resolution
 		want     Status
 	}{
-		"nothing":              {nil, nil, NeverSent},
-		"on its way":           {[]Outcome{Intent}, nil, Unknown},
-		"proven":               {[]Outcome{NeverRan}, nil, NotRun},
-		"one of two is proven": {[]Outcome{NeverRan, Intent}, nil, Unknown},
-		"ran":                  {[]Outcome{NeverRan, Ran, Intent}, nil, DidRun},
-		"settled: never":       {[]Outcome{Intent}, []Resolution{{By: "op"}}, NotRun},
-		"settled: ran":         {[]Outcome{Intent}, []Resolution{{By: "op", Ran: true}}, DidRun},
-		"settled, then again":  {[]Outcome{Intent}, []Resolution{{By: "op"}, {By: "other", Ran: true}}, NotRun}, // nothing was unknown any more
-		"settled against fact": {[]Outcome{Ran}, []Resolution{{By: "op"}}, DidRun},
+		"no attempt":            {nil, nil, NeverSent},
+		"in flight":             {[]Outcome{Intent}, nil, Unknown},
+		"proven never":          {[]Outcome{NeverRan}, nil, NotRun},
+		"one of two proven":     {[]Outcome{NeverRan, Intent}, nil, Unknown},
+		"ran":                   {[]Outcome{NeverRan, Ran, Intent}, nil, DidRun},
+		"settled: never":        {[]Outcome{Intent}, []Resolution{{By: "op"}}, NotRun},
+		"settled: ran":          {[]Outcome{Intent}, []Resolution{{By: "op", Ran: true}}, DidRun},
+		"settled twice":         {[]Outcome{Intent}, []Resolution{{By: "op"}, {By: "other", Ran: true}}, NotRun}, // the second resolution finds no unknown attempt
+		"settled against a run": {[]Outcome{Ran}, []Resolution{{By: "op"}}, DidRun},
 	} {
 		var e Entry
 		for i, o := range x.outcomes {
@@ -93,21 +93,22 @@
 		for _, w := range x.words {
 			e.Settle(w)
 		}
-		if len(x.words) > 0 { // a word says nothing of what is sent after it
+		if len(x.words) > 0 { // a resolution does not apply to later attempts
 			later := e.Clone()
 			later.Record(attempt(9), Intent)
 			if later.MaySend() {
-				t.Errorf("%s: a repeat after another attempt", name)
+				t.Errorf("%s: a repeat is allowed after a later attempt of unknown outcome", name)
 			}
 		}
 		if e.Status() != x.want || e.MaySend() != (x.want == NeverSent || x.want == NotRun) {
-			t.Errorf("%s: %v, wanted %v", name, e.Status(), x.want)
+			t.Errorf("%s: status %v, want %v", name, e.Status(), x.want)
 		}
 	}
 }
 
-// Guards: one customer's flood neither pushes out another's marks nor takes all the room, and nothing is forgotten early.
-func TestBoundsAreFair(t *testing.T) {
+// Guards against a flood by one customer that evicts entries of another customer or takes all the
+// room, and against entries that are forgotten before their retention time has passed.
+func TestLimitsAreFair(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 1000, Retention: time.Hour, Share: 2})
 	var refusal *Refusal
 	flood := 0
@@ -118,28 +119,28 @@
 			t.Fatal(err)
 		}
 	}
-	if flood < 600 || flood > 700 { // two thirds
-		t.Errorf("the flood holds %d", flood)
+	if flood < 600 || flood > 700 { // about two thirds of the table, as Share is 2
+		t.Errorf("the flooding customer holds %d entries, want 600 to 700", flood)
 	}
 	for i := range 100 {
 		if err := table.RecordIntent(time.Minute, key(10000+i), "other", attempt(i)); err != nil {
-			t.Fatalf("the other's %d: %v", i, err)
+			t.Fatalf("entry %d of the other customer: %v", i, err)
 		}
 	}
 	e := table.Lookup(time.Hour-1, key(0))
 	if e.Status() != Unknown || table.Len() != flood+100 {
-		t.Errorf("%v of %d entries", e.Status(), table.Len())
+		t.Errorf("status %v, %d entries", e.Status(), table.Len())
 	}
 	if err := table.RecordIntent(time.Hour-1, key(0), "flood", attempt(9)); err != nil {
-		t.Errorf("no room for what is there: %v", err)
+		t.Errorf("refused although the instruction has an entry: %v", err)
 	}
 	if e := table.Lookup(time.Hour, key(1)); e.Status() != NeverSent {
-		t.Errorf("kept too long: %v", e.Status())
+		t.Errorf("kept beyond the retention time: %v", e.Status())
 	}
 	if e := table.Lookup(time.Hour, key(0)); e.Status() != Unknown || table.Len() != 101 {
-		t.Errorf("forgotten early: %v, %d left", e.Status(), table.Len())
+		t.Errorf("forgotten before the retention time: status %v, %d entries left", e.Status(), table.Len())
 	}
-	// What is learned is never refused, even beyond the bound.
+	// Merge is never refused, even beyond MaxEntries.
 	for i := range 2000 {
 		var e Entry
 		e.Record(attempt(1), Ran)
@@ -150,9 +151,10 @@
 	}
 }
 
-// Whatever holders answer, in whatever order, of two takers of one instruction at most one is let send; what a majority of
-// whole holders does not know was never let send; and what was noted by one that lost its disk is still found.
-func TestMajoritiesShareOne(t *testing.T) {
+// Whatever the holders answer and in whatever order, at most one of several dispatchers may be
+// allowed to send an instruction. An instruction that a majority of complete holders does not know
+// was never sent, and one that was recorded by a holder that lost its disk is still found.
+func TestAtMostOneOwnerIsGranted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "holders")
 		tables := make([]*Table, n)
@@ -164,7 +166,7 @@
 			c := NewTally(n, op.Exclusive)
 			for _, i := range rapid.Permutation(order(n)).Draw(t, "order") {
 				if rapid.IntRange(0, 4).Draw(t, lost) == 0 {
-					if rapid.Bool().Draw(t, "heard") { // its answer is lost
+					if rapid.Bool().Draw(t, "executed") { // the operation is done, but the reply is lost
 						tables[i].Do(0, op)
 					}
 					c.Add(nil)
@@ -177,8 +179,8 @@
 			return c
 		}
 		sent := 0
-		for taker := range 3 {
-			if rapid.IntRange(0, 3).Draw(t, "disk") == 0 { // one disk is lost, and filled again from enough others
+		for owner := range 3 {
+			if rapid.IntRange(0, 3).Draw(t, "disk") == 0 { // a disk is lost and refilled from other holders
 				i := rapid.IntRange(0, n-1).Draw(t, "whose")
 				if !slices.Contains(whole, false) {
 					tables[i], whole[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), false
@@ -196,11 +198,11 @@
 			}
 			seen := do(Op{Kind: Lookup, Key: key(1)}, "look")
 			if sent > 0 && seen.Known() == Yes && seen.Entry.MaySend() {
-				t.Fatal("what was let send is not known to a majority")
+				t.Fatal("a majority of complete holders does not know an instruction that was allowed")
 			}
-			if do(Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(taker)}, "take").Granted() == Yes {
+			if do(Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(owner)}, "take").Granted() == Yes {
 				if sent++; sent > 1 {
-					t.Fatal("two takers are let send")
+					t.Fatal("two dispatchers were allowed to send")
 				}
 			}
 		}
@@ -214,33 +216,35 @@
 	return all
 }
 
-// A taker whose attempt is proven never to have run may send another, and one that gave up may not begin late.
-func TestTakeGoesByWhatTheTakerKnows(t *testing.T) {
+// A dispatcher whose attempt is proven never to have run may send another one, and an attempt that
+// was given up must not be granted late.
+func TestRecordIntentUsesCallersKnowledge(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	take := func(n int, own ...AttemptRecord) Reply {
 		r, learned := table.Do(0, Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(n), Entry: Entry{Attempts: own}})
 		if o, known := learned.OutcomeOf(attempt(n)); r.Granted != (known && o == Intent) {
-			t.Errorf("granted %v, and on disk %+v", r.Granted, learned)
+			t.Errorf("granted %v, but %+v is to be written", r.Granted, learned)
 		}
 		return r
 	}
-	for range 2 { // a take that is asked for again is granted again
+	for range 2 { // a repeated RecordIntent is granted again
 		if !take(1).Granted {
-			t.Error("the first attempt is not granted")
+			t.Error("the first attempt was not granted")
 		}
 	}
 	if take(2).Granted || !take(2, AttemptRecord{attempt(1), NeverRan}).Granted {
-		t.Error("takes")
+		t.Error("a second attempt must be granted only once the first is known never to have run")
 	}
 	if _, learned := table.Do(0, Op{Kind: Merge, Key: key(1), Entry: Entry{Attempts: []AttemptRecord{{attempt(3), NeverRan}}}}); len(learned.Attempts) != 1 {
-		t.Error("nothing is learned")
+		t.Error("a Merge returned nothing to write")
 	}
 	if take(3, AttemptRecord{attempt(2), NeverRan}).Granted {
-		t.Error("an attempt that was given up begins late")
+		t.Error("an attempt that was given up was granted late")
 	}
 }
 
-// Guards: the same words meant many times hold little, keep their fate, and are refused where too many are unknown.
+// Guards against unbounded growth when one body is sent many times: the entry stays small and keeps
+// its status, and new attempts are refused when too many have unknown outcomes.
 func TestManyAttemptsOfOneEntry(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	end := func(n int, o Outcome) {
@@ -267,10 +271,10 @@
 		end(2000+n, Intent)
 	}
 	if table.RecordIntent(0, key(1), "c", attempt(9999)) == nil {
-		t.Error("no bound on attempts that nobody knows of")
+		t.Error("attempts of unknown outcome are not bounded")
 	}
 	if o, known := table.rows[key(1)].OutcomeOf(attempt(2000)); !known || o != Intent {
-		t.Error("an unknown attempt was dropped")
+		t.Error("an attempt of unknown outcome was dropped")
 	}
 }
 
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Key names an instruction: a hash over who asks and the key that the client gave, or the words.
+// Key identifies an instruction: a hash of the customer and of the key that the client gave or,
+// without one, of the request body.
 type Key [16]byte
 
-// Compare orders keys.
+// Compare orders keys bytewise.
 func (k Key) Compare(o Key) int { return bytes.Compare(k[:], o[:]) }
 
-// MarshalText is the key in hex digits.
+// MarshalText returns the key in hex digits.
 func (k Key) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, k[:]), nil }
 
-// UnmarshalText reads what MarshalText made.
+// UnmarshalText parses the form that MarshalText returns.
 func (k *Key) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(k) {
 		return fmt.Errorf("%q is no key of %d hex digits", text, 2*len(k))
@@ -28,45 +29,49 @@
 
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Limits are those of a table.
+// Limits bound a Table.
 type Limits struct {
-	MaxEntries int           // at most
-	Retention  time.Duration // an entry is kept for so long after it was last added to
-	Share      float64       // of the room that is free, a customer may hold so many times as much
+	MaxEntries int           // maximum number of entries
+	Retention  time.Duration // how long an entry is kept after its last update
+	Share      float64       // a customer may hold at most Share times the number of free entries
 }
 
-// Table holds entries within its limits. Nothing is forgotten early: where there is no room, or a customer holds more than its
-// share of what is left, a new instruction is refused. The share follows the room that is free (dynamic thresholds, Choudhury
-// and Hahne 1998): alone a customer may take most of the table, and a flood of one always leaves room for others.
+// Table holds entries within its limits. No entry is evicted before its retention time has passed:
+// when the table is full, or a customer holds more than its share of the free room, a new
+// instruction is refused. The share follows the free room (dynamic thresholds, Choudhury and Hahne
+// 1998), so that a single customer may use most of the table, yet a flood from one customer always
+// leaves room for others.
 type Table struct {
 	limits      Limits
 	rows        map[Key]*row
-	perCustomer map[string]int // entries by customer
+	perCustomer map[string]int // number of entries of each customer
 	byExpiry    expiryHeap
 }
 
 type row struct {
 	Entry
-	key       Key
-	customer  string
-	expires   time.Duration // by the holder's monotonic clock, which runs on from what it was at a restart
-	heapIndex int           // in old
+	key      Key
+	customer string
+	// expires is a time on the holder's monotonic clock, which continues across restarts.
+	expires   time.Duration
+	heapIndex int // position in Table.byExpiry
 }
 
-// NewTable makes an empty one.
+// NewTable returns an empty table.
 func NewTable(limits Limits) *Table {
 	return &Table{limits: limits, rows: map[Key]*row{}, perCustomer: map[string]int{}}
 }
 
-// Refusal is why an instruction was not taken: it never ran, and may be tried again later.
+// Refusal is the error for an instruction that was refused for lack of room. It never ran and may
+// be tried again later.
 type Refusal struct{ Reason string }
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Len is the number of entries.
+// Len returns the number of entries, including those that expired since the last call with a time.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Lookup gives what is known of an instruction; a fresh entry where nothing is.
+// Lookup returns a copy of the entry of an instruction, or an empty entry if there is none.
 func (t *Table) Lookup(now time.Duration, key Key) Entry {
 	t.expire(now)
 	if r := t.rows[key]; r != nil {
@@ -75,8 +80,8 @@
 	return Entry{}
 }
 
-// RecordIntent notes the intent to send an attempt of an instruction, or refuses. An entry that is there already always has room for
-// what is learned of it.
+// RecordIntent records the intent to send an attempt of an instruction, or returns a Refusal. An
+// instruction that already has an entry needs no further room in the table.
 func (t *Table) RecordIntent(now time.Duration, key Key, customer string, a Attempt) error {
 	t.expire(now)
 	r := t.rows[key]
@@ -100,7 +105,8 @@
 	return nil
 }
 
-// Merge joins what is known elsewhere, or what became of an attempt. It is never refused: forgetting it could let it run twice.
+// Merge merges what is known elsewhere, or the outcome of an attempt, into an entry. It ignores the
+// limits, as an instruction whose attempts are forgotten could run twice.
 func (t *Table) Merge(now time.Duration, key Key, customer string, e Entry) {
 	t.expire(now)
 	r := t.rows[key]
@@ -119,17 +125,19 @@
 	return r
 }
 
-// maxAttempts bounds the attempts of one entry: the same words may well be meant many times.
+// maxAttempts bounds the attempts of one entry. Instructions without a client's key are identified
+// by their body, and a client may legitimately send the same body many times.
 const maxAttempts = 64
 
-// touch keeps an entry for longer; never for less. Where it holds many attempts, those go that add nothing to its fate.
+// extend restarts the retention time of an entry, without ever shortening it, and trims its
+// attempts.
 func (t *Table) extend(now time.Duration, r *row) {
 	r.trim(maxAttempts / 2)
 	r.expires = max(r.expires, now+t.limits.Retention)
 	heap.Fix(&t.byExpiry, r.heapIndex)
 }
 
-// expire forgets what is old enough.
+// expire removes the entries whose retention time has passed.
 func (t *Table) expire(now time.Duration) {
 	for len(t.byExpiry) > 0 && t.byExpiry[0].expires <= now {
 		r := heap.Pop(&t.byExpiry).(*row)
@@ -140,7 +148,7 @@
 	}
 }
 
-// Unknown gives the instructions whose fate nobody knows, for staff, at most so many.
+// Unknown returns at most so many instructions of unknown status, for operators.
 func (t *Table) Unknown(most int) map[Key]Entry {
 	some := map[Key]Entry{}
 	for key, r := range t.rows {
@@ -154,7 +162,7 @@
 	return some
 }
 
-// Get gives an entry with its customer and when it was last added to.
+// Get returns a copy of an entry with its customer and the time of its last update.
 func (t *Table) Get(now time.Duration, key Key) (e Entry, customer string, at time.Duration) {
 	t.expire(now)
 	r := t.rows[key]
@@ -164,7 +172,7 @@
 	return r.Clone(), r.customer, r.expires - t.limits.Retention
 }
 
-// expiryHeap orders rows by when they may be forgotten.
+// expiryHeap is a min-heap of rows ordered by expiry time.
 type expiryHeap []*row
 
 func (a expiryHeap) Len() int           { return len(a) }
--- a/internal/ledger/tally.go
+++ b/internal/ledger/tally.go
@@ -5,37 +5,42 @@
 	"time"
 )
 
-// Op is what a dispatcher asks of a holder.
+// Op is an operation that a dispatcher requests from a ledger holder.
 type Op struct {
-	Kind      OpKind  `json:"do"`
-	Key       Key     `json:"key"`
-	Customer  string  `json:"customer,omitempty"`
-	Attempt   Attempt `json:"attempt"`         // for Take
-	Exclusive bool    `json:"check,omitempty"` // for Take: other attempts forbid it, as this is known to be the same instruction
-	Entry     Entry   `json:"entry"`           // for Take and Learn: what the asker knows
+	Kind     OpKind  `json:"do"`
+	Key      Key     `json:"key"`
+	Customer string  `json:"customer,omitempty"`
+	Attempt  Attempt `json:"attempt"` // for RecordIntent
+	// Exclusive, for RecordIntent, grants the intent only if no other attempt may have run: the
+	// requests with this key are known to be the same instruction.
+	Exclusive bool  `json:"check,omitempty"`
+	Entry     Entry `json:"entry"` // for RecordIntent and Merge: what the caller knows
 }
 
-// OpKind is what an Op wants.
+// OpKind selects the operation of an Op.
 type OpKind uint8
 
-// The kinds.
+// The operations.
 const (
-	Lookup       OpKind = iota // what is known of an instruction
-	RecordIntent               // note the intent to send an attempt, if nothing forbids it
-	Merge                      // add what became of attempts, or an operator's word
+	Lookup       OpKind = iota // return what is known of an instruction
+	RecordIntent               // record the intent to send an attempt, unless another attempt forbids it
+	Merge                      // add outcomes of attempts, or operators' resolutions
 )
 
-// Reply answers an Op.
+// Reply is a holder's reply to an Op.
 type Reply struct {
-	Granted  bool   `json:"granted,omitempty"`  // for Take: the intent is noted, and will still be
-	Entry    Entry  `json:"entry"`              // what is known, where it is not granted, or was asked for
-	Customer string `json:"customer,omitempty"` // whose it is, where that is known
-	Complete bool   `json:"whole,omitempty"`    // the holder knows all that it ever acknowledged: what it does not know, it never took
-	Refusal  string `json:"refusal,omitempty"`  // no room: the instruction never ran, and may be tried again later
-	Error    string `json:"error,omitempty"`    // nothing was noted, or may have been
+	Granted  bool   `json:"granted,omitempty"`  // for RecordIntent: the intent is recorded durably; for Merge: the entry was merged
+	Entry    Entry  `json:"entry"`              // what is known, for Lookup and for an intent that is not granted
+	Customer string `json:"customer,omitempty"` // the customer of the instruction, if known
+	// Complete tells that the holder has all that it ever acknowledged: it never recorded an
+	// attempt that is missing here.
+	Complete bool   `json:"whole,omitempty"`
+	Refusal  string `json:"refusal,omitempty"` // no room: the instruction never ran and may be tried again later
+	Error    string `json:"error,omitempty"`   // the operation failed; it may or may not have been recorded
 }
 
-// Do carries out an Op on a holder's table. Learned is what must be on disk before the Reply leaves; nothing where it is empty.
+// Do executes an Op on a holder's table. The returned learned must be on disk before the Reply is
+// sent; if it is empty, there is nothing to write.
 func (t *Table) Do(now time.Duration, op Op) (r Reply, learned Entry) {
 	switch op.Kind {
 	case Lookup:
@@ -51,7 +56,7 @@
 		known := t.Lookup(now, op.Key)
 		known.Merge(op.Entry)
 		if o, tried := known.OutcomeOf(op.Attempt); tried && o != Intent {
-			r.Entry = known // it has ended already, as what asks for it was given up
+			r.Entry = known // the attempt has already ended, as its caller gave it up
 			return r, Entry{}
 		}
 		if f := known.StatusOfOthers(op.Attempt); op.Exclusive && f != NeverSent && f != NotRun {
@@ -72,49 +77,53 @@
 	return r, learned
 }
 
-// Majority is how many of n holders must have noted an intent before its first byte leaves, and how many must be asked for
-// what is known: any two majorities share one that has it.
+// Majority returns how many of n holders must have recorded an intent before the first byte of the
+// attempt is sent, and how many must answer a lookup. Any two majorities share a holder, so a
+// lookup finds every such intent.
 func Majority(n int) int { return n/2 + 1 }
 
-// RefillQuorum is how many other holders a holder must hear whole that has lost what it knew, before it counts as whole again: one
-// of them has each entry that it noted with the fewest others.
+// RefillQuorum returns how many complete other holders a holder that lost its data must copy from
+// before it counts as complete again. Among so many there is at least one with each entry that the
+// lost holder had recorded together with a bare majority.
 func RefillQuorum(n int) int { return n - Majority(n) + 1 }
 
-// Verdict is what the holders' replies come to.
+// Verdict is the result of counting the holders' replies to an Op.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Pending Verdict = iota // more replies are awaited
-	Yes                    // enough have granted it, or have said what they know
-	No                     // so many turned it down that the others can't make up for it
-	Unclear                // too few answer: it can't be found out
+	Pending Verdict = iota // more replies are needed
+	Yes                    // enough holders granted the operation, or answered the lookup
+	No                     // so many holders turned the operation down that the others cannot make up for it
+	Unclear                // too few holders answer to decide
 )
 
-// Tally adds up replies of n holders to one Op.
+// Tally counts the replies of the holders to one Op.
 type Tally struct {
 	holders, granted, denied, complete, failed int
 	exclusive                                  bool
 	required                                   int
 
-	Entry    Entry  // all that was said
-	Customer string // likewise
-	Refusal  string // the first
+	Entry    Entry  // all replies merged
+	Customer string // the first customer that a reply names
+	Refusal  string // the first refusal
 }
 
-// NewTally begins for n holders. Where other attempts forbid what is asked for, only those count as granting it that would know
-// of them: one that has lost its disk would grant it twice.
+// NewTally returns a tally for n holders. With exclusive, only a complete holder counts as granting
+// the operation, since a holder that lost its disk no longer knows the attempts that forbid it and
+// would grant it twice.
 func NewTally(n int, check bool) *Tally {
 	return &Tally{holders: n, exclusive: check, required: Majority(n)}
 }
 
-// RequireAll has all holders be needed, so that what is noted outlives the loss of all disks but one.
+// RequireAll requires all holders to grant the operation, so that what is recorded survives the
+// loss of all disks but one.
 func (c *Tally) RequireAll() { c.Require(c.holders) }
 
-// Require sets how many must grant it.
+// Require sets how many holders must grant the operation.
 func (c *Tally) Require(n int) { c.required = n }
 
-// Add takes a reply, or that a holder gave none.
+// Add counts a reply; nil is a holder that did not answer.
 func (c *Tally) Add(r *Reply) {
 	switch {
 	case r == nil || r.Error != "":
@@ -139,7 +148,7 @@
 	c.Customer = cmp.Or(c.Customer, r.Customer)
 }
 
-// Granted is the verdict on a Take or Learn.
+// Granted returns the verdict on a RecordIntent or Merge.
 func (c *Tally) Granted() Verdict {
 	need := c.required
 	switch {
@@ -148,21 +157,22 @@
 	case c.denied > c.holders-need:
 		return No
 	case c.granted+c.denied+c.failed == c.holders && c.denied > 0 && c.granted+c.failed >= need:
-		return No // it was turned down, and who might have granted it does not answer
+		return No // turned down, and the holders that might have granted it did not answer
 	case c.failed > c.holders-need || c.granted+c.denied+c.failed == c.holders:
 		return Unclear
 	}
 	return Pending
 }
 
-// AllAnswered tells whether all holders have answered, or failed to.
+// AllAnswered reports whether every holder has answered or failed to answer.
 func (c *Tally) AllAnswered() bool { return c.granted+c.denied+c.failed == c.holders }
 
-// MajorityAnswered tells whether a majority has answered.
+// MajorityAnswered reports whether a majority of the holders has answered.
 func (c *Tally) MajorityAnswered() bool { return c.granted+c.denied >= Majority(c.holders) }
 
-// Known is the verdict on a Look: Yes once a majority that is whole has said what it knows. What forbids a repeat counts
-// whoever says it, so all are heard before it is unclear.
+// Known returns the verdict on a Lookup. It is Yes once a majority of complete holders has
+// answered, or as soon as any holder knows an attempt that forbids a repeat. It is Unclear only
+// after all holders have answered or failed to.
 func (c *Tally) Known() Verdict {
 	need := Majority(c.holders)
 	switch {
--- a/internal/ledger/tally_test.go
+++ b/internal/ledger/tally_test.go
@@ -2,9 +2,11 @@
 
 import "testing"
 
-// Guards: once two of three holders gave no answer, it was unclear whether an instruction had run, and the third, which knew, was not heard
-// any more. In every order of the replies the one that forbids a repeat counts; without one it is unclear only when all were heard.
-func TestOneHolderThatKnowsIsHeard(t *testing.T) {
+// Guards against a lookup that gives up early: once two of three holders had failed to answer, the
+// verdict became Unclear, and the reply of the third holder, which knew the instruction, was
+// ignored. In every order of the replies, one that forbids a repeat must decide the verdict.
+// Without one, the verdict is Unclear only after all holders have answered or failed to.
+func TestLookupWaitsForAllHolders(t *testing.T) {
 	a := Attempt{Owner: "a", Boot: 1, N: 1}
 	knows := &Reply{Complete: true}
 	knows.Entry.Record(a, Intent)
@@ -27,7 +29,7 @@
 					want = Unclear
 				}
 				if got := c.Known(); got != want {
-					t.Errorf("the one that answers is number %d and forbids it: %v; after %d replies %v, want %v", at+1, forbids, i+1, got, want)
+					t.Errorf("holder %d answers, forbids a repeat: %v; after %d replies the verdict is %v, want %v", at+1, forbids, i+1, got, want)
 				}
 			}
 		}
