--- a/internal/bookkeeping/client.go
+++ b/internal/bookkeeping/client.go
@@ -12,16 +12,17 @@
 
 const (
 	senderQueueSize    = 4096
-	maxOpsSent         = 256                     // ops of one call
-	minCallInterval    = 1500 * time.Microsecond // between two calls to one holder, at least: each holder bounds them
-	deliveryWindow     = time.Minute             // what became of an attempt is told again for so long
-	deliveryRetryDelay = 100 * time.Millisecond  // before it is told again
+	maxOpsSent         = 256                     // operations of one call
+	minCallInterval    = 1500 * time.Microsecond // between two calls to one holder; stays below the rate that a holder accepts from one sender
+	deliveryWindow     = time.Minute             // how long delivering an outcome to a holder is retried
+	deliveryRetryDelay = 100 * time.Millisecond  // between two tries to deliver an outcome
 )
 
 // CallFunc makes a call to another dispatcher.
 type CallFunc func(name string, ask, answer any, limit time.Duration) error
 
-// sender carries ops to one other holder, as many to a call as have come while the last one was under way.
+// sender sends operations to one remote holder. Operations that arrive during a call share the next
+// one.
 type sender struct {
 	name      string
 	transport CallFunc
@@ -76,7 +77,7 @@
 		s.files.update(s.name, a.File)
 	}
 	if err == nil && len(a.Replies) != len(some) {
-		err = errors.New("it answers another number of questions")
+		err = errors.New("the holder returned a wrong number of replies")
 	}
 	for i, x := range some {
 		if err != nil {
@@ -87,7 +88,8 @@
 	}
 }
 
-// queryHolders asks all holders and waits until verdict is clear, for limit at most.
+// queryHolders sends an operation to all holders and counts their replies until the verdict is no
+// longer Pending, for at most limit.
 func (k *Service) queryHolders(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
 	if f := k.opt.Hooks.Op; f != nil {
 		f(&op)
@@ -127,7 +129,7 @@
 	return ledger.Unclear, c
 }
 
-// Errors of what is asked of the ledger. Nothing was sent where one comes.
+// The errors of ledger queries. Nothing was sent for a request that gets one of them.
 var (
 	ErrMayHaveRun   error = &earlierAttemptError{"this instruction was taken before and may have run: it is not sent again"}
 	ErrRan          error = &earlierAttemptError{"this instruction has run: it is not sent again"}
@@ -135,11 +137,13 @@
 	ErrNotRecorded        = errors.New("the instruction can't be noted safely now: it is not sent")
 )
 
-// Refusal is why an instruction can't be remembered. It never ran, and may be tried again later.
+// Refusal is the error for an instruction that the ledger has no room for. It never ran and may be
+// tried again later.
 type Refusal struct{ Reason string }
 
 func (r *Refusal) Error() string { return r.Reason }
 
+// errorForStatus returns the error for a status that forbids a repeat, and nil for any other.
 func errorForStatus(f ledger.Status) error {
 	switch f {
 	case ledger.DidRun:
@@ -150,8 +154,9 @@
 	return nil
 }
 
-// Find says why a repeat of an instruction may not be taken, nil where nothing is known of an earlier one that could have run.
-// It takes no longer than the find time, or until.
+// CheckRepeat returns the reason why a repeat of an instruction must not be taken, or nil if no
+// earlier attempt may have run. It takes at most Options.FindTimeout and returns at until at the
+// latest.
 func (k *Service) CheckRepeat(key ledger.Key, until time.Time) error {
 	v, c := k.queryHolders(ledger.Op{Kind: ledger.Lookup, Key: key}, min(k.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Known)
 	if err := errorForStatus(c.Entry.Status()); err != nil {
@@ -163,18 +168,20 @@
 	return nil
 }
 
-// Instruction is one that this dispatcher has taken.
+// Instruction is an instruction that this dispatcher has taken.
 type Instruction struct {
-	Key        ledger.Key
-	Customer   string
-	Identified bool // it is known to be the same as others of its key: by a key that the client gave, or as a marked repeat
+	Key      ledger.Key
+	Customer string
+	// Identified tells that requests with this key are known to be the same instruction, as the
+	// client gave the key or marked the request as a repeat.
+	Identified bool
 
 	mu    sync.Mutex
-	known ledger.Entry // what became of its attempts
+	known ledger.Entry // outcomes of the attempts that this dispatcher made
 }
 
-// RecordIntent notes the intent to send an attempt with enough holders, and calls then once: with the attempt's name, or why it must not
-// be sent. It does not block.
+// RecordIntent records the intent to send an attempt at enough holders. It does not block. It calls
+// then once, with the attempt's identity and, if the attempt must not be sent, the reason.
 func (k *Service) RecordIntent(i *Instruction, until time.Time, then func(ledger.Attempt, error)) {
 	a := ledger.Attempt{Owner: k.opt.Name, Boot: k.opt.Boot, N: k.attemptNumber.Add(1)}
 	i.mu.Lock()
@@ -198,28 +205,28 @@
 		case v == ledger.No:
 			err := errorForStatus(c.Entry.StatusOfOthers(a))
 			if err == nil {
-				err = ErrMayHaveRun // another of the same key is on its way
+				err = ErrMayHaveRun // a concurrent request with the same key is being sent
 			}
 			then(a, err)
 		default:
 			then(a, ErrNotRecorded)
 		}
-		k.RecordOutcome(i, a, ledger.NeverRan) // some may have noted it
+		k.RecordOutcome(i, a, ledger.NeverRan) // some holders may have recorded the intent
 	}()
 }
 
-// RecordOutcome notes what became of an attempt, and tells the holders until enough of them have it.
+// RecordOutcome records the outcome of an attempt and delivers it to the holders.
 func (k *Service) RecordOutcome(i *Instruction, a ledger.Attempt, o ledger.Outcome) {
 	i.mu.Lock()
 	i.known.Record(a, o)
 	i.mu.Unlock()
 	if o == ledger.Intent {
-		return // nobody knows: that is what the holders have
+		return // the holders already have the attempt as Intent
 	}
 	k.deliver(ledger.Op{Kind: ledger.Merge, Key: i.Key, Customer: i.Customer, Entry: ledger.Entry{Attempts: []ledger.AttemptRecord{{Attempt: a, Outcome: o}}}})
 }
 
-// deliver has all holders learn something, each on its own.
+// deliver sends an operation to all holders and retries each holder separately on errors.
 func (k *Service) deliver(op ledger.Op) {
 	end := time.Now().Add(deliveryWindow)
 	k.delivering.Add(int64(len(k.holders)))
@@ -237,7 +244,7 @@
 		if time.Now().After(end) {
 			k.delivering.Add(-1)
 			k.undelivered.Add(1)
-			slog.Warn("ledger: a holder could not be told what became of an instruction, which stays unknown to it", "error", r.Error)
+			slog.Warn("ledger: the outcome of an attempt could not be delivered to a holder; the instruction stays unknown there", "error", r.Error)
 			return
 		}
 		time.AfterFunc(deliveryRetryDelay, func() { k.deliverTo(h, op, end) })
--- a/internal/bookkeeping/holder.go
+++ b/internal/bookkeeping/holder.go
@@ -13,40 +13,41 @@
 )
 
 const (
-	holderQueueSize    = 4096 // ops that wait
-	maxCommitRecords   = 512  // records of one commit
-	compactBatch       = 256  // records that are folded between two commits
-	compactRatio       = 1.5  // records for each entry, and the oldest are folded
+	holderQueueSize  = 4096 // queued operations
+	maxCommitRecords = 512  // records of one commit
+	compactBatch     = 256  // records that are compacted between two commits
+	// with more records per entry than this, the oldest records are compacted
+	compactRatio       = 1.5
 	clockCheckInterval = time.Second
-	clockWriteInterval = 10 * time.Second // where nothing else is to be written
+	clockWriteInterval = 10 * time.Second // for writing the clock when there is nothing else to write
 )
 
-// holder keeps a part of the ledger: one goroutine owns the table and the file. What came while a commit ran goes into the next
-// one together (group commit).
+// holder keeps this dispatcher's copy of the ledger. One goroutine owns the table and the file.
+// Operations that arrive during a commit share the next one (group commit).
 type holder struct {
 	log          *ledgerlog.Log
 	table        *ledger.Table
 	inbox        chan queuedOp
 	done         chan struct{}
 	start        time.Time
-	clockBase    time.Duration // what the file's clock had counted at the start
+	clockBase    time.Duration // value of the persisted clock at start-up
 	recordCount  int           // in the file
 	complete     atomic.Bool
-	writes       atomic.Uint64 // commits, as others are told
+	writes       atomic.Uint64 // commits, as reported to other dispatchers
 	disk         uint64
-	failed       atomic.Bool // the file can't be written: nothing is granted any more
+	failed       atomic.Bool // the file cannot be written, so nothing is granted any more
 	commits      atomic.Int64
 	entries      atomic.Int64
-	files        func() map[string]ledgerlog.FileVersion // of the others' files, which are remembered with the clock
-	replyHook    func(*ledger.Reply)                     // a seam
-	clockWritten time.Duration                           // when the clock was written last
+	files        func() map[string]ledgerlog.FileVersion // versions of the other holders' files, which are stored with the clock
+	replyHook    func(*ledger.Reply)                     // Hooks.Reply
+	clockWritten time.Duration                           // when the clock was last written
 }
 
-// queuedOp is an op that waits, or something else that is to be done on the holder's goroutine.
+// queuedOp is a queued operation, or a function to run on the holder's goroutine.
 type queuedOp struct {
 	op    ledger.Op
 	reply func(ledger.Reply)
-	run   func() // instead of an op
+	run   func() // instead of op
 }
 
 var (
@@ -74,14 +75,15 @@
 	h.clockBase, h.disk = max(last, s.Clock), s.Disk
 	h.writes.Store(s.Writes)
 	h.entries.Store(int64(h.table.Len()))
-	slog.Info("ledger: open", "entries", h.table.Len(), "records", h.recordCount, "whole", s.Whole, "took", time.Since(began).Round(time.Millisecond))
+	slog.Info("ledger: file opened", "entries", h.table.Len(), "records", h.recordCount, "whole", s.Whole, "took", time.Since(began).Round(time.Millisecond))
 	return h, nil
 }
 
-// now is the holder's clock: it counts while the process runs, so that nothing is forgotten early whatever the wall clock says.
+// now returns the holder's clock. It advances only while the process runs, so that no entry expires
+// early, whatever the wall clock does.
 func (h *holder) now() time.Duration { return h.clockBase + time.Since(h.start) }
 
-// ask hands an op to the holder. It does not block.
+// submit queues an operation without blocking. If the queue is full, it replies with an error.
 func (h *holder) submit(op ledger.Op, then func(ledger.Reply)) {
 	select {
 	case h.inbox <- queuedOp{op: op, reply: then}:
@@ -90,7 +92,8 @@
 	}
 }
 
-// runWithin runs f on the holder's goroutine and waits for it, or gives up.
+// runWithin runs f on the holder's goroutine and waits until it has finished, or until the limit
+// has passed.
 func (h *holder) runWithin(limit time.Duration, f func()) error {
 	finished := make(chan struct{})
 	select {
@@ -108,7 +111,7 @@
 	}
 }
 
-// run owns the holder until stop is closed.
+// run processes operations until stop is closed.
 func (h *holder) run(stop <-chan struct{}) {
 	defer close(h.done)
 	tick := time.NewTicker(clockCheckInterval)
@@ -117,7 +120,7 @@
 		select {
 		case <-stop:
 			if !h.failed.Load() {
-				_ = h.log.Commit(nil, h.now()) // the clock; without it entries are kept a little longer
+				_ = h.log.Commit(nil, h.now()) // writes the clock; if that fails, entries are only kept a little longer
 			}
 			return
 		case first := <-h.inbox:
@@ -129,7 +132,8 @@
 	}
 }
 
-// writeClock writes the clock now and then, and what was heard of the others' files, where that has changed.
+// writeClock writes the clock and the versions of the other holders' files if a version has
+// changed, and otherwise every clockWriteInterval.
 func (h *holder) writeClock() {
 	now := h.now()
 	if h.failed.Load() || !h.log.SetSeen(h.files()) && now-h.clockWritten < clockWriteInterval {
@@ -139,7 +143,7 @@
 	h.committed(h.log.Commit(nil, now))
 }
 
-// batch carries out what has come, writes it in one commit, and answers after that.
+// batch executes the queued operations, writes their records in one commit and then replies.
 func (h *holder) batch(first queuedOp) {
 	var records []ledgerlog.Record
 	var answers []func()
@@ -181,7 +185,7 @@
 	*answers = append(*answers, func() {
 		r.Complete = h.complete.Load()
 		if r.Granted && h.failed.Load() {
-			r = ledger.Reply{Error: errFailed.Error()} // it was not written
+			r = ledger.Reply{Error: errFailed.Error()} // the record was not written
 		}
 		if h.replyHook != nil {
 			h.replyHook(&r)
@@ -190,11 +194,12 @@
 	})
 }
 
-// committed notes how a commit went. After one that failed nothing is granted: what is on disk is not known.
+// committed handles the result of a commit. After a failed commit nothing is granted any more, as
+// it is not known what is on disk.
 func (h *holder) committed(err error) {
 	if err != nil {
 		if !h.failed.Swap(true) {
-			slog.Error("ledger: it can't be written, so this holder grants nothing more", "error", err)
+			slog.Error("ledger: the file cannot be written; this holder grants nothing until it is restarted", "error", err)
 		}
 		return
 	}
@@ -202,7 +207,7 @@
 	h.writes.Store(h.log.State().Writes)
 }
 
-// compact takes old records out, a few at a time, so that the writer never waits long.
+// compact removes old records, at most compactBatch at a time so that operations never wait long.
 func (h *holder) compact() {
 	if h.failed.Load() || h.recordCount < compactBatch || float64(h.recordCount) < compactRatio*float64(h.table.Len())+compactBatch {
 		return
@@ -223,14 +228,14 @@
 	h.recordCount = before - n + again
 }
 
-// dump gives what the file holds after a record, at most so many: it reads beside the writer, which does not wait. An entry may come
-// in several parts.
+// dump returns at most so many records of the file that follow the given one. It reads concurrently
+// with the writer, which does not wait. An entry may be spread over several records.
 func (h *holder) dump(after uint64, most int) (some []Row, next uint64, last bool, err error) {
 	next, last, err = h.log.Read(after, most, func(r ledgerlog.Record) { some = append(some, Row{r.Key, r.Customer, r.Entry}) })
 	return some, next, last, err
 }
 
-// unknown gives instructions whose fate nobody knows.
+// unknown returns instructions of unknown status.
 func (h *holder) unknown(most int) (some []Row) {
 	all := h.table.Unknown(most)
 	for _, k := range slices.SortedFunc(maps.Keys(all), ledger.Key.Compare) {
--- a/internal/bookkeeping/intent.go
+++ b/internal/bookkeeping/intent.go
@@ -9,19 +9,20 @@
 	"standpulley/logic"
 )
 
-// note is an instruction as the core sees it.
+// intentRecorder implements dispatch.IntentRecorder for one instruction.
 type intentRecorder struct {
 	k *Service
 	i Instruction
 }
 
-// Note makes an instruction that this dispatcher takes known to the core. Named tells that it is known to be the same as others of
-// its key: by a key that the client gave, or as a marked repeat.
-func (k *Service) IntentRecorder(key ledger.Key, customer string, named bool) dispatch.IntentRecorder {
-	return &intentRecorder{k: k, i: Instruction{Key: key, Customer: customer, Identified: named}}
+// IntentRecorder returns the recorder that the core uses for an instruction that this dispatcher
+// takes. Identified tells that requests with this key are known to be the same instruction, as the
+// client gave the key or marked the request as a repeat.
+func (k *Service) IntentRecorder(key ledger.Key, customer string, identified bool) dispatch.IntentRecorder {
+	return &intentRecorder{k: k, i: Instruction{Key: key, Customer: customer, Identified: identified}}
 }
 
-// Begin is dispatch.Noted.
+// Begin implements dispatch.IntentRecorder.
 func (r *intentRecorder) Begin(until time.Time, then func(end func(logic.Outcome), err error)) {
 	r.k.RecordIntent(&r.i, until, func(a ledger.Attempt, err error) {
 		if err != nil {
@@ -39,7 +40,8 @@
 	return outcomeOf(o)
 }
 
-// outcomeOf reads how an attempt ended: only the proof that the wire gives makes it one that never ran.
+// outcomeOf converts the outcome of an attempt as the core reports it. Only outcomes for which the
+// transport proves that nothing ran become NeverRan.
 func outcomeOf(o logic.Outcome) ledger.Outcome {
 	switch o {
 	case logic.Full, logic.ConnectFailed, logic.NotSent:
@@ -50,13 +52,13 @@
 	return ledger.Intent
 }
 
-// twice is an error that tells of an earlier attempt.
+// earlierAttemptError says that an earlier attempt of an instruction ran or may have run.
 type earlierAttemptError struct{ text string }
 
 func (t *earlierAttemptError) Error() string    { return t.text }
 func (t *earlierAttemptError) MayHaveRun() bool { return true }
 
-// MayHaveRun tells whether an error says that an earlier attempt ran, or may have.
+// MayHaveRun reports whether err says that an earlier attempt ran or may have run.
 func MayHaveRun(err error) bool {
 	var t *earlierAttemptError
 	return errors.As(err, &t)
--- a/internal/bookkeeping/operator.go
+++ b/internal/bookkeeping/operator.go
@@ -8,11 +8,11 @@
 	"standpulley/internal/ledger"
 )
 
-// operatorTimeout is how long an operator waits for the holders.
+// operatorTimeout is how long an operator's command waits for the holders.
 const operatorTimeout = 3 * time.Second
 
-// Unknown gives the instructions of which nobody knows whether they ran, as far as holders know that are there, and at most as many
-// as one answer holds.
+// Unknown returns the instructions for which it is unknown whether they ran. It asks all holders
+// and fails unless a majority answers. Each holder reports at most maxUnknownRows instructions.
 func (k *Service) Unknown() ([]Row, error) {
 	all := map[ledger.Key]Row{}
 	var order []ledger.Key
@@ -52,11 +52,11 @@
 	return rows, nil
 }
 
-// Show gives all that is known of one instruction.
+// Show returns all that is known of one instruction.
 func (k *Service) Show(key ledger.Key) (Row, error) {
 	_, c := k.queryHolders(ledger.Op{Kind: ledger.Lookup, Key: key}, operatorTimeout, func(c *ledger.Tally) ledger.Verdict {
 		if c.Known() == ledger.Yes && !c.AllAnswered() {
-			return ledger.Pending // all that answer are wanted
+			return ledger.Pending // wait for the replies of all holders
 		}
 		return c.Known()
 	})
@@ -66,8 +66,8 @@
 	return Row{Key: key, Customer: c.Customer, Entry: c.Entry}, nil
 }
 
-// Settle notes an operator's word, who looked into the books, for the attempts whose fate nobody knows. It stands once a majority of
-// the holders has it on disk.
+// Settle records an operator's resolution for the attempts of unknown outcome. It is in force once
+// a majority of the holders has it on disk.
 func (k *Service) Settle(key ledger.Key, w ledger.Resolution) error {
 	row, err := k.Show(key)
 	if err != nil {
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// Ready tells whether a majority of the holders is there and whole, as far as was heard of late. It asks where nothing was.
+// Ready reports whether a majority of the holders is reachable and complete, from a check of the
+// last readyTTL. Without one it starts a check in the background and returns false.
 func (k *Service) Ready() bool {
 	if at := k.readyAt.Load(); time.Since(k.start) < time.Duration(at)+readyTTL {
 		return true
@@ -106,11 +107,11 @@
 	return false
 }
 
-// readyTTL is how long what was heard of the holders counts.
+// readyTTL is how long the result of a readiness check is used.
 const readyTTL = time.Second
 
-// Export gives what this dispatcher's file holds after a record, with the record to go on from and whether that was all. An entry may
-// come in several parts.
+// Export returns records of this dispatcher's file that follow the given one, the record to
+// continue after, and whether these were the last. An entry may be spread over several records.
 func (k *Service) Export(after uint64) (rows []Row, next uint64, last bool, err error) {
 	if k.holder == nil {
 		return nil, 0, false, errors.New("this dispatcher holds no ledger: ask a voter")
@@ -118,7 +119,8 @@
 	return k.holder.dump(after, maxDumpRows)
 }
 
-// Import has the holders learn entries, as they were exported. It stands once a majority of them has all of it on disk.
+// Import merges exported entries into the holders' ledgers. It has taken effect once a majority of
+// the holders has all of them on disk.
 func (k *Service) Import(rows []Row) error {
 	for _, r := range rows {
 		if v, _ := k.queryHolders(ledger.Op{Kind: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, operatorTimeout, (*ledger.Tally).Granted); v != ledger.Yes {
--- a/internal/bookkeeping/refill.go
+++ b/internal/bookkeeping/refill.go
@@ -10,7 +10,8 @@
 	"standpulley/internal/ledgerlog"
 )
 
-// DiskRecord is the agreed one, as far as it is about ledgers: which disk each holder had last.
+// DiskRecord is the part of the agreed record that concerns ledgers: the disk number of the file
+// that each holder had last. A file that is created anew gets another number.
 type DiskRecord interface {
 	Disk(name string) (disk uint64, known bool, err error)
 	SetDisk(name string, disk uint64) error
@@ -21,20 +22,21 @@
 	callTimeout   = 2 * time.Second
 )
 
-// check finds out whether this holder knows all that it ever acknowledged, and mends it where it does not. Until it does, what the
-// holder does not know tells nothing. It ends once the holder is whole.
+// check determines whether this holder has all that it ever acknowledged, and refills it from the
+// other holders if it does not. Until then the holder does not count as complete: that an
+// instruction is missing from its ledger proves nothing. check returns once the holder is complete.
 func (k *Service) check() {
 	said := ""
 	for {
 		err := k.checkOnce()
 		if err == nil {
 			k.holder.complete.Store(true)
-			slog.Info("ledger: this holder knows all that it acknowledged", "entries", k.holder.entries.Load())
+			slog.Info("ledger: this holder is complete", "entries", k.holder.entries.Load())
 			return
 		}
 		if text := err.Error(); text != said {
 			said = text
-			slog.Warn("ledger: what this holder does not know tells nothing yet", "why", text)
+			slog.Warn("ledger: this holder does not count as complete yet", "why", text)
 		}
 		select {
 		case <-k.stop:
@@ -48,7 +50,7 @@
 	h := k.holder
 	was, known, err := k.opt.DiskRecord.Disk(k.opt.Name)
 	if err != nil {
-		return fmt.Errorf("the agreed record can't be read: %w", err)
+		return fmt.Errorf("reading the agreed record: %w", err)
 	}
 	var state ledgerlog.State
 	if err := h.runWithin(callTimeout, func() { state = h.log.State() }); err != nil {
@@ -63,7 +65,7 @@
 		}
 		return k.markComplete()
 	case was != state.Disk && !state.Whole:
-		slog.Warn("ledger: this holder's file is new and the one before is lost: it is filled from the others", "lost", was, "new", state.Disk)
+		slog.Warn("ledger: the file is new and the previous one is lost; refilling from the other holders", "lost", was, "new", state.Disk)
 		if err := k.refill(); err != nil {
 			return err
 		}
@@ -71,14 +73,14 @@
 			return err
 		}
 		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
-	case was != state.Disk: // it was filled, and ended before that was on record
+	case was != state.Disk: // it was refilled, but the process ended before SetDisk
 		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
-	case !state.Whole: // it was new, and ended before it knew
+	case !state.Whole: // it was new, and the process ended before it was marked complete
 		return k.markComplete()
 	}
 	old, err := k.isStaleCopy(state)
 	if err == nil && old {
-		slog.Warn("ledger: this holder's file is an old copy of what it was: it is filled from the others", "commits", state.Writes)
+		slog.Warn("ledger: the file is an old copy; refilling from the other holders", "commits", state.Writes)
 		if err = k.refill(); err == nil {
 			err = k.markComplete()
 		}
@@ -86,7 +88,9 @@
 	return err
 }
 
-// isStaleCopy asks enough others what they last heard of this holder's file. One that has fewer commits than that is a copy from before.
+// isStaleCopy asks the other holders for the last version of this holder's file that they have
+// seen. If any has seen more commits than the file has, the file is an old copy that was put back,
+// for instance from a backup.
 func (k *Service) isStaleCopy(state ledgerlog.State) (bool, error) {
 	heard := 0
 	for _, name := range k.opt.Holders {
@@ -103,13 +107,14 @@
 		}
 	}
 	if need := ledger.Majority(len(k.opt.Holders)) - 1; heard < need {
-		return false, fmt.Errorf("whether the file is an old copy is not known: %d other holders answer, %d must", heard, need)
+		return false, fmt.Errorf("cannot determine whether the file is an old copy: %d other holders answer, %d are needed", heard, need)
 	}
 	return false, nil
 }
 
-// Accept has this holder count as whole once it is filled from one other, by an operator's word: what was with none but lost files
-// stays lost. Where all holders were needed for each intent, nothing was.
+// Accept lets this holder count as complete after a refill from a single other holder, on an
+// operator's order. Entries that only lost files had stay lost. With DurabilityDisk there are none,
+// as all holders record each intent.
 func (k *Service) Accept(by, why string) error {
 	switch {
 	case k.holder == nil:
@@ -119,12 +124,12 @@
 	case k.holder.complete.Load():
 		return errors.New("this holder knows all that it acknowledged: there is nothing to accept")
 	}
-	slog.Warn("ledger: this holder is to be filled from one other, by an operator's word", "by", by, "why", why)
+	slog.Warn("ledger: refilling from a single other holder, by an operator's order", "by", by, "why", why)
 	k.acceptLoss.Store(true)
 	return nil
 }
 
-// refill takes over what the other holders know. Enough of them must be whole themselves.
+// refill copies the entries of the other holders. Enough of them must be complete themselves.
 func (k *Service) refill() error {
 	need, taken := ledger.RefillQuorum(len(k.opt.Holders)), 0
 	if k.acceptLoss.Load() {
@@ -136,18 +141,19 @@
 		}
 		rows, err := k.copyFrom(name)
 		if err != nil {
-			slog.Warn("ledger: a holder gives nothing to fill from", "holder", name, "why", err)
+			slog.Warn("ledger: cannot refill from a holder", "holder", name, "why", err)
 			continue
 		}
 		taken++
-		slog.Info("ledger: filled", "from", name, "entries", rows)
+		slog.Info("ledger: copied the entries of a holder", "from", name, "entries", rows)
 	}
 	if taken < need {
-		return fmt.Errorf("its ledger is lost, and only %d of the other holders are there and whole: %d must be", taken, need)
+		return fmt.Errorf("the ledger is lost and only %d complete holders answer; refilling needs %d", taken, need)
 	}
 	return nil
 }
 
+// copyFrom merges all entries of another holder into this one and returns how many rows it copied.
 func (k *Service) copyFrom(name string) (rows int, err error) {
 	var after uint64
 	for {
@@ -156,7 +162,7 @@
 			return rows, err
 		}
 		if !a.Complete {
-			return rows, fmt.Errorf("it is not whole itself")
+			return rows, fmt.Errorf("the holder is not complete itself")
 		}
 		after = a.Next
 		failed := make(chan error, len(a.Rows))
@@ -181,6 +187,7 @@
 	}
 }
 
+// markComplete stores in the file that this holder is complete.
 func (k *Service) markComplete() (err error) {
 	h := k.holder
 	if e := h.runWithin(callTimeout, func() { err = h.log.SetComplete(true, h.now()) }); e != nil {
--- a/internal/bookkeeping/service.go
+++ b/internal/bookkeeping/service.go
@@ -1,11 +1,15 @@
-// Package bookkeeping is a dispatcher's part in knowing what must not run twice. Every voter holds the ledger; the intent to send
-// an attempt is noted with a majority of them before its first byte leaves, and a repeat asks a majority. What is decided stands in
-// package ledger, what is on disk in package ledgerlog.
+// Package bookkeeping is a dispatcher's client and server for the ledger, which remembers the
+// requests that must not run twice (instructions). Every voter holds a copy of the ledger. The
+// intent to send an attempt is recorded by a majority of these holders before the first byte of the
+// attempt is sent, and a repeat is checked against a majority. Package ledger has the rules;
+// another package stores the entries on disk.
 //
-//	bookkeeping.go the part as a whole, and what operators ask for
-//	holder.go      the goroutine that owns a part of the ledger
-//	taker.go       intents, repeats and outcomes of what this dispatcher takes
-//	refill.go      a holder that has lost what it knew
+//	service.go   the service, its options, and calls from other dispatchers
+//	holder.go    the goroutine that owns this dispatcher's copy of the ledger
+//	client.go    intents, repeats and outcomes of the instructions that this dispatcher takes
+//	intent.go    the adapter by which the core records intents
+//	operator.go  operators' commands
+//	refill.go    restoring a holder that has lost data
 package bookkeeping
 
 import (
@@ -22,31 +26,32 @@
 	"standpulley/logic"
 )
 
-// Durability says what the ledger outlives.
+// Durability says which failures recorded intents survive.
 type Durability string
 
-// The choices. With each an intent is with a majority of the holders before its first byte leaves.
+// The choices. With each, an intent is recorded by a majority of the holders before the first byte
+// of the attempt is sent.
 const (
-	DurabilityProcess Durability = "process" // the end of processes, in any order; not a loss of power at a majority of the holders
-	DurabilitySite    Durability = "site"    // a loss of power everywhere, and the loss of fewer disks than a majority
-	DurabilityDisk    Durability = "disk"    // the loss of all disks but one: each holder that can vote has it
+	DurabilityProcess Durability = "process" // processes that exit, in any order; not a power loss at a majority of the holders
+	DurabilitySite    Durability = "site"    // a power loss everywhere, and the loss of fewer disks than a majority
+	DurabilityDisk    Durability = "disk"    // the loss of all disks but one: every holder with a vote records each intent
 )
 
-// Valid tells whether it is one of them.
+// Valid reports whether s is one of the choices.
 func (s Durability) Valid() bool {
 	return s == DurabilityProcess || s == DurabilitySite || s == DurabilityDisk
 }
 
 func (s Durability) synced() bool { return s != DurabilityProcess }
 
-// Options are what a dispatcher's part is told.
+// Options configure a Service.
 type Options struct {
 	Name        string
 	Boot        uint64
 	Folder      string
-	Holders     []string // the voters' names
+	Holders     []string // names of the voters
 	Limits      ledger.Limits
-	FindTimeout time.Duration // that a repeat or an intent may take
+	FindTimeout time.Duration // how long checking a repeat or recording an intent may take
 	Durability  Durability
 	Call        CallFunc
 	NewID       func() uint64
@@ -54,43 +59,44 @@
 	Hooks       Hooks
 }
 
-// Hooks are where tests put faults in. The zero value puts in none.
+// Hooks are where tests inject faults. The zero value injects none.
 type Hooks struct {
-	Op                 func(*ledger.Op)                                   // before holders are asked
-	Tally              func(*ledger.Tally)                                // before replies are added up
-	Reply              func(*ledger.Reply)                                // of a holder, before it leaves
+	Op                 func(*ledger.Op)                                   // before an operation is sent to the holders
+	Tally              func(*ledger.Tally)                                // before replies are counted
+	Reply              func(*ledger.Reply)                                // of the own holder, before it is sent
 	Outcome            func(logic.Outcome, ledger.Outcome) ledger.Outcome // of an attempt
-	Verdict            func(ledger.Op, ledger.Verdict) ledger.Verdict     // on what was asked
-	SendBeforeRecorded bool                                               // an attempt leaves while its intent is being noted
-	AssumeComplete     bool                                               // a new file, or an old copy, counts as one that knows all
-	SkipLoad           bool                                               // what is on disk is not read at the start
+	Verdict            func(ledger.Op, ledger.Verdict) ledger.Verdict     // on an operation
+	SendBeforeRecorded bool                                               // an attempt is sent while its intent is being recorded
+	AssumeComplete     bool                                               // a new file or an old copy counts as complete
+	SkipLoad           bool                                               // the file's records are not loaded at start-up
 }
 
-// holderClient is who answers ops: this dispatcher's own holder, or a sender to another.
+// holderClient executes operations on a holder: the dispatcher's own holder, or a remote one
+// through a sender.
 type holderClient interface {
 	submit(op ledger.Op, then func(ledger.Reply))
 }
 
-// Service is the part.
+// Service is a dispatcher's part of the ledger.
 type Service struct {
 	opt           Options
-	holder        *holder // nil where this dispatcher holds nothing
+	holder        *holder // nil if this dispatcher is no holder
 	holders       []holderClient
 	stop          chan struct{}
 	goroutines    sync.WaitGroup
 	attemptNumber atomic.Uint64
 	calls         atomic.Int64
 	undelivered   atomic.Int64
-	delivering    atomic.Int64 // outcomes that a holder has not heard yet
+	delivering    atomic.Int64 // outcomes that are still to be delivered, one count for each holder
 	start         time.Time
-	readyAt       atomic.Int64 // since start, when a majority was heard to be whole
-	checkingReady atomic.Bool  // whether that is so
-	acceptLoss    atomic.Bool  // to be filled from one other holder
+	readyAt       atomic.Int64 // time since start at which a majority was last found to be complete
+	checkingReady atomic.Bool  // whether such a check is running
+	acceptLoss    atomic.Bool  // refill from a single other holder
 	waits         intentWaits
 	files         fileVersions
 }
 
-// fileVersions is what was heard last of each holder's file.
+// fileVersions are the last known versions of the holders' files, by the holder's name.
 type fileVersions struct {
 	mu  sync.Mutex
 	all map[string]ledgerlog.FileVersion
@@ -102,7 +108,8 @@
 	return s.all[name]
 }
 
-// update takes what a holder says of its file. Another file takes the place of the one before.
+// update stores the version that a holder reports for its file. A file with another disk number
+// replaces the one before; otherwise the number of writes only grows.
 func (s *fileVersions) update(name string, is ledgerlog.FileVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,10 +124,10 @@
 	return maps.Clone(s.all)
 }
 
-// Open opens the ledger and begins.
+// Open opens the ledger file, if this dispatcher is a holder, and starts the goroutines.
 func Open(opt Options) (*Service, error) {
 	k := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), files: fileVersions{all: map[string]ledgerlog.FileVersion{}}}
-	k.readyAt.Store(-int64(readyTTL)) // never yet
+	k.readyAt.Store(-int64(readyTTL)) // not yet ready
 	if slices.Contains(opt.Holders, opt.Name) {
 		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, k.files.snapshot)
 		if err != nil {
@@ -144,17 +151,19 @@
 	return k, nil
 }
 
-// Run begins to find out whether what is on disk is all that it was. The agreed record must be there to be asked.
+// Run starts checking whether the ledger file is complete. The agreed record must be available, as
+// the check reads it.
 func (k *Service) Run() {
 	if k.holder != nil {
 		k.goroutines.Go(k.check)
 	}
 }
 
-// closeTimeout is how long an end waits for holders to hear what became of the last instructions. What they do not hear stays unknown.
+// closeTimeout is how long Close waits until the holders have received the latest outcomes. An
+// outcome that a holder does not receive stays unknown to it.
 const closeTimeout = 300 * time.Millisecond
 
-// Close ends the part.
+// Close stops the service and closes the file.
 func (k *Service) Close() error {
 	for end := time.Now().Add(closeTimeout); k.delivering.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
@@ -167,26 +176,26 @@
 	return nil
 }
 
-// Call is what one dispatcher asks of a holder.
+// Call is a request from one dispatcher to the holder at another.
 type Call struct {
 	Ops        []ledger.Op `json:"ops,omitempty"`
-	DumpAfter  *uint64     `json:"dump,omitempty"`    // what the file holds after this record
-	MaxUnknown int         `json:"unknown,omitempty"` // at most so many of which nobody knows the fate
-	LastSeenOf string      `json:"about,omitempty"`   // what was heard last of this holder's file
+	DumpAfter  *uint64     `json:"dump,omitempty"`    // return the records after this one
+	MaxUnknown int         `json:"unknown,omitempty"` // return at most so many instructions of unknown status
+	LastSeenOf string      `json:"about,omitempty"`   // return the last known version of this holder's file
 }
 
-// Answer is what it hears.
+// Answer is the response to a Call.
 type Answer struct {
 	Replies  []ledger.Reply        `json:"replies,omitempty"`
 	Rows     []Row                 `json:"rows,omitempty"`
-	Next     uint64                `json:"next,omitempty"` // of a dump: the record to go on from
+	Next     uint64                `json:"next,omitempty"` // of a dump: the record to continue after
 	Last     bool                  `json:"last,omitempty"`
 	Complete bool                  `json:"whole"`
-	File     ledgerlog.FileVersion `json:"file"` // of the one that answers
+	File     ledgerlog.FileVersion `json:"file"` // version of the answering holder's file
 	LastSeen ledgerlog.FileVersion `json:"about"`
 }
 
-// Row is one entry on its way.
+// Row is one entry in a Call or Answer, or in an operator's command.
 type Row struct {
 	Key      ledger.Key   `json:"key"`
 	Customer string       `json:"customer,omitempty"`
@@ -194,12 +203,12 @@
 }
 
 const (
-	maxDumpRows    = 1000 // entries of one answer
+	maxDumpRows    = 1000 // records of one answer
 	maxUnknownRows = 1000
 	maxOpsServed   = 1024
 )
 
-// Serve answers a call of another dispatcher.
+// Serve answers a call from another dispatcher.
 func (k *Service) Serve(c Call) (a Answer, err error) {
 	h := k.holder
 	if h == nil {
@@ -227,7 +236,8 @@
 	return a, err
 }
 
-// Stats are what operators see.
+// Stats are the service's counters and gauges, for operators and metrics. They are encoded under
+// their field names.
 type Stats struct {
 	Entries, Commits, Calls, Untold int64
 	Whole, Failed, Holds            bool
@@ -235,7 +245,7 @@
 	WaitP50, WaitP99                time.Duration
 }
 
-// Stats gives them.
+// Stats returns the current values.
 func (k *Service) Stats() Stats {
 	f := Stats{Calls: k.calls.Load(), Untold: k.undelivered.Load()}
 	f.WaitP50, f.WaitP99 = k.waits.percentiles()
@@ -245,7 +255,7 @@
 	return f
 }
 
-// intentWaits are the latest times that intents took.
+// intentWaits keeps how long the latest 1024 intents took to record.
 type intentWaits struct {
 	mu   sync.Mutex
 	last [1024]time.Duration
--- a/internal/bookkeeping/service_test.go
+++ b/internal/bookkeeping/service_test.go
@@ -15,21 +15,22 @@
 	"standpulley/logic"
 )
 
-// ring is three holders in one process, whose calls go directly, unless they are cut.
-type ring struct {
-	t       *testing.T
-	folder  string
-	mu      sync.Mutex
-	keepers map[string]*Service
-	cut     map[string]bool
-	disks   map[string]uint64 // on record
-	boots   uint64
+// cluster is three holders in one process. Calls between them are direct, unless a holder is cut
+// off.
+type cluster struct {
+	t        *testing.T
+	folder   string
+	mu       sync.Mutex
+	services map[string]*Service
+	cut      map[string]bool
+	disks    map[string]uint64 // the agreed record
+	boots    uint64
 }
 
 var names = []string{"a", "b", "c"}
 
-func newRing(t *testing.T) *ring {
-	r := &ring{t: t, folder: t.TempDir(), keepers: map[string]*Service{}, cut: map[string]bool{}, disks: map[string]uint64{}}
+func newCluster(t *testing.T) *cluster {
+	r := &cluster{t: t, folder: t.TempDir(), services: map[string]*Service{}, cut: map[string]bool{}, disks: map[string]uint64{}}
 	for _, name := range names {
 		r.start(name)
 	}
@@ -41,23 +42,23 @@
 	return r
 }
 
-func (r *ring) Disk(name string) (uint64, bool, error) {
+func (r *cluster) Disk(name string) (uint64, bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d, ok := r.disks[name]
 	return d, ok, nil
 }
 
-func (r *ring) SetDisk(name string, disk uint64) error {
+func (r *cluster) SetDisk(name string, disk uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.disks[name] = disk
 	return nil
 }
 
-func (r *ring) path(name string) string { return ledgerlog.Path(filepath.Join(r.folder, name)) }
+func (r *cluster) path(name string) string { return ledgerlog.Path(filepath.Join(r.folder, name)) }
 
-func (r *ring) start(name string) {
+func (r *cluster) start(name string) {
 	r.t.Helper()
 	if err := os.MkdirAll(filepath.Join(r.folder, name), 0o700); err != nil {
 		r.t.Fatal(err)
@@ -68,7 +69,7 @@
 		Limits: ledger.Limits{MaxEntries: 1000, Retention: time.Hour, Share: 2}, NewID: func() uint64 { return 100 + boot },
 		Call: func(to string, ask, answer any, _ time.Duration) error {
 			r.mu.Lock()
-			k, cut := r.keepers[to], r.cut[name] || r.cut[to]
+			k, cut := r.services[to], r.cut[name] || r.cut[to]
 			r.mu.Unlock()
 			if cut || k == nil {
 				return errors.New("cut off")
@@ -81,15 +82,15 @@
 		r.t.Fatal(err)
 	}
 	r.mu.Lock()
-	r.keepers[name] = k
+	r.services[name] = k
 	r.mu.Unlock()
 	k.Run()
 }
 
-func (r *ring) end(name string) {
+func (r *cluster) end(name string) {
 	r.mu.Lock()
-	k := r.keepers[name]
-	r.keepers[name] = nil
+	k := r.services[name]
+	r.services[name] = nil
 	r.mu.Unlock()
 	if k != nil {
 		if err := k.Close(); err != nil {
@@ -98,18 +99,18 @@
 	}
 }
 
-func (r *ring) sever(name string, cut bool) {
+func (r *cluster) cutOff(name string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut[name] = cut
 }
 
-// whole waits until a holder knows all that it acknowledged.
-func (r *ring) whole(name string) {
+// waitComplete waits until a holder is complete.
+func (r *cluster) waitComplete(name string) {
 	r.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !r.keepers[name].holder.complete.Load(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !r.services[name].holder.complete.Load(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%s is never whole", name)
+			r.t.Fatalf("%s does not become complete", name)
 		}
 	}
 }
@@ -121,7 +122,8 @@
 
 func in(d time.Duration) time.Time { return time.Now().Add(d) }
 
-// begin takes an instruction to its intent, and gives what takes the end.
+// begin records the intent for an attempt of an instruction and returns the function that takes its
+// outcome.
 func begin(k *Service, n int) (func(logic.Outcome), error) {
 	type result struct {
 		end func(logic.Outcome)
@@ -133,61 +135,61 @@
 	return x.end, x.err
 }
 
-// told waits until an instruction's fate is known at a holder.
-func (r *ring) told(name string, n int, want ledger.Status) {
+// waitStatus waits until a holder sees the given status of an instruction.
+func (r *cluster) waitStatus(name string, n int, want ledger.Status) {
 	r.t.Helper()
 	var is ledger.Status
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		row, err := r.keepers[name].Show(key(n))
+		row, err := r.services[name].Show(key(n))
 		if is = row.Entry.Status(); err == nil && is == want {
 			return
 		}
 	}
-	r.t.Errorf("%d: %v, wanted %v", n, is, want)
+	r.t.Errorf("instruction %d: status %v, want %v", n, is, want)
 }
 
-func TestRepeatsHearTheFate(t *testing.T) {
-	r := newRing(t)
+func TestRepeatsAndStatus(t *testing.T) {
+	r := newCluster(t)
 	for _, name := range names {
-		r.whole(name)
+		r.waitComplete(name)
 	}
-	a, b := r.keepers["a"], r.keepers["b"]
+	a, b := r.services["a"], r.services["b"]
 	if err := b.CheckRepeat(key(1), in(time.Second)); err != nil {
-		t.Errorf("nothing is known yet: %v", err)
+		t.Errorf("before any attempt: %v", err)
 	}
 	end, err := begin(a, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := b.CheckRepeat(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) || !MayHaveRun(err) {
-		t.Errorf("while it runs: %v", err)
+		t.Errorf("while the attempt is in flight: %v", err)
 	}
 	if _, err := begin(b, 1); !MayHaveRun(err) {
-		t.Errorf("a second attempt beside it: %v", err)
+		t.Errorf("a second attempt while one is in flight: %v", err)
 	}
 	end(logic.Full) // proven never to have run
-	r.told("b", 1, ledger.NotRun)
+	r.waitStatus("b", 1, ledger.NotRun)
 	if err := b.CheckRepeat(key(1), in(time.Second)); err != nil {
-		t.Errorf("after proof: %v", err)
+		t.Errorf("after the attempt was proven never to have run: %v", err)
 	}
 	if end, err = begin(b, 1); err != nil {
 		t.Fatal(err)
 	}
 	end(logic.Delivered)
-	r.told("c", 1, ledger.DidRun)
-	if err := a.CheckRepeat(key(1), in(time.Second)); !MayHaveRun(err) { // it hears as much as errorForStatus it, and no more
-		t.Errorf("after it ran: %v", err)
+	r.waitStatus("c", 1, ledger.DidRun)
+	if err := a.CheckRepeat(key(1), in(time.Second)); !MayHaveRun(err) { // either error is right: the first reply that forbids the repeat decides
+		t.Errorf("after an attempt ran: %v", err)
 	}
-	// One that breaks off stays unknown until an operator settles it, once.
+	// An instruction whose connection was lost stays unknown until an operator settles it, once.
 	if end, err = begin(a, 2); err != nil {
 		t.Fatal(err)
 	}
 	end(logic.ConnectionLost)
 	rows, err := b.Unknown()
 	if err != nil || len(rows) != 1 || rows[0].Key != key(2) {
-		t.Errorf("unknown: %+v %v", rows, err)
+		t.Errorf("unknown instructions: %+v, %v", rows, err)
 	}
-	for want, w := range map[string]ledger.Resolution{"reason": {By: "op"}, "": {By: "op", Why: "not in the books", Wall: "now"}} {
+	for want, w := range map[string]ledger.Resolution{"reason": {By: "op"}, "": {By: "op", Why: "not in the records", Wall: "now"}} {
 		if err := b.Settle(key(2), w); err == nil != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("settle %+v: %v", w, err)
 		}
@@ -195,26 +197,27 @@
 	if err := b.Settle(key(2), ledger.Resolution{By: "op", Why: "again", Ran: true}); err == nil || !strings.Contains(err.Error(), "nothing to settle") {
 		t.Errorf("settled twice: %v", err)
 	}
-	if err := r.keepers["c"].CheckRepeat(key(2), in(time.Second)); err != nil {
-		t.Errorf("after an operator's word: %v", err)
+	if err := r.services["c"].CheckRepeat(key(2), in(time.Second)); err != nil {
+		t.Errorf("after an operator's resolution: %v", err)
 	}
 }
 
-// Guards: with one holder away all goes on; with two away a repeat is not sent and an intent is not noted, and says why.
-func TestHoldersAway(t *testing.T) {
-	r := newRing(t)
+// With one holder unreachable, intents and repeats still work. With two unreachable, repeats are
+// refused and intents are not recorded, each with the error that says so.
+func TestUnreachableHolders(t *testing.T) {
+	r := newCluster(t)
 	for _, name := range names {
-		r.whole(name)
+		r.waitComplete(name)
 	}
-	r.sever("c", true)
-	a := r.keepers["a"]
+	r.cutOff("c", true)
+	a := r.services["a"]
 	if _, err := begin(a, 1); err != nil {
 		t.Errorf("one away: %v", err)
 	}
 	if err := a.CheckRepeat(key(2), in(time.Second)); err != nil {
 		t.Errorf("one away: %v", err)
 	}
-	r.sever("b", true)
+	r.cutOff("b", true)
 	if _, err := begin(a, 3); !errors.Is(err, ErrNotRecorded) || MayHaveRun(err) {
 		t.Errorf("two away: %v", err)
 	}
@@ -222,21 +225,22 @@
 		t.Errorf("two away: %v", err)
 	}
 	if err := a.CheckRepeat(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
-		t.Errorf("what the own holder knows is enough to forbid it: %v", err)
+		t.Errorf("the own holder knows an attempt that forbids the repeat: %v", err)
 	}
 	if _, err := a.Unknown(); err == nil {
-		t.Error("one holder lists all unknown ones")
+		t.Error("unknown instructions are listed without a majority")
 	}
 }
 
-// Guards: a holder whose file is lost, or an old copy, counts as one that knows only after it was filled again.
+// Guards against a holder that counts as complete although its file is new or an old copy, before
+// it was refilled from the other holders.
 func TestLostAndOldFiles(t *testing.T) {
-	r := newRing(t)
+	r := newCluster(t)
 	for _, name := range names {
-		r.whole(name)
+		r.waitComplete(name)
 	}
 	for n := range 5 {
-		if _, err := begin(r.keepers["a"], n); err != nil {
+		if _, err := begin(r.services["a"], n); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -244,9 +248,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.sever("c", true) // so that what follows is with a and b alone
+	r.cutOff("c", true) // only a and b record the following intents
 	for n := range 5 {
-		if _, err := begin(r.keepers["a"], 10+n); err != nil {
+		if _, err := begin(r.services["a"], 10+n); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -254,47 +258,47 @@
 	if err := os.WriteFile(r.path("b"), old, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.start("b") // it hears from a alone that it had more commits, and c is needed to fill it
+	r.start("b") // only a knows of its later commits, and refilling needs c as well
 	time.Sleep(2 * checkInterval)
-	if r.keepers["b"].holder.complete.Load() {
-		t.Error("an old copy counts as one that knows")
+	if r.services["b"].holder.complete.Load() {
+		t.Error("a holder with an old copy counts as complete")
 	}
-	r.sever("c", false)
-	r.whole("b")
-	r.told("b", 12, ledger.Unknown)
+	r.cutOff("c", false)
+	r.waitComplete("b")
+	r.waitStatus("b", 12, ledger.Unknown)
 	r.end("b")
 	if err := os.Remove(r.path("b")); err != nil {
 		t.Fatal(err)
 	}
-	r.sever("a", true)
+	r.cutOff("a", true)
 	r.start("b")
 	time.Sleep(2 * checkInterval)
-	if r.keepers["b"].holder.complete.Load() {
-		t.Error("a new file counts as one that knows")
+	if r.services["b"].holder.complete.Load() {
+		t.Error("a holder with a new file counts as complete")
 	}
-	if err := r.keepers["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrUndetermined) {
-		t.Errorf("c and the new b are no majority that knows: %v", err)
+	if err := r.services["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrUndetermined) {
+		t.Errorf("c and the new b are not a majority of complete holders: %v", err)
 	}
-	if err := r.keepers["b"].Accept("op", ""); err == nil {
-		t.Error("accepted without a reason")
+	if err := r.services["b"].Accept("op", ""); err == nil {
+		t.Error("Accept without a reason succeeded")
 	}
-	r.sever("a", false)
-	r.whole("b")
+	r.cutOff("a", false)
+	r.waitComplete("b")
 	r.end("a")
 	for _, n := range []int{0, 4, 10, 14} {
-		if err := r.keepers["b"].CheckRepeat(key(n), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
-			t.Errorf("%d is forgotten: %v", n, err)
+		if err := r.services["b"].CheckRepeat(key(n), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
+			t.Errorf("instruction %d is forgotten: %v", n, err)
 		}
 	}
 }
 
-// Guards: a flood of one customer is refused before it takes the room of others, and a full ledger forgets nothing.
+// Guards against a flood by one customer that takes the room of the others.
 func TestFloodIsRefused(t *testing.T) {
-	r := newRing(t)
+	r := newCluster(t)
 	for _, name := range names {
-		r.whole(name)
+		r.waitComplete(name)
 	}
-	a := r.keepers["a"]
+	a := r.services["a"]
 	var refused *Refusal
 	taken := 0
 	for n := range 900 {
@@ -312,7 +316,7 @@
 		}
 	}
 	if refused == nil || taken < 600 || taken > 700 {
-		t.Errorf("%d of the flood are taken, refused: %v", taken, refused)
+		t.Errorf("%d instructions of the flooding customer were recorded, want 600 to 700; refusal: %v", taken, refused)
 	}
 	if _, err := begin(a, 1); err != nil {
 		t.Errorf("another customer: %v", err)
