--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,10 +1,10 @@
-// Package boltfile opens the files that bbolt holds, with what bbolt leaves to its users: a write that was torn is told from a
-// damaged file, what is damaged is an error and no panic, records carry checksums of their own, and tests may have a disk
-// below that loses what was not synced.
+// Package boltfile opens bbolt files and adds what bbolt leaves to its users. It tells a torn write
+// from a damaged file, reports damage as an error instead of a panic, and puts a checksum on each
+// record. Tests can place the files on a simulated disk that loses what was not synced.
 //
 //	boltfile.go  opening, committing, checksums
-//	walk.go      whether a file is sound
-//	power.go     the disk of tests
+//	walk.go      checking the pages of a file
+//	power.go     the simulated disk
 package boltfile
 
 import (
@@ -26,16 +26,17 @@
 
 const (
 	fileMode    = 0o600
-	lockTimeout = time.Second // for another process to let go of the file
+	lockTimeout = time.Second // for another process to release the file lock
 )
 
 // Options say how a file is opened.
 type Options struct {
-	Kind string // what the file is, for people
-	Sync bool   // a commit survives a loss of power; else only the end of the process
+	Kind string // what the file is, for error messages
+	Sync bool   // a commit survives a power loss, not only the end of the process
 }
 
-// TestDisk is the disk below all files of this process; nil but in tests, which set it before they open any.
+// TestDisk is the simulated disk under all files of this process. It is nil except in tests, which
+// set it before they open a file.
 var TestDisk *SimulatedDisk
 
 // File is an open file.
@@ -45,7 +46,8 @@
 	mount *mount
 }
 
-// Open opens a file, or makes one. A torn write, which was never acknowledged, is cut with a line of the log.
+// Open checks and opens a file, or creates it. A torn write, which was never acknowledged, is
+// dropped with a warning.
 func Open(path string, opt Options) (f *File, err error) {
 	f = &File{opt: opt}
 	at := path
@@ -60,7 +62,7 @@
 	}
 	err = CatchPanic(func() error {
 		f.DB, err = bolt.Open(at, fileMode, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType,
-			NoFreelistSync: true, // a list of free pages has no checksum, and a damaged one would overwrite what is in use
+			NoFreelistSync: true, // the stored list of free pages has no checksum; a damaged list would let pages in use be overwritten
 			NoSync:         !opt.Sync || TestDisk != nil})
 		return err
 	})
@@ -73,7 +75,8 @@
 	return f, syncFolder(filepath.Dir(path))
 }
 
-// Commit is bbolt's Update: when it returns, what f wrote is on disk, or none of it.
+// Commit runs change in a read-write transaction (bbolt's Update). When it returns nil, all changes
+// are on disk; otherwise none of them is.
 func (f *File) Commit(change func(tx *bolt.Tx) error) error {
 	if err := CatchPanic(func() error { return f.Update(change) }); err != nil {
 		return err
@@ -84,10 +87,10 @@
 	return nil
 }
 
-// Abandon lets go of the file as the end of the process would: nothing more is written.
+// Abandon releases the file as the end of the process would: nothing more is written.
 func (f *File) Abandon() { _ = f.DB.Close() }
 
-// Close closes the file.
+// Close writes what is not yet on disk and closes the file.
 func (f *File) Close() error {
 	var err error
 	switch {
@@ -99,7 +102,7 @@
 	return errors.Join(err, f.DB.Close())
 }
 
-// Guard turns a panic into an error: bbolt panics on pages that are damaged.
+// CatchPanic calls f and turns a panic into an error, as bbolt panics on damaged pages.
 func CatchPanic(f func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -111,16 +114,17 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrChecksum says that a record is not as it was written.
+// ErrChecksum is the error for a record that differs from what was written.
 var ErrChecksum = errors.New("its checksum is wrong")
 
-// Seal puts a checksum over key and value before the value.
+// AddChecksum returns the value with a checksum of key and value in front of it.
 func AddChecksum(key, value []byte) []byte {
 	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), sum), value...)
 }
 
-// Unseal gives the value that Seal was given, if it is still that.
+// VerifyChecksum returns the value passed to AddChecksum, or ErrChecksum if key or value has
+// changed.
 func VerifyChecksum(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < 4 || crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, sealed[4:]) != binary.BigEndian.Uint32(sealed) {
 		return nil, ErrChecksum
@@ -128,8 +132,9 @@
 	return sealed[4:], nil
 }
 
-// checkFile tells of a commit that was cut short, which the file's other page of record makes up for, and of a file whose
-// end is missing, which nothing does.
+// checkFile checks the meta pages and all pages in use. An interrupted commit leaves one meta page
+// torn; the file's other meta page then has the state before that commit, so this is only a
+// warning. A file whose end is missing is an error.
 func checkFile(path, kind string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -149,11 +154,11 @@
 		b := make([]byte, 80)
 		if _, err := f.ReadAt(b, i*size); err != nil {
 			if errors.Is(err, io.EOF) {
-				return fmt.Errorf("not a %s, or cut short", kind)
+				return fmt.Errorf("not a %s, or truncated", kind)
 			}
 			return err
 		}
-		meta := b[16:] // magic, version, page size, flags, root (2 words), free list, high water, transaction, checksum
+		meta := b[16:] // magic, version, page size, flags, root (2 words), free list, high-water mark, transaction id, checksum
 		if binary.LittleEndian.Uint32(meta) != 0xED0CDAED {
 			torn++
 			continue
@@ -174,14 +179,14 @@
 	case pages == 0:
 		return fmt.Errorf("not a %s", kind)
 	case info.Size() < need:
-		return fmt.Errorf("the file is cut short: %d bytes of %d", info.Size(), need)
+		return fmt.Errorf("the file is truncated: %d bytes of %d", info.Size(), need)
 	}
 	w := walk{f: f, page: size, high: uint64(need / size), used: map[uint64]bool{}}
 	if err := w.checkTree(root); err != nil {
 		return err
 	}
 	if torn > 0 {
-		slog.Warn("the last write was torn and is cut; it was never acknowledged", "file", path, "is", "a "+kind)
+		slog.Warn("dropping the last write of a file: it was torn and never acknowledged", "file", path, "is", "a "+kind)
 	}
 	return nil
 }
--- a/internal/boltfile/power.go
+++ b/internal/boltfile/power.go
@@ -11,21 +11,24 @@
 	"time"
 )
 
-// SimulatedDisk stands for a disk that loses power when the process is killed, so that tests see what was not synced really lost. bbolt
-// works on a volatile copy of each file, which is thrown away at the next start. A sync carries the pages that differ to the
-// file proper, in any order, and the two pages of record after all others, as bbolt syncs between them. Killed in between, some
-// are exists and others are not. A write of one page may be torn, too.
+// SimulatedDisk is a disk for tests that loses power when the process is killed, so that data that
+// was not synced is lost. bbolt works on a volatile copy of each file, which is replaced at the
+// next start. A sync writes the pages that differ to the real file, in random order but the two
+// meta pages last, as bbolt syncs between the other pages and the meta page. If the process is
+// killed in between, some pages are written and others are not. The write of a single page may be
+// torn, too.
 //
-// A file of the same name with the ending Stall holds up syncs for as long as it is exists, one with the ending Full has them fail.
+// While a file with the suffix StallSuffix exists beside a database file, syncs of that file block;
+// while one with the suffix FullSuffix exists, they fail.
 type SimulatedDisk struct {
 	Seed uint64
 
 	mu        sync.Mutex
-	pagesLeft int // so many pages more, and the power is gone; 0: it stays
+	pagesLeft int // 1 + number of pages that can be written until the power fails; 0: it does not fail
 	rand      *rand.Rand
 }
 
-// pages of record, at the beginning of a file.
+// metaPages is the number of meta pages at the beginning of a file.
 const metaPages = 2
 
 type mount struct {
@@ -34,7 +37,7 @@
 	page           int
 }
 
-// volatileSuffix is that of the copy that bbolt works on.
+// volatileSuffix is the suffix of the copy that bbolt works on.
 const volatileSuffix = ".volatile"
 
 func (d *SimulatedDisk) mount(path string) (*mount, error) {
@@ -53,7 +56,7 @@
 	return m, os.WriteFile(m.volatile, text, fileMode)
 }
 
-// The endings of the files by which a test holds a disk up, or has it be full.
+// The suffixes of the files by which a test blocks a disk or makes it full.
 const (
 	StallSuffix = ".stall"
 	FullSuffix  = ".full"
@@ -64,9 +67,9 @@
 	return err == nil
 }
 
-var errPowerLost = errors.New("the power is gone")
+var errPowerLost = errors.New("simulated power loss")
 
-// CutAfter has the power go once so many pages more were written: nothing is written any more.
+// CutPowerAfter makes the power fail after so many more pages are written. Later writes fail.
 func (d *SimulatedDisk) CutPowerAfter(pages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,7 +86,7 @@
 	return d.pagesLeft == 1
 }
 
-// sync carries over what has changed.
+// sync writes the pages of the volatile copy that have changed to the real file.
 func (m *mount) sync() error {
 	d := m.disk
 	for exists(m.path + StallSuffix) {
@@ -104,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close() //nolint:errcheck // each write was checked
+	defer f.Close() //nolint:errcheck // the result of each write is checked
 	var record, others []int
 	for at := 0; at < len(now); at += m.page {
 		end := min(at+m.page, len(now))
@@ -129,7 +132,7 @@
 			return errPowerLost
 		}
 		end := min(at+m.page, len(now))
-		cut := min(at+torn, end) // in two writes: the process may be killed between
+		cut := min(at+torn, end) // two writes, as the process may be killed between them
 		if _, err := f.WriteAt(now[at:cut], int64(at)); err != nil {
 			return err
 		}
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -34,14 +34,14 @@
 	return r
 }
 
-// opened opens a log and gives what it held.
+// opened opens a log and returns the records that it held.
 func opened(path string) (*Log, []Record, error) {
 	var all []Record
 	l, err := Open(path, newID, true, func(r Record) { all = append(all, r) })
 	return l, all, err
 }
 
-// filled makes a log of records 1 to n, one commit each, and gives its path.
+// filled creates a log with the records 1 to n, one commit each, and returns its path.
 func filled(t *testing.T, n int) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ledger.db")
@@ -60,7 +60,7 @@
 	return path
 }
 
-func TestWhatWasWrittenIsReadAgain(t *testing.T) {
+func TestReopen(t *testing.T) {
 	path := filled(t, 5)
 	l, all, err := opened(path)
 	if err != nil || len(all) != 5 || !reflect.DeepEqual(all[4], record(5)) {
@@ -69,13 +69,13 @@
 	if s := l.State(); s.Disk != 42 || s.Boots != 2 || s.Whole || s.Clock != 5*time.Second || s.Writes != 7 {
 		t.Errorf("%+v", s)
 	}
-	// Old records go, and what is still kept comes again behind the others.
+	// Compact deletes the oldest records and appends those that are still needed at the end.
 	n, err := l.Compact(3, 6*time.Second, func(r Record) (Record, bool) { return r, r.Key == key(2) })
 	if err != nil || n != 3 {
 		t.Errorf("%d %v", n, err)
 	}
 	if !l.SetSeen(map[string]FileVersion{"v2": {7, 8}}) || l.SetSeen(map[string]FileVersion{"v2": {7, 8}}) {
-		t.Error("news")
+		t.Error("SetSeen must report a change only the first time")
 	}
 	if err := l.SetComplete(true, 0); err != nil {
 		t.Error(err)
@@ -97,21 +97,22 @@
 	}
 }
 
-// Guards: whatever the offset at which the file is damaged or cut, what was acknowledged is there, or the start says that it is not.
+// Guards against acknowledged records that are missing without an error. Wherever the file is
+// damaged or truncated, all acknowledged records must be there, or opening it must fail.
 func TestDamageAtEachOffset(t *testing.T) {
 	path := filled(t, 3)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	newest, page := 0, os.Getpagesize() // page of record, by its transaction
+	newest, page := 0, os.Getpagesize() // the meta page with the greater transaction id
 	if binary.LittleEndian.Uint64(whole[page+64:]) > binary.LittleEndian.Uint64(whole[64:]) {
 		newest = page
 	}
 	folder, tries := t.TempDir(), 0
 	try := func(what string, least int, b []byte) {
 		tries++
-		p := filepath.Join(folder, fmt.Sprint(tries)) // another one, as what could not be opened may be held still
+		p := filepath.Join(folder, fmt.Sprint(tries)) // a new path, as a file that failed to open may still be locked
 		defer os.Remove(p)
 		if err := os.WriteFile(p, b, 0o600); err != nil {
 			t.Fatal(err)
@@ -128,7 +129,7 @@
 			t.Errorf("%s: %d of 3 records, and no error", what, len(all))
 		}
 	}
-	log.SetOutput(io.Discard) // torn writes are noted
+	log.SetOutput(io.Discard) // torn writes are logged
 	defer log.SetOutput(os.Stderr)
 	for at := range whole {
 		if whole[at] == 0 && at%64 != 0 {
@@ -138,7 +139,7 @@
 		b[at] ^= 0x5a
 		least := 3
 		if at >= newest && at < newest+os.Getpagesize() {
-			least = 2 // it can't be told from a write that was torn: the others know of a later commit (Seen)
+			least = 2 // indistinguishable from a torn write; other holders know of the later commit (State.Seen)
 		}
 		try(fmt.Sprintf("byte %d", at), least, b)
 	}
@@ -146,25 +147,25 @@
 		try(fmt.Sprintf("cut at %d", at), 3, whole[:at])
 	}
 	if _, _, err := opened(filepath.Join(t.TempDir(), "no", "folder")); err == nil {
-		t.Error("opened in no folder")
+		t.Error("opened a file in a missing folder")
 	}
 }
 
-// Guards: with a disk that loses power, a record whose commit returned is there after any kill, and one whose commit did not
-// may be or not, whole.
+// With a simulated disk that loses power, a record whose commit returned must be there after any
+// kill. A record whose commit did not return may be there or not, but never in part.
 func TestPowerLossLosesNothingAcknowledged(t *testing.T) {
 	defer func() { boltfile.TestDisk = nil }()
 	r := rand.New(rand.NewPCG(1, 2))
 	path := filepath.Join(t.TempDir(), "ledger.db")
 	acked := 0
-	for life := range 20 {
-		boltfile.TestDisk = &boltfile.SimulatedDisk{Seed: uint64(life)}
+	for run := range 20 {
+		boltfile.TestDisk = &boltfile.SimulatedDisk{Seed: uint64(run)}
 		l, all, err := opened(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(all) < acked {
-			t.Fatalf("life %d: %d records, %d were acknowledged", life, len(all), acked)
+			t.Fatalf("run %d: %d records, but %d were acknowledged", run, len(all), acked)
 		}
 		acked = len(all)
 		for range r.IntN(8) {
@@ -173,7 +174,7 @@
 			}
 			acked++
 		}
-		if r.IntN(2) == 0 { // it is killed in the middle of a sync, which has carried over some pages
+		if r.IntN(2) == 0 { // the power fails in the middle of a sync that has written some pages
 			boltfile.TestDisk.CutPowerAfter(r.IntN(6))
 			if err := l.Commit([]Record{record(acked + 1)}, 0); err == nil {
 				acked++
@@ -182,7 +183,7 @@
 		l.Abandon()
 	}
 	if acked < 20 {
-		t.Errorf("only %d records were tried", acked)
+		t.Errorf("only %d records were written", acked)
 	}
 }
 
@@ -199,7 +200,7 @@
 	return r
 })
 
-func TestRecordsComeBack(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := aRecord.Draw(t, "record")
 		again, err := Parse(r.Append(nil))
@@ -207,7 +208,7 @@
 			t.Fatalf("%+v %v", again, err)
 		}
 	})
-	// What a later version adds is passed over; what this one must understand is not.
+	// A field that a later version adds is skipped; a required field that is malformed is an error.
 	r := record(1)
 	later := protowire.AppendVarint(protowire.AppendTag(r.Append(nil), 99, protowire.VarintType), 5)
 	if again, err := Parse(later); err != nil || !reflect.DeepEqual(again, r) {
@@ -217,13 +218,13 @@
 	for name, b := range map[string][]byte{"outcome": odd, "no key": appendVarint(nil, fieldAt, 1), "short key": appendBytes(nil, fieldKey, []byte("x")),
 		"type": appendVarint(nil, fieldKey, 1), "cut": r.Append(nil)[:20]} {
 		if _, err := Parse(b); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: parsed without an error", name)
 		}
 	}
 }
 
-// The form that the first version wrote, byte for byte: later ones must read it.
-func TestFirstForm(t *testing.T) {
+// A record as the first version encoded it, byte for byte. Later versions must be able to read it.
+func TestFirstEncoding(t *testing.T) {
 	text := []byte{0x0a, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 7, 0x12, 1, 'c', 0x18, 0xd8, 0x36, 0x22, 0x0a, 0x0a, 2, 'v', '1', 0x10, 9, 0x18, 7, 0x20, 0}
 	r, err := Parse(text)
 	if err != nil || !reflect.DeepEqual(r, record(7)) || !bytes.Equal(r.Append(nil), text) {
--- a/internal/ledgerlog/log.go
+++ b/internal/ledgerlog/log.go
@@ -1,8 +1,9 @@
-// Package ledgerlog keeps a holder's part of the ledger on disk: records in the order in which they were written, many to a
-// commit, each with a checksum. bbolt holds the file, as it does the log of the agreement; records go to the end of one
-// bucket, so that a commit writes few pages however the keys are spread.
+// Package ledgerlog stores a holder's copy of the ledger on disk, as checksummed records in the
+// order in which they were written, many to a commit. The file is a bbolt database, like the
+// consensus log. Records are appended to the end of one bucket, so that a commit writes few pages
+// however the keys are spread.
 //
-//	record.go  a record and its form on disk
+//	record.go  a record and its encoding
 //	log.go     the file
 package ledgerlog
 
@@ -33,34 +34,37 @@
 	stateKey  = []byte("state")
 )
 
-// State is what a file says of itself, beside its records.
+// State is the file's metadata. It is stored as JSON under its field names.
 type State struct {
-	Disk   uint64                 // drawn with the file: one that was lost is another
-	Boots  uint64                 // how often it was opened
-	Whole  bool                   // it knows all that its holder ever acknowledged; else what it does not know tells nothing
-	Clock  time.Duration          // what the holder's clock had counted by the last commit
-	Writes uint64                 // commits so far: a copy from earlier has fewer
-	Seen   map[string]FileVersion // what was heard last of other holders' files
+	Disk  uint64 // random, drawn when the file is created: a file that replaces a lost one has another number
+	Boots uint64 // how often the file was opened
+	// Whole tells that the holder has all that it ever acknowledged. Otherwise an instruction that
+	// is missing here may have been recorded by this holder before it lost its data.
+	Whole  bool
+	Clock  time.Duration          // the holder's clock at the last commit
+	Writes uint64                 // commits so far; an old copy of the file has fewer
+	Seen   map[string]FileVersion // last known versions of the other holders' files
 }
 
-// Seen is a holder's file as another one heard of it.
+// FileVersion is the version of a holder's file as other holders know it.
 type FileVersion struct {
 	Disk   uint64 `json:"disk,omitempty"`
 	Writes uint64 `json:"writes,omitempty"`
 }
 
-// Log is an open file. It belongs to one goroutine.
+// Log is an open file. Except for Read, it must be used by one goroutine at a time.
 type Log struct {
 	db    *boltfile.File
 	state State
-	next  uint64 // number of the record to come
+	next  uint64 // number of the next record
 }
 
-// Path is the file of a state folder that holds the ledger.
+// Path returns the path of the ledger file in a state folder.
 func Path(folder string) string { return filepath.Join(folder, "ledger.db") }
 
-// Open opens a file, or makes one with a drawn number, and hands out its records in order. What is damaged or foreign is an
-// error that says so. Without sync a commit survives the end of the process, and not a loss of power.
+// Open opens the file, or creates it with a disk number from newID, and passes its records to each
+// in order. A damaged file or a file of another program is an error. Without sync, a commit
+// survives the end of the process but not a power loss.
 func Open(path string, newID func() uint64, sync bool, each func(Record)) (*Log, error) {
 	f, err := boltfile.Open(path, boltfile.Options{Kind: "ledger", Sync: sync})
 	if err != nil {
@@ -84,6 +88,7 @@
 	return l, nil
 }
 
+// initialize creates the buckets of a new file, or reads the state of an existing one.
 func (l *Log) initialize(newID func() uint64) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -101,7 +106,7 @@
 			return errors.Join(meta.Put(formatKey, []byte(format)), meta.Put(stateKey, boltfile.AddChecksum(stateKey, l.state.bytes())))
 		}
 		if is := string(meta.Get(formatKey)); is != format {
-			return fmt.Errorf("its format is %q, wanted is %q", is, format)
+			return fmt.Errorf("file format is %q, want %q", is, format)
 		}
 		text, err := boltfile.VerifyChecksum(stateKey, meta.Get(stateKey))
 		if err != nil {
@@ -111,14 +116,14 @@
 	})
 }
 
-// load reads all records and checks that each is whole and none is missing between two.
+// load reads all records and checks that each is intact and that none is missing in between.
 func (l *Log) load(each func(Record)) error {
 	return l.db.View(func(tx *bolt.Tx) error {
 		c := tx.Bucket(recordBucket).Cursor()
 		for k, v := c.First(); k != nil; k, v = c.Next() {
 			n := binary.BigEndian.Uint64(k)
 			if n != l.next && l.next != 1 {
-				return fmt.Errorf("damaged: record %d where %d should follow", n, l.next)
+				return fmt.Errorf("damaged: found record %d, want %d", n, l.next)
 			}
 			text, err := boltfile.VerifyChecksum(k, v)
 			if err != nil {
@@ -135,21 +140,21 @@
 	})
 }
 
-// State gives what the file says of itself.
+// State returns the file's metadata.
 func (l *Log) State() State { return l.state }
 
-// Commit writes records in one commit. They are on disk when it returns.
+// Commit appends records and writes the clock in one commit. When it returns nil, they are on disk.
 func (l *Log) Commit(records []Record, clock time.Duration) error {
 	return l.write(nil, records, clock)
 }
 
-// write takes records out and puts others behind those that are there, in one commit.
+// write deletes the records with the keys in out and appends others, in one commit.
 func (l *Log) write(out [][]byte, records []Record, clock time.Duration) error {
 	state, next := l.state, l.next
 	state.Clock, state.Writes = max(clock, state.Clock), state.Writes+1
 	err := l.db.Commit(func(tx *bolt.Tx) error {
 		b := tx.Bucket(recordBucket)
-		b.FillPercent = 0.95 // they come in order
+		b.FillPercent = 0.95 // records are appended in key order, so pages need no room for insertions
 		for _, k := range out {
 			if err := b.Delete(k); err != nil {
 				return err
@@ -170,7 +175,7 @@
 	return err
 }
 
-// Whole notes that the file knows all that its holder ever acknowledged, or that it does not.
+// SetComplete stores whether the holder has all that it ever acknowledged (State.Whole).
 func (l *Log) SetComplete(complete bool, clock time.Duration) error {
 	before := l.state.Whole
 	l.state.Whole = complete
@@ -181,8 +186,9 @@
 	return nil
 }
 
-// Read hands out the records that follow one, in order, at most so many, with the number of the last and whether there are no more.
-// It may be called from any goroutine, beside the one that writes.
+// Read passes at most so many records after the given one to each, in order. It returns the number
+// of the last record read and whether there are no more. It may be called from any goroutine,
+// concurrently with a writer.
 func (l *Log) Read(after uint64, most int, each func(Record)) (next uint64, last bool, err error) {
 	next, last = after, true
 	err = l.db.View(func(tx *bolt.Tx) error {
@@ -210,8 +216,9 @@
 	return next, last, err
 }
 
-// Fold takes the oldest records out, so many at most, and puts in their place what live gives for their keys: nothing of what
-// is no longer kept. It tells how many it took out.
+// Compact deletes the oldest records, at most so many, and appends in their place the records that
+// live returns for them; live returns false for a record that is no longer needed. Compact returns
+// how many records it deleted.
 func (l *Log) Compact(most int, clock time.Duration, live func(Record) (Record, bool)) (folded int, err error) {
 	var again []Record
 	var keys [][]byte
@@ -239,7 +246,7 @@
 	return len(keys), l.write(keys, again, clock)
 }
 
-// Size gives the file's bytes.
+// Size returns the size of the file in bytes, 0 if it cannot be determined.
 func (l *Log) Size() int64 {
 	info, err := os.Stat(l.db.Path())
 	if err != nil {
@@ -248,13 +255,14 @@
 	return info.Size()
 }
 
-// Abandon lets go of the file as the end of the process would, for tests.
+// Abandon releases the file without a final sync, as the end of the process would. For tests.
 func (l *Log) Abandon() { l.db.Abandon() }
 
 // Close closes the file.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Remember takes what was heard of other holders' files, for the next commit. It tells whether that is news.
+// SetSeen sets the versions of the other holders' files, which the next commit writes. It reports
+// whether they have changed.
 func (l *Log) SetSeen(seen map[string]FileVersion) bool {
 	if maps.Equal(seen, l.state.Seen) {
 		return false
@@ -266,7 +274,7 @@
 func (s State) bytes() []byte {
 	b, err := jsoniter.Marshal(s)
 	if err != nil {
-		return nil // numbers and names always can be
+		return nil // cannot happen: a State always encodes
 	}
 	return b
 }
--- a/internal/ledgerlog/record.go
+++ b/internal/ledgerlog/record.go
@@ -10,17 +10,18 @@
 	"standpulley/internal/ledger"
 )
 
-// Record is what is written at once of one instruction: what was learned of it, or all that is known where the log is
-// folded. Records of one key are joined.
+// Record is what is written at once about one instruction: what was learned of it or, after
+// compaction, all that is known. The records of one key are merged when the file is loaded.
 type Record struct {
 	Key      ledger.Key
 	Customer string
-	At       time.Duration // of the holder's clock, which counts while a process runs
+	At       time.Duration // on the holder's clock, which advances only while the process runs
 	Entry    ledger.Entry
 }
 
-// The fields of a record, in the wire format of protocol buffers: a reader passes over those that it does not know, so later
-// versions may add some. docs/ledger.md has them as a message.
+// The field numbers of a record, in the protocol buffers wire format. Unknown fields are skipped
+// when a record is read, so that later versions may add some. docs/ledger.md has the message
+// definition.
 const (
 	fieldKey        protowire.Number = 1
 	fieldCustomer   protowire.Number = 2
@@ -39,7 +40,7 @@
 	resolutionWall protowire.Number = 4
 )
 
-// Append writes a record behind b.
+// Append appends the encoded record to b.
 func (r *Record) Append(b []byte) []byte {
 	b = appendBytes(b, fieldKey, r.Key[:])
 	b = appendBytes(b, fieldCustomer, []byte(r.Customer))
@@ -77,7 +78,8 @@
 
 var errField = errors.New("a field of a wrong type")
 
-// fields hands out the fields of a message: numbers as v, the rest as text.
+// fields calls f for each field of a message: with v for a number, with text for a byte field.
+// Fields of other types come from later versions and are skipped.
 func fields(b []byte, f func(n protowire.Number, v uint64, text []byte, isText bool) error) error {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
@@ -100,7 +102,7 @@
 		}
 		b = b[size:]
 		if kind != protowire.VarintType && kind != protowire.BytesType {
-			continue // of a later version
+			continue // written by a later version
 		}
 		if err := f(n, v, text, kind == protowire.BytesType); err != nil {
 			return err
@@ -109,8 +111,8 @@
 	return nil
 }
 
-// Parse reads a record. One without a key, or with an outcome that is not known here, is an error: to pass over it could let an
-// instruction run twice.
+// Parse decodes a record. A record without a key, or with an outcome that this version does not
+// know, is an error: skipping it could let an instruction run twice.
 func Parse(b []byte) (r Record, err error) {
 	keyed := false
 	err = fields(b, func(n protowire.Number, v uint64, text []byte, isText bool) error {
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -1,6 +1,7 @@
-// Package raftlog keeps a voter's part of the consensus on disk: hard state, entries and a snapshot, and beside them what
-// any dispatcher remembers of the agreement. Every write is synced before it returns. bbolt holds the file: a commit that
-// was cut short is not seen again, and each record carries a checksum of its own.
+// Package raftlog stores the consensus state on disk: a voter's hard state, entries and snapshot,
+// and the small named values that every dispatcher keeps about the cluster. Each write is synced
+// before it returns. The file is a bbolt database: an interrupted commit leaves no trace, and each
+// record has a checksum of its own.
 package raftlog
 
 import (
@@ -33,7 +34,8 @@
 	snapKey     = []byte("snapshot")
 )
 
-// Identity is who the file belongs to. It is drawn once, with the file: a voter whose file is lost is another voter.
+// Identity says to whom a file belongs. The disk number is drawn when the file is created, so a
+// voter whose file is lost becomes another voter.
 type Identity struct {
 	Disk    uint64 // the voter's id in the consensus, never 0
 	Cluster uint64 // 0 until the cluster is known
@@ -42,12 +44,13 @@
 // Log is an open file.
 type Log struct {
 	db       *boltfile.File
-	mu       sync.Mutex // guards identity, whose cluster is learned while the file is in use
+	mu       sync.Mutex // guards identity, as the cluster may be set while the file is in use
 	identity Identity
-	mem      *raft.MemoryStorage // what is on disk, for the consensus to read
+	mem      *raft.MemoryStorage // copy of what is on disk, read by raft
 }
 
-// Open opens a file, or makes one with a drawn disk number. What is damaged or foreign is an error that says so.
+// Open opens a file, or creates it with a disk number from newID. A damaged file or a file of
+// another program is an error.
 func Open(path string, newID func() uint64) (*Log, error) {
 	f, err := boltfile.Open(path, boltfile.Options{Kind: "log of the agreement", Sync: true})
 	if err != nil {
@@ -64,6 +67,7 @@
 	return l, nil
 }
 
+// initialize creates the buckets of a new file, or reads the identity of an existing one.
 func (l *Log) initialize(newID func() uint64) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -81,7 +85,7 @@
 			return errors.Join(meta.Put(formatKey, []byte(format)), meta.Put(identityKey, l.identity.bytes()))
 		}
 		if is := string(meta.Get(formatKey)); is != format {
-			return fmt.Errorf("its format is %q, wanted is %q", is, format)
+			return fmt.Errorf("file format is %q, want %q", is, format)
 		}
 		text, err := boltfile.VerifyChecksum(identityKey, meta.Get(identityKey))
 		if err != nil || len(text) != 16 {
@@ -96,7 +100,8 @@
 	return boltfile.AddChecksum(identityKey, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, i.Disk), i.Cluster))
 }
 
-// load reads everything and checks that it is whole and in order.
+// load reads the snapshot, the hard state and all entries, and checks that they are intact and in
+// order.
 func (l *Log) load() error {
 	return l.db.View(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -131,13 +136,13 @@
 			}
 			next++
 			if e.GetIndex() != next {
-				return fmt.Errorf("damaged: entry %d where %d should follow", e.GetIndex(), next)
+				return fmt.Errorf("damaged: found entry %d, want %d", e.GetIndex(), next)
 			}
 			all = append(all, e)
 		}
 		hard, _, err := l.mem.InitialState()
 		if err == nil && hard.GetCommit() > next {
-			err = fmt.Errorf("damaged: %d entries are committed and %d are there", hard.GetCommit(), next)
+			err = fmt.Errorf("damaged: %d entries are committed but only %d are present", hard.GetCommit(), next)
 		}
 		return errors.Join(err, l.mem.Append(all))
 	})
@@ -153,14 +158,14 @@
 
 func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Identity tells whose file it is.
+// Identity returns to whom the file belongs.
 func (l *Log) Identity() Identity {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.identity
 }
 
-// SetCluster notes the cluster that the file belongs to from now on.
+// SetCluster stores the cluster that the file belongs to from now on.
 func (l *Log) SetCluster(cluster uint64) error {
 	l.mu.Lock()
 	l.identity.Cluster = cluster
@@ -169,17 +174,18 @@
 	return l.db.Commit(func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(identityKey, now.bytes()) })
 }
 
-// Storage is what the consensus reads.
+// Storage returns the storage that raft reads.
 func (l *Log) Storage() *raft.MemoryStorage { return l.mem }
 
-// Save writes a hard state, entries and a snapshot in one commit, each if it is there. They are on disk when it returns.
+// Save writes a hard state, entries and a snapshot in one commit; any of them may be empty. When it
+// returns nil, they are on disk.
 func (l *Log) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
 	if raft.IsEmptyHardState(hard) && len(entries) == 0 && raft.IsEmptySnap(snap) {
 		return nil
 	}
 	err := l.db.Commit(func(tx *bolt.Tx) error {
 		if !raft.IsEmptySnap(snap) {
-			if err := l.putSnapshot(tx, snap, math.MaxUint64); err != nil { // another's: it takes the place of all entries
+			if err := l.putSnapshot(tx, snap, math.MaxUint64); err != nil { // received from another voter: it replaces all entries
 				return err
 			}
 		}
@@ -192,7 +198,7 @@
 			return nil
 		}
 		b := tx.Bucket(entryBucket)
-		c := b.Cursor() // what is there from the first of them on was never committed
+		c := b.Cursor() // existing entries from the first new index on were never committed
 		for k, _ := c.Seek(number(entries[0].GetIndex())); k != nil; k, _ = c.Next() {
 			if err := c.Delete(); err != nil {
 				return err
@@ -229,7 +235,7 @@
 	return b.Put(key, boltfile.AddChecksum(key, text))
 }
 
-// putSnapshot puts a snapshot in the place of the entries up to an index.
+// putSnapshot replaces the entries up to an index by a snapshot.
 func (l *Log) putSnapshot(tx *bolt.Tx, snap *raftpb.Snapshot, upTo uint64) error {
 	b := tx.Bucket(entryBucket)
 	c := b.Cursor()
@@ -241,7 +247,7 @@
 	return put(tx.Bucket(metaBucket), snapKey, snap)
 }
 
-// Compact replaces the entries up to an index by a snapshot of what they made.
+// Compact replaces the entries up to an index by a snapshot of the state that they led to.
 func (l *Log) Compact(index uint64, conf *raftpb.ConfState, data []byte) error {
 	snap, err := l.mem.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -253,14 +259,14 @@
 	return l.mem.Compact(index)
 }
 
-// SetValue keeps a small value under a name.
+// SetValue stores a small value under a name.
 func (l *Log) SetValue(name string, value []byte) error {
 	return l.db.Commit(func(tx *bolt.Tx) error {
 		return tx.Bucket(valueBucket).Put([]byte(name), boltfile.AddChecksum([]byte(name), value))
 	})
 }
 
-// Value gives a value that was kept; nil if there is none.
+// Value returns the value stored under a name, or nil if there is none.
 func (l *Log) Value(name string) (value []byte, err error) {
 	err = l.db.View(func(tx *bolt.Tx) error {
 		v := tx.Bucket(valueBucket).Get([]byte(name))
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -22,7 +22,7 @@
 
 func reopen(t *testing.T, path string) *Log {
 	t.Helper()
-	l, err := Open(path, func() uint64 { t.Error("a second identity is drawn"); return 0 })
+	l, err := Open(path, func() uint64 { t.Error("a second identity was drawn"); return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	return l
 }
 
-// filled makes a log of entries 1 to 5 and gives its path.
+// filled creates a log with the entries 1 to 5 and returns its path.
 func filled(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log.db")
@@ -52,7 +52,7 @@
 	return path
 }
 
-func TestWhatWasWrittenIsReadAgain(t *testing.T) {
+func TestReopen(t *testing.T) {
 	path := filled(t)
 	l := reopen(t, path)
 	if l.Identity() != (Identity{42, 7}) {
@@ -70,9 +70,9 @@
 		t.Errorf("note %q %v", note, err)
 	}
 	if _, err := Open(path, newID); err == nil || !strings.Contains(err.Error(), "another program") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second open of the same file: %v", err)
 	}
-	// A snapshot of our own keeps what follows it; another's takes the place of all.
+	// Compact keeps the entries after its snapshot; a received snapshot replaces all entries.
 	if err := l.Compact(3, &raftpb.ConfState{Voters: []uint64{42}}, []byte("made")); err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,8 @@
 	}
 }
 
-// Guards: what is damaged or foreign stops the start and says so; a write that was torn is cut.
+// A damaged file or a file of another program must fail to open, with an error that says so. A torn
+// write is dropped.
 func TestDamage(t *testing.T) {
 	path := filled(t)
 	whole, err := os.ReadFile(path)
@@ -115,11 +116,11 @@
 			defer l.Close()
 		}
 		if want == "" != (err == nil) || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, wanted %q", name, err, want)
+			t.Errorf("%s: %v, want %q", name, err, want)
 		}
 	}
 	flip := func(at int) func([]byte) []byte { return func(b []byte) []byte { b[at] ^= 1; return b } }
-	all := func(word string, after int) func([]byte) []byte { // also where it stands on pages that are free by now
+	all := func(word string, after int) func([]byte) []byte { // also on pages that have been freed
 		return func(b []byte) []byte {
 			for at := 0; ; {
 				i := bytes.Index(b[at:], []byte(word))
@@ -134,10 +135,10 @@
 	try("whole", "", func(b []byte) []byte { return b })
 	try("another file", "not a log", func([]byte) []byte { return bytes.Repeat([]byte("nonsense "), 4000) })
 	try("a short file", "not a log", func([]byte) []byte { return []byte("x") })
-	try("cut short", "cut short", func(b []byte) []byte { return b[:3*os.Getpagesize()] })
+	try("truncated", "truncated", func(b []byte) []byte { return b[:3*os.Getpagesize()] })
 	try("an entry", "damaged: entry 4", all("fou", 0))
 	try("the identity", "identity", all(string(identityKey), 8))
-	// The newest page of record is torn: the one before it holds, which has all but the last write.
+	// If the newer meta page is torn, the older one is used, which has all but the last commit.
 	newest := 0
 	if page := os.Getpagesize(); bytes.Compare(whole[16+48:16+56], whole[page+16+48:page+16+56]) < 0 {
 		newest = page
