--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -181,7 +181,7 @@
 	case info.Size() < need:
 		return fmt.Errorf("the file is truncated: %d bytes of %d", info.Size(), need)
 	}
-	w := walk{f: f, page: size, high: uint64(need / size), used: map[uint64]bool{}}
+	w := walk{f: f, page: size, highWater: uint64(need / size), visited: map[uint64]bool{}}
 	if err := w.checkTree(root); err != nil {
 		return err
 	}
--- a/internal/boltfile/power.go
+++ b/internal/boltfile/power.go
@@ -108,14 +108,14 @@
 		return err
 	}
 	defer f.Close() //nolint:errcheck // the result of each write is checked
-	var record, others []int
+	var metas, others []int
 	for at := 0; at < len(now); at += m.page {
 		end := min(at+m.page, len(now))
 		if end <= len(was) && bytes.Equal(now[at:end], was[at:end]) {
 			continue
 		}
 		if at < metaPages*m.page {
-			record = append(record, at)
+			metas = append(metas, at)
 		} else {
 			others = append(others, at)
 		}
@@ -127,7 +127,7 @@
 	d.rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	torn := d.rand.IntN(m.page)
 	d.mu.Unlock()
-	for _, at := range append(others, record...) {
+	for _, at := range append(others, metas...) {
 		if d.powerLost() {
 			return errPowerLost
 		}
--- a/internal/boltfile/walk.go
+++ b/internal/boltfile/walk.go
@@ -23,10 +23,10 @@
 
 // walk checks the page tree of a file.
 type walk struct {
-	f    *os.File
-	page int64
-	high uint64 // high-water mark: page ids are below it
-	used map[uint64]bool
+	f         *os.File
+	page      int64
+	highWater uint64 // high-water mark: page ids are below it
+	visited   map[uint64]bool
 }
 
 var errDamaged = errors.New("damaged")
@@ -37,22 +37,22 @@
 // checkPage checks a page and all pages that it refers to. Its keys must be at least low and below
 // high; nil is no bound.
 func (w *walk) checkPage(id uint64, depth int, low, high []byte) error {
-	if depth > maxDepth || id < metaPages || id >= w.high {
-		return fmt.Errorf("%w: reference to page %d, of %d pages", errDamaged, id, w.high)
+	if depth > maxDepth || id < metaPages || id >= w.highWater {
+		return fmt.Errorf("%w: reference to page %d, of %d pages", errDamaged, id, w.highWater)
 	}
 	head := make([]byte, pageHeader)
 	if _, err := w.f.ReadAt(head, int64(id)*w.page); err != nil {
 		return fmt.Errorf("%w: page %d: %w", errDamaged, id, err)
 	}
 	flags, count, overflow := binary.LittleEndian.Uint16(head[8:]), int(binary.LittleEndian.Uint16(head[10:])), uint64(binary.LittleEndian.Uint32(head[12:]))
-	if is := binary.LittleEndian.Uint64(head); is != id || flags != branchPage && flags != leafPage || overflow >= w.high-id {
+	if is := binary.LittleEndian.Uint64(head); is != id || flags != branchPage && flags != leafPage || overflow >= w.highWater-id {
 		return fmt.Errorf("%w: page %d has id %d, flags %d and %d overflow pages", errDamaged, id, is, flags, overflow)
 	}
 	for i := id; i <= id+overflow; i++ {
-		if w.used[i] {
+		if w.visited[i] {
 			return fmt.Errorf("%w: page %d is referenced twice", errDamaged, i)
 		}
-		w.used[i] = true
+		w.visited[i] = true
 	}
 	b := make([]byte, int64(overflow+1)*w.page)
 	if _, err := w.f.ReadAt(b, int64(id)*w.page); err != nil {
--- a/internal/bookkeeping/client.go
+++ b/internal/bookkeeping/client.go
@@ -19,7 +19,7 @@
 )
 
 // CallFunc makes a call to another dispatcher.
-type CallFunc func(name string, ask, answer any, limit time.Duration) error
+type CallFunc func(name string, call, answer any, limit time.Duration) error
 
 // sender sends operations to one remote holder. Operations that arrive during a call share the next
 // one.
@@ -42,44 +42,44 @@
 
 func (s *sender) run(stop <-chan struct{}) {
 	for {
-		var some []queuedOp
+		var batch []queuedOp
 		select {
 		case <-stop:
 			return
 		case x := <-s.inbox:
-			some = append(some, x)
+			batch = append(batch, x)
 		}
-		for more := true; more && len(some) < maxOpsSent; {
+		for more := true; more && len(batch) < maxOpsSent; {
 			select {
 			case x := <-s.inbox:
-				some = append(some, x)
+				batch = append(batch, x)
 			default:
 				more = false
 			}
 		}
 		began := time.Now()
-		s.call(some)
+		s.call(batch)
 		if wait := minCallInterval - time.Since(began); wait > 0 {
 			time.Sleep(wait)
 		}
 	}
 }
 
-func (s *sender) call(some []queuedOp) {
-	ask := Call{Ops: make([]ledger.Op, len(some))}
-	for i, x := range some {
-		ask.Ops[i] = x.op
+func (s *sender) call(batch []queuedOp) {
+	call := Call{Ops: make([]ledger.Op, len(batch))}
+	for i, x := range batch {
+		call.Ops[i] = x.op
 	}
 	var a Answer
 	s.calls.Add(1)
-	err := s.transport(s.name, ask, &a, s.timeout)
+	err := s.transport(s.name, call, &a, s.timeout)
 	if err == nil {
 		s.files.update(s.name, a.File)
 	}
-	if err == nil && len(a.Replies) != len(some) {
+	if err == nil && len(a.Replies) != len(batch) {
 		err = errors.New("the holder returned a wrong number of replies")
 	}
-	for i, x := range some {
+	for i, x := range batch {
 		if err != nil {
 			x.reply(ledger.Reply{Error: err.Error()})
 		} else {
@@ -90,32 +90,32 @@
 
 // queryHolders sends an operation to all holders and counts their replies until the verdict is no
 // longer Pending, for at most limit.
-func (k *Service) queryHolders(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
-	if f := k.opt.Hooks.Op; f != nil {
+func (s *Service) queryHolders(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
+	if f := s.opt.Hooks.Op; f != nil {
 		f(&op)
 	}
-	v, c := k.tallyReplies(op, limit, verdict)
-	if f := k.opt.Hooks.Verdict; f != nil {
+	v, c := s.tallyReplies(op, limit, verdict)
+	if f := s.opt.Hooks.Verdict; f != nil {
 		v = f(op, v)
 	}
 	return v, c
 }
 
-func (k *Service) tallyReplies(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
-	replies := make(chan ledger.Reply, len(k.holders))
-	for _, h := range k.holders {
+func (s *Service) tallyReplies(op ledger.Op, limit time.Duration, verdict func(*ledger.Tally) ledger.Verdict) (ledger.Verdict, *ledger.Tally) {
+	replies := make(chan ledger.Reply, len(s.holders))
+	for _, h := range s.holders {
 		h.submit(op, func(r ledger.Reply) { replies <- r })
 	}
-	c := ledger.NewTally(len(k.holders), op.Exclusive)
-	if k.opt.Durability == DurabilityDisk && op.Kind == ledger.RecordIntent {
+	c := ledger.NewTally(len(s.holders), op.Exclusive)
+	if s.opt.Durability == DurabilityDisk && op.Kind == ledger.RecordIntent {
 		c.RequireAll()
 	}
-	if f := k.opt.Hooks.Tally; f != nil {
+	if f := s.opt.Hooks.Tally; f != nil {
 		f(c)
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
-	for range k.holders {
+	for range s.holders {
 		select {
 		case r := <-replies:
 			c.Add(&r)
@@ -155,10 +155,9 @@
 }
 
 // CheckRepeat returns the reason why a repeat of an instruction must not be taken, or nil if no
-// earlier attempt may have run. It takes at most Options.FindTimeout and returns at until at the
-// latest.
-func (k *Service) CheckRepeat(key ledger.Key, until time.Time) error {
-	v, c := k.queryHolders(ledger.Op{Kind: ledger.Lookup, Key: key}, min(k.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Known)
+// earlier attempt may have run. It takes at most Options.FindTimeout and no longer than until.
+func (s *Service) CheckRepeat(key ledger.Key, until time.Time) error {
+	v, c := s.queryHolders(ledger.Op{Kind: ledger.Lookup, Key: key}, min(s.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Known)
 	if err := errorForStatus(c.Entry.Status()); err != nil {
 		return err
 	}
@@ -182,20 +181,20 @@
 
 // RecordIntent records the intent to send an attempt at enough holders. It does not block. It calls
 // then once, with the attempt's identity and, if the attempt must not be sent, the reason.
-func (k *Service) RecordIntent(i *Instruction, until time.Time, then func(ledger.Attempt, error)) {
-	a := ledger.Attempt{Owner: k.opt.Name, Boot: k.opt.Boot, N: k.attemptNumber.Add(1)}
+func (s *Service) RecordIntent(i *Instruction, until time.Time, then func(ledger.Attempt, error)) {
+	a := ledger.Attempt{Owner: s.opt.Name, Boot: s.opt.Boot, N: s.attemptNumber.Add(1)}
 	i.mu.Lock()
 	own := i.known.Clone()
 	i.mu.Unlock()
-	if k.opt.Hooks.SendBeforeRecorded {
+	if s.opt.Hooks.SendBeforeRecorded {
 		then(a, nil)
 		then = func(ledger.Attempt, error) {}
 	}
 	go func() {
 		began := time.Now()
-		v, c := k.queryHolders(ledger.Op{Kind: ledger.RecordIntent, Key: i.Key, Customer: i.Customer, Attempt: a, Exclusive: i.Identified, Entry: own},
-			min(k.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Granted)
-		k.waits.add(time.Since(began))
+		v, c := s.queryHolders(ledger.Op{Kind: ledger.RecordIntent, Key: i.Key, Customer: i.Customer, Attempt: a, Exclusive: i.Identified, Entry: own},
+			min(s.opt.FindTimeout, time.Until(until)), (*ledger.Tally).Granted)
+		s.waits.add(time.Since(began))
 		switch {
 		case v == ledger.Yes:
 			then(a, nil)
@@ -211,42 +210,42 @@
 		default:
 			then(a, ErrNotRecorded)
 		}
-		k.RecordOutcome(i, a, ledger.NeverRan) // some holders may have recorded the intent
+		s.RecordOutcome(i, a, ledger.NeverRan) // some holders may have recorded the intent
 	}()
 }
 
 // RecordOutcome records the outcome of an attempt and delivers it to the holders.
-func (k *Service) RecordOutcome(i *Instruction, a ledger.Attempt, o ledger.Outcome) {
+func (s *Service) RecordOutcome(i *Instruction, a ledger.Attempt, o ledger.Outcome) {
 	i.mu.Lock()
 	i.known.Record(a, o)
 	i.mu.Unlock()
 	if o == ledger.Intent {
 		return // the holders already have the attempt as Intent
 	}
-	k.deliver(ledger.Op{Kind: ledger.Merge, Key: i.Key, Customer: i.Customer, Entry: ledger.Entry{Attempts: []ledger.AttemptRecord{{Attempt: a, Outcome: o}}}})
+	s.deliver(ledger.Op{Kind: ledger.Merge, Key: i.Key, Customer: i.Customer, Entry: ledger.Entry{Attempts: []ledger.AttemptRecord{{Attempt: a, Outcome: o}}}})
 }
 
 // deliver sends an operation to all holders and retries each holder separately on errors.
-func (k *Service) deliver(op ledger.Op) {
+func (s *Service) deliver(op ledger.Op) {
 	end := time.Now().Add(deliveryWindow)
-	k.delivering.Add(int64(len(k.holders)))
-	for _, h := range k.holders {
-		k.deliverTo(h, op, end)
+	s.delivering.Add(int64(len(s.holders)))
+	for _, h := range s.holders {
+		s.deliverTo(h, op, end)
 	}
 }
 
-func (k *Service) deliverTo(h holderClient, op ledger.Op, end time.Time) {
+func (s *Service) deliverTo(h holderClient, op ledger.Op, end time.Time) {
 	h.submit(op, func(r ledger.Reply) {
 		if r.Error == "" {
-			k.delivering.Add(-1)
+			s.delivering.Add(-1)
 			return
 		}
 		if time.Now().After(end) {
-			k.delivering.Add(-1)
-			k.undelivered.Add(1)
+			s.delivering.Add(-1)
+			s.undelivered.Add(1)
 			slog.Warn("ledger: the outcome of an attempt could not be delivered to a holder; the instruction stays unknown there", "error", r.Error)
 			return
 		}
-		time.AfterFunc(deliveryRetryDelay, func() { k.deliverTo(h, op, end) })
+		time.AfterFunc(deliveryRetryDelay, func() { s.deliverTo(h, op, end) })
 	})
 }
--- a/internal/bookkeeping/holder.go
+++ b/internal/bookkeeping/holder.go
@@ -213,7 +213,7 @@
 		return
 	}
 	before := h.recordCount
-	again := 0
+	kept := 0
 	seen := map[ledger.Key]bool{}
 	n, err := h.log.Compact(compactBatch, h.now(), func(r ledgerlog.Record) (ledgerlog.Record, bool) {
 		e, customer, at := h.table.Get(h.now(), r.Key)
@@ -221,25 +221,25 @@
 			return r, false
 		}
 		seen[r.Key] = true
-		again++
+		kept++
 		return ledgerlog.Record{Key: r.Key, Customer: customer, At: at, Entry: e}, true
 	})
 	h.committed(err)
-	h.recordCount = before - n + again
+	h.recordCount = before - n + kept
 }
 
-// dump returns at most so many records of the file that follow the given one. It reads concurrently
+// dump returns at most limit records of the file that follow the given one. It reads concurrently
 // with the writer, which does not wait. An entry may be spread over several records.
-func (h *holder) dump(after uint64, most int) (some []Row, next uint64, last bool, err error) {
-	next, last, err = h.log.Read(after, most, func(r ledgerlog.Record) { some = append(some, Row{r.Key, r.Customer, r.Entry}) })
-	return some, next, last, err
+func (h *holder) dump(after uint64, limit int) (rows []Row, next uint64, last bool, err error) {
+	next, last, err = h.log.Read(after, limit, func(r ledgerlog.Record) { rows = append(rows, Row{r.Key, r.Customer, r.Entry}) })
+	return rows, next, last, err
 }
 
 // unknown returns instructions of unknown status.
-func (h *holder) unknown(most int) (some []Row) {
-	all := h.table.Unknown(most)
+func (h *holder) unknown(limit int) (rows []Row) {
+	all := h.table.Unknown(limit)
 	for _, k := range slices.SortedFunc(maps.Keys(all), ledger.Key.Compare) {
-		some = append(some, Row{Key: k, Entry: all[k]})
+		rows = append(rows, Row{Key: k, Entry: all[k]})
 	}
-	return some
+	return rows
 }
--- a/internal/bookkeeping/intent.go
+++ b/internal/bookkeeping/intent.go
@@ -11,30 +11,30 @@
 
 // intentRecorder implements dispatch.IntentRecorder for one instruction.
 type intentRecorder struct {
-	k *Service
-	i Instruction
+	service     *Service
+	instruction Instruction
 }
 
 // IntentRecorder returns the recorder that the core uses for an instruction that this dispatcher
 // takes. Identified tells that requests with this key are known to be the same instruction, as the
 // client gave the key or marked the request as a repeat.
-func (k *Service) IntentRecorder(key ledger.Key, customer string, identified bool) dispatch.IntentRecorder {
-	return &intentRecorder{k: k, i: Instruction{Key: key, Customer: customer, Identified: identified}}
+func (s *Service) IntentRecorder(key ledger.Key, customer string, identified bool) dispatch.IntentRecorder {
+	return &intentRecorder{service: s, instruction: Instruction{Key: key, Customer: customer, Identified: identified}}
 }
 
 // Begin implements dispatch.IntentRecorder.
 func (r *intentRecorder) Begin(until time.Time, then func(end func(logic.Outcome), err error)) {
-	r.k.RecordIntent(&r.i, until, func(a ledger.Attempt, err error) {
+	r.service.RecordIntent(&r.instruction, until, func(a ledger.Attempt, err error) {
 		if err != nil {
 			then(nil, err)
 			return
 		}
-		then(func(o logic.Outcome) { r.k.RecordOutcome(&r.i, a, r.k.outcome(o)) }, nil)
+		then(func(o logic.Outcome) { r.service.RecordOutcome(&r.instruction, a, r.service.outcome(o)) }, nil)
 	})
 }
 
-func (k *Service) outcome(o logic.Outcome) ledger.Outcome {
-	if f := k.opt.Hooks.Outcome; f != nil {
+func (s *Service) outcome(o logic.Outcome) ledger.Outcome {
+	if f := s.opt.Hooks.Outcome; f != nil {
 		return f(o, outcomeOf(o))
 	}
 	return outcomeOf(o)
--- a/internal/bookkeeping/service.go
+++ b/internal/bookkeeping/service.go
@@ -54,7 +54,7 @@
 	FindTimeout time.Duration // how long checking a repeat or recording an intent may take
 	Durability  Durability
 	Call        CallFunc
-	NewID       func() uint64
+	NewID       func() uint64 // draws the disk number of a new file
 	DiskRecord  DiskRecord
 	Hooks       Hooks
 }
@@ -126,36 +126,36 @@
 
 // Open opens the ledger file, if this dispatcher is a holder, and starts the goroutines.
 func Open(opt Options) (*Service, error) {
-	k := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), files: fileVersions{all: map[string]ledgerlog.FileVersion{}}}
-	k.readyAt.Store(-int64(readyTTL)) // not yet ready
+	s := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), files: fileVersions{all: map[string]ledgerlog.FileVersion{}}}
+	s.readyAt.Store(-int64(readyTTL)) // not yet ready
 	if slices.Contains(opt.Holders, opt.Name) {
-		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, k.files.snapshot)
+		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, s.files.snapshot)
 		if err != nil {
 			return nil, err
 		}
-		k.holder = h
+		s.holder = h
 		for name, is := range h.log.State().Seen {
-			k.files.update(name, is)
+			s.files.update(name, is)
 		}
-		k.goroutines.Go(func() { h.run(k.stop) })
+		s.goroutines.Go(func() { h.run(s.stop) })
 	}
 	for _, name := range opt.Holders {
 		if name == opt.Name {
-			k.holders = append(k.holders, k.holder)
+			s.holders = append(s.holders, s.holder)
 			continue
 		}
-		s := &sender{name: name, transport: opt.Call, timeout: opt.FindTimeout, inbox: make(chan queuedOp, senderQueueSize), calls: &k.calls, files: &k.files}
-		k.holders = append(k.holders, s)
-		k.goroutines.Go(func() { s.run(k.stop) })
+		remote := &sender{name: name, transport: opt.Call, timeout: opt.FindTimeout, inbox: make(chan queuedOp, senderQueueSize), calls: &s.calls, files: &s.files}
+		s.holders = append(s.holders, remote)
+		s.goroutines.Go(func() { remote.run(s.stop) })
 	}
-	return k, nil
+	return s, nil
 }
 
 // Run starts checking whether the ledger file is complete. The agreed record must be available, as
 // the check reads it.
-func (k *Service) Run() {
-	if k.holder != nil {
-		k.goroutines.Go(k.check)
+func (s *Service) Run() {
+	if s.holder != nil {
+		s.goroutines.Go(s.check)
 	}
 }
 
@@ -164,14 +164,14 @@
 const closeTimeout = 300 * time.Millisecond
 
 // Close stops the service and closes the file.
-func (k *Service) Close() error {
-	for end := time.Now().Add(closeTimeout); k.delivering.Load() > 0 && time.Now().Before(end); {
+func (s *Service) Close() error {
+	for end := time.Now().Add(closeTimeout); s.delivering.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	close(k.stop)
-	k.goroutines.Wait()
-	if k.holder != nil {
-		return k.holder.log.Close()
+	close(s.stop)
+	s.goroutines.Wait()
+	if s.holder != nil {
+		return s.holder.log.Close()
 	}
 	return nil
 }
@@ -209,8 +209,8 @@
 )
 
 // Serve answers a call from another dispatcher.
-func (k *Service) Serve(c Call) (a Answer, err error) {
-	h := k.holder
+func (s *Service) Serve(c Call) (a Answer, err error) {
+	h := s.holder
 	if h == nil {
 		return a, errors.New("this dispatcher holds no ledger")
 	}
@@ -225,7 +225,7 @@
 	}
 	all.Wait()
 	if c.LastSeenOf != "" {
-		a.LastSeen = k.files.get(c.LastSeenOf)
+		a.LastSeen = s.files.get(c.LastSeenOf)
 	}
 	if c.DumpAfter != nil {
 		a.Rows, a.Next, a.Last, err = h.dump(*c.DumpAfter, maxDumpRows)
@@ -246,10 +246,10 @@
 }
 
 // Stats returns the current values.
-func (k *Service) Stats() Stats {
-	f := Stats{Calls: k.calls.Load(), Untold: k.undelivered.Load()}
-	f.WaitP50, f.WaitP99 = k.waits.percentiles()
-	if h := k.holder; h != nil {
+func (s *Service) Stats() Stats {
+	f := Stats{Calls: s.calls.Load(), Untold: s.undelivered.Load()}
+	f.WaitP50, f.WaitP99 = s.waits.percentiles()
+	if h := s.holder; h != nil {
 		f.Holds, f.Entries, f.Commits, f.Whole, f.Failed, f.Bytes = true, h.entries.Load(), h.commits.Load(), h.complete.Load(), h.failed.Load(), h.log.Size()
 	}
 	return f
@@ -271,11 +271,11 @@
 
 func (w *intentWaits) percentiles() (p50, p99 time.Duration) {
 	w.mu.Lock()
-	some := slices.Clone(w.last[:min(w.n, len(w.last))])
+	sorted := slices.Clone(w.last[:min(w.n, len(w.last))])
 	w.mu.Unlock()
-	if len(some) == 0 {
+	if len(sorted) == 0 {
 		return 0, 0
 	}
-	slices.Sort(some)
-	return some[len(some)/2], some[len(some)*99/100]
+	slices.Sort(sorted)
+	return sorted[len(sorted)/2], sorted[len(sorted)*99/100]
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -120,16 +120,16 @@
 	e.Attempts[at].Outcome = max(e.Attempts[at].Outcome, o)
 }
 
-// trim drops attempts until at most so many are left, without changing the status: attempts that
+// trim drops attempts until at most limit are left, without changing the status: attempts that
 // never ran, and all but the last that ran. Attempts of unknown outcome are always kept.
-func (e *Entry) trim(most int) {
+func (e *Entry) trim(limit int) {
 	ran := -1
 	for i, t := range e.Attempts {
 		if t.Outcome == Ran {
 			ran = i
 		}
 	}
-	over := len(e.Attempts) - most
+	over := len(e.Attempts) - limit
 	if over <= 0 {
 		return
 	}
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -148,18 +148,18 @@
 	}
 }
 
-// Unknown returns at most so many instructions of unknown status, for operators.
-func (t *Table) Unknown(most int) map[Key]Entry {
-	some := map[Key]Entry{}
+// Unknown returns at most limit instructions of unknown status, for operators.
+func (t *Table) Unknown(limit int) map[Key]Entry {
+	found := map[Key]Entry{}
 	for key, r := range t.rows {
-		if len(some) >= most {
+		if len(found) >= limit {
 			break
 		}
 		if r.Status() == Unknown {
-			some[key] = r.Clone()
+			found[key] = r.Clone()
 		}
 	}
-	return some
+	return found
 }
 
 // Get returns a copy of an entry with its customer and the time of its last update.
--- a/internal/ledger/tally.go
+++ b/internal/ledger/tally.go
@@ -112,8 +112,8 @@
 // NewTally returns a tally for n holders. With exclusive, only a complete holder counts as granting
 // the operation, since a holder that lost its disk no longer knows the attempts that forbid it and
 // would grant it twice.
-func NewTally(n int, check bool) *Tally {
-	return &Tally{holders: n, exclusive: check, required: Majority(n)}
+func NewTally(n int, exclusive bool) *Tally {
+	return &Tally{holders: n, exclusive: exclusive, required: Majority(n)}
 }
 
 // RequireAll requires all holders to grant the operation, so that what is recorded survives the
--- a/internal/ledgerlog/log.go
+++ b/internal/ledgerlog/log.go
@@ -148,14 +148,14 @@
 	return l.write(nil, records, clock)
 }
 
-// write deletes the records with the keys in out and appends others, in one commit.
-func (l *Log) write(out [][]byte, records []Record, clock time.Duration) error {
+// write deletes the records with the keys in deletions and appends others, in one commit.
+func (l *Log) write(deletions [][]byte, records []Record, clock time.Duration) error {
 	state, next := l.state, l.next
 	state.Clock, state.Writes = max(clock, state.Clock), state.Writes+1
 	err := l.db.Commit(func(tx *bolt.Tx) error {
 		b := tx.Bucket(recordBucket)
 		b.FillPercent = 0.95 // records are appended in key order, so pages need no room for insertions
-		for _, k := range out {
+		for _, k := range deletions {
 			if err := b.Delete(k); err != nil {
 				return err
 			}
@@ -186,16 +186,16 @@
 	return nil
 }
 
-// Read passes at most so many records after the given one to each, in order. It returns the number
+// Read passes at most limit records after the given one to each, in order. It returns the number
 // of the last record read and whether there are no more. It may be called from any goroutine,
 // concurrently with a writer.
-func (l *Log) Read(after uint64, most int, each func(Record)) (next uint64, last bool, err error) {
+func (l *Log) Read(after uint64, limit int, each func(Record)) (next uint64, last bool, err error) {
 	next, last = after, true
 	err = l.db.View(func(tx *bolt.Tx) error {
 		c := tx.Bucket(recordBucket).Cursor()
 		read := 0
 		for k, v := c.Seek(binary.BigEndian.AppendUint64(nil, after+1)); k != nil; k, v = c.Next() {
-			if read == most {
+			if read == limit {
 				last = false
 				return nil
 			}
@@ -216,15 +216,15 @@
 	return next, last, err
 }
 
-// Compact deletes the oldest records, at most so many, and appends in their place the records that
+// Compact deletes the oldest records, at most limit, and appends in their place the records that
 // live returns for them; live returns false for a record that is no longer needed. Compact returns
 // how many records it deleted.
-func (l *Log) Compact(most int, clock time.Duration, live func(Record) (Record, bool)) (folded int, err error) {
-	var again []Record
+func (l *Log) Compact(limit int, clock time.Duration, live func(Record) (Record, bool)) (removed int, err error) {
+	var kept []Record
 	var keys [][]byte
 	err = l.db.View(func(tx *bolt.Tx) error {
 		c := tx.Bucket(recordBucket).Cursor()
-		for k, v := c.First(); k != nil && len(keys) < most; k, v = c.Next() {
+		for k, v := c.First(); k != nil && len(keys) < limit; k, v = c.Next() {
 			text, err := boltfile.VerifyChecksum(k, v)
 			if err != nil {
 				return err
@@ -235,7 +235,7 @@
 			}
 			keys = append(keys, append([]byte(nil), k...))
 			if now, ok := live(r); ok {
-				again = append(again, now)
+				kept = append(kept, now)
 			}
 		}
 		return nil
@@ -243,7 +243,7 @@
 	if err != nil || len(keys) == 0 {
 		return 0, err
 	}
-	return len(keys), l.write(keys, again, clock)
+	return len(keys), l.write(keys, kept, clock)
 }
 
 // Size returns the size of the file in bytes, 0 if it cannot be determined.
