--- a/internal/boltfile/power.go
+++ b/internal/boltfile/power.go
@@ -11,22 +11,25 @@
 	"time"
 )
 
-// SimulatedDisk stands for a disk that loses power when the process is killed, so that tests see what was not synced really lost. bbolt
-// works on a volatile copy of each file, which is thrown away at the next start. A sync carries the pages that differ to the
-// file proper, in any order, and the two pages of record after all others, as bbolt syncs between them. Killed in between, some
-// are there and others are not. A write of one page may be torn, too.
+// SimulatedDisk is a disk for tests that loses power when the process is killed, so that data that
+// was not synced is lost. bbolt works on a volatile copy of each file, which is replaced at the
+// next start. A sync writes the pages that differ to the real file, in random order but the two
+// meta pages last, as bbolt syncs between the other pages and the meta page. If the process is
+// killed in between, some pages are written and others are not. The write of a single page may be
+// torn, too.
 //
-// A file of the same name with the ending Stall holds up syncs for as long as it is there, one with the ending Full has them fail.
+// While a file with the suffix StallSuffix exists beside a database file, syncs of that file block;
+// while one with the suffix FullSuffix exists, they fail.
 type SimulatedDisk struct {
 	Seed uint64
 
-	mu   sync.Mutex
-	cut  int // so many pages more, and the power is gone; 0: it stays
-	rand *rand.Rand
+	mu        sync.Mutex
+	pagesLeft int // 1 + number of pages that can be written until the power fails; 0: it does not fail
+	rand      *rand.Rand
 }
 
-// pages of record, at the beginning of a file.
-const recordPages = 2
+// metaPages is the number of meta pages at the beginning of a file.
+const metaPages = 2
 
 type mount struct {
 	disk           *SimulatedDisk
@@ -34,11 +37,11 @@
 	page           int
 }
 
-// volatileEnding is that of the copy that bbolt works on.
-const volatileEnding = ".volatile"
+// volatileSuffix is the suffix of the copy that bbolt works on.
+const volatileSuffix = ".volatile"
 
 func (d *SimulatedDisk) mount(path string) (*mount, error) {
-	m := &mount{disk: d, path: path, volatile: path + volatileEnding, page: os.Getpagesize()}
+	m := &mount{disk: d, path: path, volatile: path + volatileSuffix, page: os.Getpagesize()}
 	text, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -53,43 +56,43 @@
 	return m, os.WriteFile(m.volatile, text, fileMode)
 }
 
-// The endings of the files by which a test holds a disk up, or has it be full.
+// The suffixes of the files by which a test blocks a disk or makes it full.
 const (
 	StallSuffix = ".stall"
 	FullSuffix  = ".full"
 )
 
-func there(path string) bool {
+func exists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
 
-var errPower = errors.New("the power is gone")
+var errPowerLost = errors.New("simulated power loss")
 
-// CutAfter has the power go once so many pages more were written: nothing is written any more.
-func (d *SimulatedDisk) CutAfter(pages int) {
+// CutPowerAfter makes the power fail after so many more pages are written. Later writes fail.
+func (d *SimulatedDisk) CutPowerAfter(pages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = pages + 1
+	d.pagesLeft = pages + 1
 }
 
-func (d *SimulatedDisk) gone() bool {
+func (d *SimulatedDisk) powerLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cut > 1 {
-		d.cut--
+	if d.pagesLeft > 1 {
+		d.pagesLeft--
 		return false
 	}
-	return d.cut == 1
+	return d.pagesLeft == 1
 }
 
-// sync carries over what has changed.
+// sync writes the pages of the volatile copy that have changed to the real file.
 func (m *mount) sync() error {
 	d := m.disk
-	for there(m.path + StallSuffix) {
+	for exists(m.path + StallSuffix) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	if there(m.path + FullSuffix) {
+	if exists(m.path + FullSuffix) {
 		return syscall.ENOSPC
 	}
 	now, err := os.ReadFile(m.volatile)
@@ -104,15 +107,15 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close() //nolint:errcheck // each write was checked
-	var record, others []int
+	defer f.Close() //nolint:errcheck // the result of each write is checked
+	var metas, others []int
 	for at := 0; at < len(now); at += m.page {
 		end := min(at+m.page, len(now))
 		if end <= len(was) && bytes.Equal(now[at:end], was[at:end]) {
 			continue
 		}
-		if at < recordPages*m.page {
-			record = append(record, at)
+		if at < metaPages*m.page {
+			metas = append(metas, at)
 		} else {
 			others = append(others, at)
 		}
@@ -124,12 +127,12 @@
 	d.rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	torn := d.rand.IntN(m.page)
 	d.mu.Unlock()
-	for _, at := range append(others, record...) {
-		if d.gone() {
-			return errPower
+	for _, at := range append(others, metas...) {
+		if d.powerLost() {
+			return errPowerLost
 		}
 		end := min(at+m.page, len(now))
-		cut := min(at+torn, end) // in two writes: the process may be killed between
+		cut := min(at+torn, end) // two writes, as the process may be killed between them
 		if _, err := f.WriteAt(now[at:cut], int64(at)); err != nil {
 			return err
 		}
--- a/internal/bookkeeping/refill.go
+++ b/internal/bookkeeping/refill.go
@@ -10,158 +10,164 @@
 	"standpulley/internal/ledgerlog"
 )
 
-// DiskRecord is the agreed one, as far as it is about ledgers: which disk each holder had last.
+// DiskRecord is the part of the agreed record that concerns ledgers: the disk number of the file
+// that each holder had last. A file that is created anew gets another number.
 type DiskRecord interface {
 	Disk(name string) (disk uint64, known bool, err error)
 	SetDisk(name string, disk uint64) error
 }
 
 const (
-	checkPause = 200 * time.Millisecond
-	callLimit  = 2 * time.Second
+	checkInterval = 200 * time.Millisecond
+	callTimeout   = 2 * time.Second
 )
 
-// check finds out whether this holder knows all that it ever acknowledged, and mends it where it does not. Until it does, what the
-// holder does not know tells nothing. It ends once the holder is whole.
-func (k *Service) check() {
-	said := ""
+// check determines whether this holder has all that it ever acknowledged, and refills it from the
+// other holders if it does not. Until then the holder does not count as complete: that an
+// instruction is missing from its ledger proves nothing. check returns once the holder is complete.
+func (s *Service) check() {
+	lastReason := ""
 	for {
-		err := k.checkOnce()
+		err := s.checkOnce()
 		if err == nil {
-			k.holder.whole.Store(true)
-			slog.Info("ledger: this holder knows all that it acknowledged", "entries", k.holder.entries.Load())
+			s.holder.complete.Store(true)
+			slog.Info("ledger: this holder is complete", "entries", s.holder.entries.Load())
 			return
 		}
-		if text := err.Error(); text != said {
-			said = text
-			slog.Warn("ledger: what this holder does not know tells nothing yet", "why", text)
+		if text := err.Error(); text != lastReason {
+			lastReason = text
+			slog.Warn("ledger: this holder does not count as complete yet", "why", text)
 		}
 		select {
-		case <-k.stop:
+		case <-s.stop:
 			return
-		case <-time.After(checkPause):
+		case <-time.After(checkInterval):
 		}
 	}
 }
 
-func (k *Service) checkOnce() error {
-	h := k.holder
-	was, known, err := k.opt.DiskRecord.Disk(k.opt.Name)
+func (s *Service) checkOnce() error {
+	h := s.holder
+	was, known, err := s.opt.DiskRecord.Disk(s.opt.Name)
 	if err != nil {
-		return fmt.Errorf("the agreed record can't be read: %w", err)
+		return fmt.Errorf("reading the agreed record: %w", err)
 	}
 	var state ledgerlog.State
-	if err := h.within(callLimit, func() { state = h.log.State() }); err != nil {
+	if err := h.runWithin(callTimeout, func() { state = h.log.State() }); err != nil {
 		return err
 	}
 	switch {
-	case k.opt.Hooks.AssumeComplete:
-		return k.setWhole()
+	case s.opt.Hooks.AssumeComplete:
+		return s.markComplete()
 	case !known: // no holder of this name ever acknowledged anything
-		if err := k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk); err != nil {
+		if err := s.opt.DiskRecord.SetDisk(s.opt.Name, state.Disk); err != nil {
 			return err
 		}
-		return k.setWhole()
+		return s.markComplete()
 	case was != state.Disk && !state.Whole:
-		slog.Warn("ledger: this holder's file is new and the one before is lost: it is filled from the others", "lost", was, "new", state.Disk)
-		if err := k.refill(); err != nil {
+		slog.Warn("ledger: the file is new and the previous one is lost; refilling from the other holders", "lost", was, "new", state.Disk)
+		if err := s.refill(); err != nil {
 			return err
 		}
-		if err := k.setWhole(); err != nil {
+		if err := s.markComplete(); err != nil {
 			return err
 		}
-		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
-	case was != state.Disk: // it was filled, and ended before that was on record
-		return k.opt.DiskRecord.SetDisk(k.opt.Name, state.Disk)
-	case !state.Whole: // it was new, and ended before it knew
-		return k.setWhole()
+		return s.opt.DiskRecord.SetDisk(s.opt.Name, state.Disk)
+	case was != state.Disk: // it was refilled, but the process ended before SetDisk
+		return s.opt.DiskRecord.SetDisk(s.opt.Name, state.Disk)
+	case !state.Whole: // it was new, and the process ended before it was marked complete
+		return s.markComplete()
 	}
-	old, err := k.restored(state)
-	if err == nil && old {
-		slog.Warn("ledger: this holder's file is an old copy of what it was: it is filled from the others", "commits", state.Writes)
-		if err = k.refill(); err == nil {
-			err = k.setWhole()
+	stale, err := s.isStaleCopy(state)
+	if err == nil && stale {
+		slog.Warn("ledger: the file is an old copy; refilling from the other holders", "commits", state.Writes)
+		if err = s.refill(); err == nil {
+			err = s.markComplete()
 		}
 	}
 	return err
 }
 
-// restored asks enough others what they last heard of this holder's file. One that has fewer commits than that is a copy from before.
-func (k *Service) restored(state ledgerlog.State) (bool, error) {
-	heard := 0
-	for _, name := range k.opt.Holders {
-		if name == k.opt.Name {
+// isStaleCopy asks the other holders for the last version of this holder's file that they have
+// seen. If any has seen more commits than the file has, the file is an old copy that was put back,
+// for instance from a backup.
+func (s *Service) isStaleCopy(state ledgerlog.State) (bool, error) {
+	answered := 0
+	for _, name := range s.opt.Holders {
+		if name == s.opt.Name {
 			continue
 		}
 		var a Answer
-		if k.opt.Call(name, Call{About: k.opt.Name}, &a, callLimit) != nil {
+		if s.opt.Call(name, Call{LastSeenOf: s.opt.Name}, &a, callTimeout) != nil {
 			continue
 		}
-		heard++
-		if a.About.Disk == state.Disk && a.About.Writes > state.Writes {
+		answered++
+		if a.LastSeen.Disk == state.Disk && a.LastSeen.Writes > state.Writes {
 			return true, nil
 		}
 	}
-	if need := ledger.Majority(len(k.opt.Holders)) - 1; heard < need {
-		return false, fmt.Errorf("whether the file is an old copy is not known: %d other holders answer, %d must", heard, need)
+	if need := ledger.Majority(len(s.opt.Holders)) - 1; answered < need {
+		return false, fmt.Errorf("cannot determine whether the file is an old copy: %d other holders answer, %d are needed", answered, need)
 	}
 	return false, nil
 }
 
-// Accept has this holder count as whole once it is filled from one other, by an operator's word: what was with none but lost files
-// stays lost. Where all holders were needed for each intent, nothing was.
-func (k *Service) Accept(by, why string) error {
+// Accept lets this holder count as complete after a refill from a single other holder, on an
+// operator's order. Entries that only lost files had stay lost. With DurabilityDisk there are none,
+// as all holders record each intent.
+func (s *Service) Accept(by, why string) error {
 	switch {
-	case k.holder == nil:
+	case s.holder == nil:
 		return errors.New("this dispatcher holds no ledger")
 	case why == "":
 		return errors.New("a word needs a reason")
-	case k.holder.whole.Load():
+	case s.holder.complete.Load():
 		return errors.New("this holder knows all that it acknowledged: there is nothing to accept")
 	}
-	slog.Warn("ledger: this holder is to be filled from one other, by an operator's word", "by", by, "why", why)
-	k.accepts.Store(true)
+	slog.Warn("ledger: refilling from a single other holder, by an operator's order", "by", by, "why", why)
+	s.acceptLoss.Store(true)
 	return nil
 }
 
-// refill takes over what the other holders know. Enough of them must be whole themselves.
-func (k *Service) refill() error {
-	need, taken := ledger.Refill(len(k.opt.Holders)), 0
-	if k.accepts.Load() {
+// refill copies the entries of the other holders. Enough of them must be complete themselves.
+func (s *Service) refill() error {
+	need, copied := ledger.RefillQuorum(len(s.opt.Holders)), 0
+	if s.acceptLoss.Load() {
 		need = 1
 	}
-	for _, name := range k.opt.Holders {
-		if name == k.opt.Name || taken == need {
+	for _, name := range s.opt.Holders {
+		if name == s.opt.Name || copied == need {
 			continue
 		}
-		rows, err := k.takeAll(name)
+		rows, err := s.copyFrom(name)
 		if err != nil {
-			slog.Warn("ledger: a holder gives nothing to fill from", "holder", name, "why", err)
+			slog.Warn("ledger: cannot refill from a holder", "holder", name, "why", err)
 			continue
 		}
-		taken++
-		slog.Info("ledger: filled", "from", name, "entries", rows)
+		copied++
+		slog.Info("ledger: copied the entries of a holder", "from", name, "entries", rows)
 	}
-	if taken < need {
-		return fmt.Errorf("its ledger is lost, and only %d of the other holders are there and whole: %d must be", taken, need)
+	if copied < need {
+		return fmt.Errorf("the ledger is lost and only %d complete holders answer; refilling needs %d", copied, need)
 	}
 	return nil
 }
 
-func (k *Service) takeAll(name string) (rows int, err error) {
+// copyFrom merges all entries of another holder into this one and returns how many rows it copied.
+func (s *Service) copyFrom(name string) (rows int, err error) {
 	var after uint64
 	for {
 		var a Answer
-		if err := k.opt.Call(name, Call{Dump: &after}, &a, callLimit); err != nil {
+		if err := s.opt.Call(name, Call{DumpAfter: &after}, &a, callTimeout); err != nil {
 			return rows, err
 		}
-		if !a.Whole {
-			return rows, fmt.Errorf("it is not whole itself")
+		if !a.Complete {
+			return rows, fmt.Errorf("the holder is not complete itself")
 		}
 		after = a.Next
 		failed := make(chan error, len(a.Rows))
 		for _, r := range a.Rows {
-			k.holder.ask(ledger.Op{Do: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, func(r ledger.Reply) {
+			s.holder.submit(ledger.Op{Kind: ledger.Merge, Key: r.Key, Customer: r.Customer, Entry: r.Entry}, func(r ledger.Reply) {
 				if r.Error != "" {
 					failed <- fmt.Errorf("%s", r.Error)
 					return
@@ -181,9 +187,10 @@
 	}
 }
 
-func (k *Service) setWhole() (err error) {
-	h := k.holder
-	if e := h.within(callLimit, func() { err = h.log.Whole(true, h.now()) }); e != nil {
+// markComplete stores in the file that this holder is complete.
+func (s *Service) markComplete() (err error) {
+	h := s.holder
+	if e := h.runWithin(callTimeout, func() { err = h.log.SetComplete(true, h.now()) }); e != nil {
 		return e
 	}
 	return err
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Key names an instruction: a hash over who asks and the key that the client gave, or the words.
+// Key identifies an instruction: a hash of the customer and of the key that the client gave or,
+// without one, of the request body.
 type Key [16]byte
 
-// Compare orders keys.
+// Compare orders keys bytewise.
 func (k Key) Compare(o Key) int { return bytes.Compare(k[:], o[:]) }
 
-// MarshalText is the key in hex digits.
+// MarshalText returns the key in hex digits.
 func (k Key) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, k[:]), nil }
 
-// UnmarshalText reads what MarshalText made.
+// UnmarshalText parses the form that MarshalText returns.
 func (k *Key) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(k) {
 		return fmt.Errorf("%q is no key of %d hex digits", text, 2*len(k))
@@ -28,150 +29,157 @@
 
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Limits are those of a table.
+// Limits bound a Table.
 type Limits struct {
-	MaxEntries int           // at most
-	Retention  time.Duration // an entry is kept for so long after it was last added to
-	Share      float64       // of the room that is free, a customer may hold so many times as much
+	MaxEntries int           // maximum number of entries
+	Retention  time.Duration // how long an entry is kept after its last update
+	Share      float64       // a customer may hold at most Share times the number of free entries
 }
 
-// Table holds entries within its limits. Nothing is forgotten early: where there is no room, or a customer holds more than its
-// share of what is left, a new instruction is refused. The share follows the room that is free (dynamic thresholds, Choudhury
-// and Hahne 1998): alone a customer may take most of the table, and a flood of one always leaves room for others.
+// Table holds entries within its limits. No entry is evicted before its retention time has passed:
+// when the table is full, or a customer holds more than its share of the free room, a new
+// instruction is refused. The share follows the free room (dynamic thresholds, Choudhury and Hahne
+// 1998), so that a single customer may use most of the table, yet a flood from one customer always
+// leaves room for others.
 type Table struct {
-	limits Limits
-	all    map[Key]*row
-	held   map[string]int // entries by customer
-	old    ages
+	limits      Limits
+	rows        map[Key]*row
+	perCustomer map[string]int // number of entries of each customer
+	byExpiry    expiryHeap
 }
 
 type row struct {
 	Entry
 	key      Key
 	customer string
-	until    time.Duration // by the holder's monotonic clock, which runs on from what it was at a restart
-	at       int           // in old
+	// expires is a time on the holder's monotonic clock, which continues across restarts.
+	expires   time.Duration
+	heapIndex int // position in Table.byExpiry
 }
 
-// NewTable makes an empty one.
+// NewTable returns an empty table.
 func NewTable(limits Limits) *Table {
-	return &Table{limits: limits, all: map[Key]*row{}, held: map[string]int{}}
+	return &Table{limits: limits, rows: map[Key]*row{}, perCustomer: map[string]int{}}
 }
 
-// Refusal is why an instruction was not taken: it never ran, and may be tried again later.
+// Refusal is the error for an instruction that was refused for lack of room. It never ran and may
+// be tried again later.
 type Refusal struct{ Reason string }
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Len is the number of entries.
-func (t *Table) Len() int { return len(t.all) }
+// Len returns the number of entries, including those that expired since the last call with a time.
+func (t *Table) Len() int { return len(t.rows) }
 
-// Look gives what is known of an instruction; a fresh entry where nothing is.
-func (t *Table) Look(now time.Duration, key Key) Entry {
+// Lookup returns a copy of the entry of an instruction, or an empty entry if there is none.
+func (t *Table) Lookup(now time.Duration, key Key) Entry {
 	t.expire(now)
-	if r := t.all[key]; r != nil {
+	if r := t.rows[key]; r != nil {
 		return r.Clone()
 	}
 	return Entry{}
 }
 
-// Take notes the intent to send an attempt of an instruction, or refuses. An entry that is there already always has room for
-// what is learned of it.
-func (t *Table) Take(now time.Duration, key Key, customer string, a Attempt) error {
+// RecordIntent records the intent to send an attempt of an instruction, or returns a Refusal. An
+// instruction that already has an entry needs no further room in the table.
+func (t *Table) RecordIntent(now time.Duration, key Key, customer string, a Attempt) error {
 	t.expire(now)
-	r := t.all[key]
-	if r != nil && len(r.Attempts) >= attemptsMost {
-		if _, known := r.Of(a); !known {
+	r := t.rows[key]
+	if r != nil && len(r.Attempts) >= maxAttempts {
+		if _, known := r.OutcomeOf(a); !known {
 			return &Refusal{fmt.Sprintf("%d attempts of these words are remembered, and nobody knows what became of them", len(r.Attempts))}
 		}
 	}
 	if r == nil {
-		free := t.limits.MaxEntries - len(t.all)
+		free := t.limits.MaxEntries - len(t.rows)
 		if free <= 0 {
-			return &Refusal{fmt.Sprintf("%d instructions are remembered, as many as there is room for", len(t.all))}
+			return &Refusal{fmt.Sprintf("%d instructions are remembered, as many as there is room for", len(t.rows))}
 		}
-		if held := t.held[customer]; float64(held) >= t.limits.Share*float64(free) {
+		if held := t.perCustomer[customer]; float64(held) >= t.limits.Share*float64(free) {
 			return &Refusal{fmt.Sprintf("%d instructions of this customer are remembered, its share of the room that is left", held)}
 		}
 		r = t.add(now, key, customer)
 	}
 	r.Record(a, Intent)
-	t.touch(now, r)
+	t.extend(now, r)
 	return nil
 }
 
-// Merge joins what is known elsewhere, or what became of an attempt. It is never refused: forgetting it could let it run twice.
+// Merge merges what is known elsewhere, or the outcome of an attempt, into an entry. It ignores the
+// limits, as an instruction whose attempts are forgotten could run twice.
 func (t *Table) Merge(now time.Duration, key Key, customer string, e Entry) {
 	t.expire(now)
-	r := t.all[key]
+	r := t.rows[key]
 	if r == nil {
 		r = t.add(now, key, customer)
 	}
-	r.Join(e)
-	t.touch(now, r)
+	r.Merge(e)
+	t.extend(now, r)
 }
 
 func (t *Table) add(now time.Duration, key Key, customer string) *row {
-	r := &row{key: key, customer: customer, until: now + t.limits.Retention}
-	t.all[key] = r
-	t.held[customer]++
-	heap.Push(&t.old, r)
+	r := &row{key: key, customer: customer, expires: now + t.limits.Retention}
+	t.rows[key] = r
+	t.perCustomer[customer]++
+	heap.Push(&t.byExpiry, r)
 	return r
 }
 
-// attemptsMost bounds the attempts of one entry: the same words may well be meant many times.
-const attemptsMost = 64
+// maxAttempts bounds the attempts of one entry. Instructions without a client's key are identified
+// by their body, and a client may legitimately send the same body many times.
+const maxAttempts = 64
 
-// touch keeps an entry for longer; never for less. Where it holds many attempts, those go that add nothing to its fate.
-func (t *Table) touch(now time.Duration, r *row) {
-	r.trim(attemptsMost / 2)
-	r.until = max(r.until, now+t.limits.Retention)
-	heap.Fix(&t.old, r.at)
+// extend restarts the retention time of an entry, without ever shortening it, and trims its
+// attempts.
+func (t *Table) extend(now time.Duration, r *row) {
+	r.trim(maxAttempts / 2)
+	r.expires = max(r.expires, now+t.limits.Retention)
+	heap.Fix(&t.byExpiry, r.heapIndex)
 }
 
-// expire forgets what is old enough.
+// expire removes the entries whose retention time has passed.
 func (t *Table) expire(now time.Duration) {
-	for len(t.old) > 0 && t.old[0].until <= now {
-		r := heap.Pop(&t.old).(*row)
-		delete(t.all, r.key)
-		if t.held[r.customer]--; t.held[r.customer] == 0 {
-			delete(t.held, r.customer)
+	for len(t.byExpiry) > 0 && t.byExpiry[0].expires <= now {
+		r := heap.Pop(&t.byExpiry).(*row)
+		delete(t.rows, r.key)
+		if t.perCustomer[r.customer]--; t.perCustomer[r.customer] == 0 {
+			delete(t.perCustomer, r.customer)
 		}
 	}
 }
 
-// Unknown gives the instructions whose fate nobody knows, for staff, at most so many.
-func (t *Table) Unknown(most int) map[Key]Entry {
-	some := map[Key]Entry{}
-	for key, r := range t.all {
-		if len(some) >= most {
+// Unknown returns at most limit instructions of unknown status, for operators.
+func (t *Table) Unknown(limit int) map[Key]Entry {
+	found := map[Key]Entry{}
+	for key, r := range t.rows {
+		if len(found) >= limit {
 			break
 		}
 		if r.Status() == Unknown {
-			some[key] = r.Clone()
+			found[key] = r.Clone()
 		}
 	}
-	return some
+	return found
 }
 
-// Keeps gives an entry with its customer and when it was last added to.
-func (t *Table) Keeps(now time.Duration, key Key) (e Entry, customer string, at time.Duration) {
+// Get returns a copy of an entry with its customer and the time of its last update.
+func (t *Table) Get(now time.Duration, key Key) (e Entry, customer string, at time.Duration) {
 	t.expire(now)
-	r := t.all[key]
+	r := t.rows[key]
 	if r == nil {
 		return Entry{}, "", 0
 	}
-	return r.Clone(), r.customer, r.until - t.limits.Retention
+	return r.Clone(), r.customer, r.expires - t.limits.Retention
 }
 
-// ages orders rows by when they may be forgotten.
-type ages []*row
+// expiryHeap is a min-heap of rows ordered by expiry time.
+type expiryHeap []*row
 
-func (a ages) Len() int           { return len(a) }
-func (a ages) Less(i, j int) bool { return a[i].until < a[j].until }
-func (a ages) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].at, a[j].at = i, j }
-func (a *ages) Push(x any)        { r := x.(*row); r.at = len(*a); *a = append(*a, r) }
-func (a *ages) Pop() any {
+func (a expiryHeap) Len() int           { return len(a) }
+func (a expiryHeap) Less(i, j int) bool { return a[i].expires < a[j].expires }
+func (a expiryHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].heapIndex, a[j].heapIndex = i, j }
+func (a *expiryHeap) Push(x any)        { r := x.(*row); r.heapIndex = len(*a); *a = append(*a, r) }
+func (a *expiryHeap) Pop() any {
 	old := *a
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
