--- a/cmd/proving/scale.go
+++ b/cmd/proving/scale.go
@@ -96,18 +96,18 @@
 	}
 	findings, f := soak.Judge(rec)
 	fmt.Printf("%d replicas: asked %d, served %d, refused %d, failed %d, left %d, unheard %d, crossed %d; held at most %v, held back %d; stall %v\n",
-		replicas, f.Asked, f.Served, f.Refused, f.Failed, f.Left, f.Unheard, f.Crossed, f.Longest.Round(time.Millisecond), f.HeldBack, rec.Stall.Round(time.Millisecond))
+		replicas, f.Requests, f.Served, f.Refused, f.Failed, f.ClientClosed, f.Unanswered, f.ClosedUnread, f.LongestHeld.Round(time.Millisecond), f.DelayedStreams, rec.Stall.Round(time.Millisecond))
 	printFindings(findings)
 	if keep == "" {
 		_ = os.RemoveAll(folder) // a temporary folder
 	} else {
-		to := soak.LargeFiles(keep, scenario)
+		to := soak.LargeRunDir(keep, scenario)
 		_ = os.RemoveAll(to) // of an earlier run
 		if err := errors.Join(os.MkdirAll(keep, 0o755), os.Rename(folder, to)); err != nil {
 			return costs, 0, 0, err
 		}
 	}
-	return costs, float64(f.Served) / float64(max(f.Asked-f.Left-f.Crossed, 1)), len(findings), nil
+	return costs, float64(f.Served) / float64(max(f.Requests-f.ClientClosed-f.ClosedUnread, 1)), len(findings), nil
 }
 
 // printFindings prints how often each rule was broken, and the first cases.
--- a/cmd/proving/soak.go
+++ b/cmd/proving/soak.go
@@ -61,15 +61,15 @@
 	if err != nil {
 		return 1, err.Error() + "\n"
 	}
-	scenario := soak.Draw(seed, s.Size, s.Length)
+	scenario := soak.Generate(seed, s.Size, s.Length)
 	rec, err := soak.Run(context.Background(), scenario, p, folder)
 	if err != nil {
 		return 1, fmt.Sprintf("seed %d: %v (its files: %s)\n", seed, err, folder)
 	}
 	findings, f := soak.Judge(rec)
 	text := fmt.Sprintf("seed %d: %d dispatchers, %d replicas; asked %d, served %d, refused %d, failed %d, left %d, unheard %d, crossed %d; held at most %v, held back %d; stall %v\n",
-		seed, scenario.Dispatchers, scenario.Readers+scenario.Writers, f.Asked, f.Served, f.Refused, f.Failed, f.Left, f.Unheard, f.Crossed,
-		f.Longest.Round(time.Millisecond), f.HeldBack, rec.Stall.Round(time.Millisecond))
+		seed, scenario.Dispatchers, scenario.Readers+scenario.Writers, f.Requests, f.Served, f.Refused, f.Failed, f.ClientClosed, f.Unanswered, f.ClosedUnread,
+		f.LongestHeld.Round(time.Millisecond), f.DelayedStreams, rec.Stall.Round(time.Millisecond))
 	const most = 8
 	for i, finding := range findings {
 		if i == most {
@@ -82,10 +82,10 @@
 		_ = os.RemoveAll(folder) // a temporary folder
 		return len(findings), text
 	}
-	if err := os.WriteFile(filepath.Join(folder, "story.txt"), []byte(scenario.Story()), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, "story.txt"), []byte(scenario.Describe()), 0o600); err != nil {
 		return len(findings), text + err.Error() + "\n"
 	}
-	to := soak.Files(keep, seed)
+	to := soak.RunDir(keep, seed)
 	if err := os.MkdirAll(keep, 0o755); err == nil {
 		_ = os.RemoveAll(to) // of an earlier run
 		if err := os.Rename(folder, to); err == nil {
--- a/cmd/standpulley/early_sighup_test.go
+++ b/cmd/standpulley/early_sighup_test.go
@@ -17,7 +17,7 @@
 	for range 5 {
 		addr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 		cmd, out := startProgram(t, writeConfig(t, path, addr, agent.Addr, settings, ""))
-		for !soak.Handles(cmd.Process.Pid, syscall.SIGHUP) { // no pause, the signal must arrive right after this
+		for !soak.HandlesSignal(cmd.Process.Pid, syscall.SIGHUP) { // no pause, the signal must arrive right after this
 		}
 		sendSignal(t, cmd, syscall.SIGHUP)
 		waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
--- a/cmd/standpulley/large_test.go
+++ b/cmd/standpulley/large_test.go
@@ -31,7 +31,7 @@
 		}
 		t.Error(f)
 	}
-	if share := float64(figures.Served) / float64(max(figures.Asked-figures.Left-figures.Crossed, 1)); share < minServedShare {
+	if share := float64(figures.Served) / float64(max(figures.Requests-figures.ClientClosed-figures.ClosedUnread, 1)); share < minServedShare {
 		t.Errorf("%.2f of the requests are served, want %.2f", share, minServedShare)
 	}
 }
--- a/cmd/standpulley/release_test.go
+++ b/cmd/standpulley/release_test.go
@@ -55,7 +55,7 @@
 // released only with the request, seconds later. Covers kept connections that go silent while new
 // ones work, new connections that are silent too, and several requests at once.
 func TestStateIsReleasedWhenTheFetchIsLost(t *testing.T) {
-	for _, newConns := range []soak.NewConnections{soak.Carried, soak.Silent} {
+	for _, newConns := range []soak.NewConnectionMode{soak.Forwarded, soak.Blackholed} {
 		times := &readTimes{ended: map[string]time.Time{}}
 		reader, r := startReplica(t, "reader", "reader", times.onRead)
 		_, w1 := startReplica(t, "w1", "writer", func(x *standin.Exchange) { x.Answer("one") })
@@ -72,8 +72,8 @@
 			}
 		}
 		time.Sleep(50 * time.Millisecond) // until the connections are idle
-		l1.Silence()
-		l2.Silence()
+		l1.Blackhole()
+		l2.Blackhole()
 		l1.SetNew(newConns)
 		l2.SetNew(newConns)
 		for n := 100; n < 104; n++ {
--- a/cmd/standpulley/soak_test.go
+++ b/cmd/standpulley/soak_test.go
@@ -14,7 +14,7 @@
 	const length, size = 5 * time.Second, 0.4
 	self := soak.Program{Dispatcher: os.Args[0], DispatcherEnv: []string{"STANDPULLEY_AS_PROGRAM=1"}, Replica: os.Args[0]}
 	for seed := uint64(1); seed <= 4; seed++ {
-		scenario := soak.Draw(seed, size, length)
+		scenario := soak.Generate(seed, size, length)
 		rec, err := soak.Run(t.Context(), scenario, self, t.TempDir())
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -25,7 +25,7 @@
 			t.Errorf("seed %d: %v", seed, f)
 		}
 		if len(findings) > 0 {
-			t.Logf("%s", scenario.Story())
+			t.Logf("%s", scenario.Describe())
 		}
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,30 +16,30 @@
 )
 
 // Asked is one request as its client saw it.
-type Asked struct {
-	ID       string
-	Class    string
-	Who      string // the dispatcher
-	From     string // the client's address
-	Paused   int    // bytes after which the client made a pause; -1: it made none
-	New      bool   // the first on its connection, which was opened for it
-	Sent     time.Time
-	Patience time.Duration
-	Left     time.Time // when the client closed its connection; zero: it did not
-	Status   int       // 0: the connection ended without an answer
-	First    time.Time // of the answer's bytes
-	Done     time.Time
-	Tokens   int
-	Whole    bool
-	Foreign  string // a piece that no replica made for this request, or out of its place
-	Late     time.Duration
-	Why      string // how the connection ended, where there is no whole answer
+type Request struct {
+	ID            string
+	Class         string
+	Dispatcher    string // the dispatcher
+	ClientAddr    string // the client's address
+	PausedAfter   int    // bytes after which the client made a pause; -1: it made none
+	FirstOnConn   bool   // the first on its connection, which was opened for it
+	Sent          time.Time
+	Timeout       time.Duration
+	ClientClosed  time.Time // when the client closed its connection; zero: it did not
+	Status        int       // 0: the connection ended without an answer
+	FirstByte     time.Time // of the answer's bytes
+	Done          time.Time
+	Tokens        int
+	Complete      bool
+	StreamError   string // a piece that no replica made for this request, or out of its place
+	MaxEventDelay time.Duration
+	EndReason     string // how the connection ended, where there is no whole answer
 }
 
 // clients are those of all dispatchers.
 type clients struct {
 	mu    sync.Mutex // for all below
-	asked []Asked
+	asked []Request
 	next  int
 
 	classes  func() []class
@@ -162,13 +162,13 @@
 		g.all.record(a)
 		if a.Status == http.StatusServiceUnavailable {
 			time.Sleep(time.Duration(g.float() * float64(100*time.Millisecond)))
-		} else if a.Status != 0 || a.New || !a.Left.IsZero() {
+		} else if a.Status != 0 || a.FirstOnConn || !a.ClientClosed.IsZero() {
 			return
 		}
 	}
 }
 
-func (q *clients) record(a Asked) {
+func (q *clients) record(a Request) {
 	q.mu.Lock()
 	q.asked = append(q.asked, a)
 	q.mu.Unlock()
@@ -182,8 +182,8 @@
 }
 
 // try sends one request and reads its answer.
-func (g *group) try(c *clientConn, class class, patience time.Duration) (a Asked) {
-	a = Asked{ID: g.all.id(), Class: class.Name, Who: g.d.name, From: c.c.LocalAddr().String(), Paused: -1, New: c.served == 0 && !c.rested, Patience: patience}
+func (g *group) try(c *clientConn, class class, patience time.Duration) (a Request) {
+	a = Request{ID: g.all.id(), Class: class.Name, Dispatcher: g.d.name, ClientAddr: c.c.LocalAddr().String(), PausedAfter: -1, FirstOnConn: c.served == 0 && !c.rested, Timeout: patience}
 	body := `{"stream":true}`
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Object: %016x\r\n"+
 		"X-Expires-In: %dm\r\nX-Props: prompt_len=%d,max_out=40\r\nContent-Length: %d\r\n\r\n%s", a.ID, class.Name, int(g.float()*float64(g.all.sessions)),
@@ -191,7 +191,7 @@
 	cut := len(text)
 	if g.float() < slowClients {
 		cut = int(g.float() * float64(len(text)))
-		a.Paused = cut
+		a.PausedAfter = cut
 	}
 	_, err := io.WriteString(c.c, text[:cut])
 	if err == nil && cut < len(text) {
@@ -208,7 +208,7 @@
 		defer func() {
 			if !timer.Stop() {
 				<-left
-				a.Left = at
+				a.ClientClosed = at
 			}
 		}()
 	}
@@ -224,18 +224,18 @@
 const streamSilence = 8 * time.Second
 
 // read reads an answer, and tells whether its connection can be kept.
-func (g *group) read(c *clientConn, a *Asked) (keep bool) {
+func (g *group) read(c *clientConn, a *Request) (keep bool) {
 	resp, err := http.ReadResponse(c.br, nil)
-	a.First, a.Done = time.Now(), time.Now()
+	a.FirstByte, a.Done = time.Now(), time.Now()
 	if err != nil {
-		a.Why = err.Error()
+		a.EndReason = err.Error()
 		return false
 	}
 	a.Status = resp.StatusCode
 	c.served++
 	if a.Status != http.StatusOK {
 		_, err = io.Copy(io.Discard, resp.Body)
-		a.Done, a.Whole = time.Now(), err == nil
+		a.Done, a.Complete = time.Now(), err == nil
 		return err == nil && !resp.Close
 	}
 	lines := bufio.NewReader(resp.Body)
@@ -244,11 +244,11 @@
 		line, err := lines.ReadString('\n')
 		a.Done = time.Now()
 		if err != nil {
-			a.Whole = done && err == io.EOF
-			if a.Why = err.Error(); err == io.EOF && !done {
-				a.Foreign = "it was ended as whole before its last event"
+			a.Complete = done && err == io.EOF
+			if a.EndReason = err.Error(); err == io.EOF && !done {
+				a.StreamError = "it was ended as whole before its last event"
 			}
-			return a.Whole && !resp.Close
+			return a.Complete && !resp.Close
 		}
 		done = done || strings.Contains(line, "[DONE]")
 		a.event(strings.TrimSpace(strings.TrimPrefix(line, "data: ")))
@@ -256,7 +256,7 @@
 }
 
 // event checks one event of a stream.
-func (a *Asked) event(text string) {
+func (a *Request) event(text string) {
 	var e struct {
 		Choices []struct {
 			Delta struct{ Content string }
@@ -267,10 +267,10 @@
 	}
 	t, err := parseToken(e.Choices[0].Delta.Content)
 	if err != nil || t.id != a.ID || t.n != a.Tokens {
-		a.Foreign = fmt.Sprintf("%q as piece %d", e.Choices[0].Delta.Content, a.Tokens)
+		a.StreamError = fmt.Sprintf("%q as piece %d", e.Choices[0].Delta.Content, a.Tokens)
 	}
 	a.Tokens++
-	a.Late = max(a.Late, time.Since(t.at))
+	a.MaxEventDelay = max(a.MaxEventDelay, time.Since(t.at))
 }
 
 // crowd keeps so many connections to a dispatcher that never say anything.
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -15,22 +15,22 @@
 )
 
 // Life is one process of a dispatcher, from its start to its end.
-type Life struct {
-	Started time.Time
-	Ready   time.Time      // zero: never
-	Told    time.Time      // when the first SIGTERM was sent; zero: never
-	Killed  time.Time      // when SIGKILL was sent; zero: never
-	Gone    time.Time      // when the process had ended
-	Code    int            // its exit code; killedCode after a signal
-	Signal  syscall.Signal // that ended it; 0: it ended by itself
-	Held    []Span         // when it was stopped
+type Process struct {
+	Started  time.Time
+	Ready    time.Time      // zero: never
+	TermSent time.Time      // when the first SIGTERM was sent; zero: never
+	KillSent time.Time      // when SIGKILL was sent; zero: never
+	Exited   time.Time      // when the process had ended
+	ExitCode int            // its exit code; killedCode after a signal
+	Signal   syscall.Signal // that ended it; 0: it ended by itself
+	Paused   []Period       // when it was stopped
 }
 
 // killedCode stands for the exit code of a process that a signal ended.
 const killedCode = -1
 
 // Span is a time between two moments; a zero end has not come.
-type Span struct{ From, To time.Time }
+type Period struct{ From, To time.Time }
 
 // dispatcher is one node with its files and its agent of discovery.
 type dispatcher struct {
@@ -44,7 +44,7 @@
 
 	mu    sync.Mutex // for all below
 	cmd   *exec.Cmd
-	lives []*Life
+	lives []*Process
 	out   bool // SIGTERM was sent, or it is down: the front sends it no new connections
 }
 
@@ -54,7 +54,7 @@
 	env  []string
 }
 
-func (d *dispatcher) life() *Life { return d.lives[len(d.lives)-1] }
+func (d *dispatcher) life() *Process { return d.lives[len(d.lives)-1] }
 
 // start starts the process and has it watched.
 func (d *dispatcher) start(p program) error {
@@ -69,8 +69,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	life := &Life{Started: time.Now()}
-	for !Handles(cmd.Process.Pid, syscall.SIGHUP) && time.Since(life.Started) < loadTime {
+	life := &Process{Started: time.Now()}
+	for !HandlesSignal(cmd.Process.Pid, syscall.SIGHUP) && time.Since(life.Started) < loadTime {
 		time.Sleep(time.Millisecond / 10) // the machine still loads the program: no signal comes to the program yet
 	}
 	d.mu.Lock()
@@ -79,7 +79,7 @@
 	go func() {
 		_ = cmd.Wait() // how it ended is told below
 		d.mu.Lock()
-		life.Gone, life.Code, d.out = time.Now(), cmd.ProcessState.ExitCode(), true
+		life.Exited, life.ExitCode, d.out = time.Now(), cmd.ProcessState.ExitCode(), true
 		if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && status.Signaled() {
 			life.Signal = status.Signal()
 		}
@@ -90,11 +90,11 @@
 }
 
 // awaitReady has the front take the dispatcher in once it says that it is ready.
-func (d *dispatcher) awaitReady(life *Life) {
+func (d *dispatcher) awaitReady(life *Process) {
 	for {
 		ready := isReady(d.listen)
 		d.mu.Lock()
-		ended := !life.Gone.IsZero() || !life.Told.IsZero() || !life.Killed.IsZero()
+		ended := !life.Exited.IsZero() || !life.TermSent.IsZero() || !life.KillSent.IsZero()
 		if ready && !ended {
 			life.Ready, d.out = time.Now(), false
 		}
@@ -110,23 +110,23 @@
 func (d *dispatcher) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.lives) == 0 || !d.life().Gone.IsZero() {
+	if len(d.lives) == 0 || !d.life().Exited.IsZero() {
 		return
 	}
 	life := d.life()
 	switch sig {
 	case syscall.SIGTERM:
-		if life.Told.IsZero() {
-			life.Told = time.Now()
+		if life.TermSent.IsZero() {
+			life.TermSent = time.Now()
 			time.AfterFunc(frontLate, func() { d.mu.Lock(); d.out = d.out || d.life() == life; d.mu.Unlock() })
 		}
 	case syscall.SIGKILL:
-		life.Killed, d.out = time.Now(), true
+		life.KillSent, d.out = time.Now(), true
 	case syscall.SIGSTOP:
-		life.Held = append(life.Held, Span{From: time.Now()})
+		life.Paused = append(life.Paused, Period{From: time.Now()})
 	case syscall.SIGCONT:
-		if n := len(life.Held); n > 0 {
-			life.Held[n-1].To = time.Now()
+		if n := len(life.Paused); n > 0 {
+			life.Paused[n-1].To = time.Now()
 		}
 	}
 	_ = d.cmd.Process.Signal(sig) // it may end this moment
@@ -144,16 +144,16 @@
 }
 
 // told is when SIGTERM was sent to a process.
-func (d *dispatcher) told(life *Life) time.Time {
+func (d *dispatcher) told(life *Process) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return life.Told
+	return life.TermSent
 }
 
 func (d *dispatcher) running() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.lives) > 0 && d.life().Gone.IsZero()
+	return len(d.lives) > 0 && d.life().Exited.IsZero()
 }
 
 // takesNew tells whether the front sends it new connections.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -27,12 +27,12 @@
 func (r *run) disturbed(n *node) (over func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name, i := n.cfg.Name, len(r.rec.Disturbed[n.cfg.Name])
-	r.rec.Disturbed[name] = append(r.rec.Disturbed[name], Span{From: time.Now()})
+	name, i := n.cfg.Name, len(r.rec.FaultPeriods[n.cfg.Name])
+	r.rec.FaultPeriods[name] = append(r.rec.FaultPeriods[name], Period{From: time.Now()})
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.rec.Disturbed[name][i].To = time.Now()
+		r.rec.FaultPeriods[name][i].To = time.Now()
 	}
 }
 
@@ -41,17 +41,17 @@
 	defer over()
 	switch f.Kind {
 	case linkSilent: // new connections are well
-		n.link.Silence()
+		n.link.Blackhole()
 		time.Sleep(f.Span) // those that are silent stay so
 	case linkCut:
-		n.link.Silence()
+		n.link.Blackhole()
 		n.link.SetNew(Pending)
 		time.Sleep(f.Span)
-		n.link.SetNew(Carried)
+		n.link.SetNew(Forwarded)
 	case linkPending:
 		n.link.SetNew(Pending)
 		time.Sleep(min(f.Span, time.Second))
-		n.link.SetNew(Carried)
+		n.link.SetNew(Forwarded)
 	case linkReset:
 		n.link.Reset()
 	case hang:
@@ -62,10 +62,10 @@
 		r.restartReplica(n, f.Span)
 	case misbehave:
 		share := 0.1 + 0.6*f.Size
-		ways := []Conduct{{Error: share}, {Full: share}, {Break: share}, {BreakStream: share}, {Hang: share}, {Slow: 4}}
+		ways := []Behavior{{Error: share}, {Full: share}, {Break: share}, {BreakStream: share}, {Hang: share}, {Slow: 4}}
 		r.reg.conduct(n.cfg.Name, ways[f.Target/len(r.nodes)%len(ways)])
 		time.Sleep(f.Span)
-		r.reg.conduct(n.cfg.Name, Conduct{})
+		r.reg.conduct(n.cfg.Name, Behavior{})
 	}
 }
 
@@ -99,7 +99,7 @@
 	defer r.mu.Unlock()
 	n.down = false
 	if err := r.startReplica(n); err != nil {
-		r.rec.Bad = append(r.rec.Bad, fmt.Sprintf("%s can't be started: %v", n.cfg.Name, err))
+		r.rec.Problems = append(r.rec.Problems, fmt.Sprintf("%s can't be started: %v", n.cfg.Name, err))
 	}
 }
 
@@ -110,7 +110,7 @@
 	for i, n := range r.nodes {
 		if n.cfg.Reader == readers && (i+f.Target)%5 != 0 {
 			overs = append(overs, r.disturbed(n))
-			n.link.Silence()
+			n.link.Blackhole()
 		}
 	}
 	time.Sleep(f.Span)
@@ -202,7 +202,7 @@
 		d.signal(sig)
 		time.Sleep(pause)
 	}
-	ended := func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !life.Gone.IsZero() }
+	ended := func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !life.Exited.IsZero() }
 	for time.Since(d.told(life)) < killAfter(r.s.longest()) {
 		if ended() {
 			return
@@ -223,7 +223,7 @@
 		return
 	}
 	if err := d.start(r.program()); err != nil {
-		r.rec.Bad = append(r.rec.Bad, fmt.Sprintf("%s can't be started: %v", d.name, err))
+		r.rec.Problems = append(r.rec.Problems, fmt.Sprintf("%s can't be started: %v", d.name, err))
 	}
 }
 
@@ -251,7 +251,7 @@
 func (r *run) bad(form string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Bad = append(r.rec.Bad, fmt.Sprintf(form, args...))
+	r.rec.Problems = append(r.rec.Problems, fmt.Sprintf(form, args...))
 }
 
 // halfSent has clients stop in the middle of a head, of a body and behind a whole head, and stay.
--- a/internal/soak/handles.go
+++ b/internal/soak/handles.go
@@ -9,7 +9,7 @@
 )
 
 // Handles tells whether a process ignores a signal or has a handler for it, so that the signal's default action no longer ends it.
-func Handles(pid int, sig syscall.Signal) bool {
+func HandlesSignal(pid int, sig syscall.Signal) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil { // it has ended
 		return false
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -8,7 +8,7 @@
 )
 
 // story makes a record of one request at n0, which ran all the time, from what was seen of it.
-func story(a Asked, notes ...Note) Record {
+func story(a Request, notes ...Report) Record {
 	began := time.Now()
 	at := func(ms int64) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 	shift := func(t time.Time) time.Time {
@@ -17,45 +17,45 @@
 		}
 		return at(t.UnixMilli())
 	}
-	a.ID, a.Who, a.Sent = "a", "n0", began
-	a.Left, a.First, a.Done = shift(a.Left), shift(a.First), shift(a.Done)
-	if a.Patience == 0 {
-		a.Patience = 2 * time.Second
+	a.ID, a.Dispatcher, a.Sent = "a", "n0", began
+	a.ClientClosed, a.FirstByte, a.Done = shift(a.ClientClosed), shift(a.FirstByte), shift(a.Done)
+	if a.Timeout == 0 {
+		a.Timeout = 2 * time.Second
 	}
 	for i := range notes {
 		notes[i].ID, notes[i].At = "a", shift(notes[i].At)
 	}
-	life := &Life{Started: began.Add(-time.Second), Ready: began, Told: at(20000), Gone: at(20500)}
-	return Record{Began: began, Scenario: Scenario{Length: 10 * time.Second}, Asked: []Asked{a}, Notes: notes, Lives: map[string][]*Life{"n0": {life}}}
+	life := &Process{Started: began.Add(-time.Second), Ready: began, TermSent: at(20000), Exited: at(20500)}
+	return Record{Started: began, Scenario: Scenario{Length: 10 * time.Second}, Requests: []Request{a}, Reports: notes, Processes: map[string][]*Process{"n0": {life}}}
 }
 
 func ms(n int64) time.Time { return time.UnixMilli(n) }
 
 // Each rule is found where it is broken, and not where it is kept.
 func TestJudgeFindsWhatIsBroken(t *testing.T) {
-	read := []Note{{At: ms(1), Replica: "r0", Kind: Taken}, {At: ms(100), Replica: "r0", Kind: ReadDone}, {At: ms(100), Replica: "r0", Kind: Ended}}
-	run := []Note{{At: ms(101), Replica: "w0", Kind: Taken}, {At: ms(101), Replica: "w0", Kind: Fetch}, {At: ms(150), Replica: "w0", Kind: Ran}}
-	whole := append(append([]Note{}, read...), append(run, Note{At: ms(300), Replica: "w0", Kind: Finished}, Note{At: ms(300), Replica: "w0", Kind: Ended})...)
-	served := Asked{Status: 200, First: ms(150), Done: ms(300), Whole: true}
-	with := func(notes []Note, more ...Note) []Note { return append(append([]Note{}, notes...), more...) }
+	read := []Report{{At: ms(1), Replica: "r0", Kind: Received}, {At: ms(100), Replica: "r0", Kind: ReadDone}, {At: ms(100), Replica: "r0", Kind: Ended}}
+	run := []Report{{At: ms(101), Replica: "w0", Kind: Received}, {At: ms(101), Replica: "w0", Kind: Fetch}, {At: ms(150), Replica: "w0", Kind: StreamStarted}}
+	whole := append(append([]Report{}, read...), append(run, Report{At: ms(300), Replica: "w0", Kind: Finished}, Report{At: ms(300), Replica: "w0", Kind: Ended})...)
+	served := Request{Status: 200, FirstByte: ms(150), Done: ms(300), Complete: true}
+	with := func(notes []Report, more ...Report) []Report { return append(append([]Report{}, notes...), more...) }
 	for name, c := range map[string]struct {
 		rec  Record
 		rule string // empty: kept
 	}{
 		"served":                     {story(served, with(whole)...), ""},
-		"held too long":              {story(Asked{Status: 502, First: ms(1400), Done: ms(1400)}, with(read, Note{At: ms(1300), Replica: "r1", Kind: Released})...), RuleHeld},
-		"released in time":           {story(Asked{Status: 502, First: ms(800), Done: ms(800)}, with(read, Note{At: ms(700), Replica: "r1", Kind: Released})...), ""},
-		"held to the end":            {story(Asked{Status: 502, First: ms(800), Done: ms(800)}, with(read)...), RuleHeld},
-		"answered too late":          {story(Asked{Status: 503, First: ms(3000), Done: ms(3000), Whole: true}), RuleLost},
-		"no answer, new":             {story(Asked{New: true, Done: ms(5), Why: "EOF"}), RuleLost},
-		"crossed":                    {story(Asked{Done: ms(5), Why: "EOF"}), ""},
-		"crossed, and forwarded":     {story(Asked{Done: ms(500), Why: "EOF"}, with(whole)...), RuleLost},
-		"a stream was cut":           {story(Asked{Status: 200, First: ms(150), Done: ms(250), Why: "EOF"}, with(whole)...), RuleLost},
+		"held too long":              {story(Request{Status: 502, FirstByte: ms(1400), Done: ms(1400)}, with(read, Report{At: ms(1300), Replica: "r1", Kind: Released})...), RuleHeld},
+		"released in time":           {story(Request{Status: 502, FirstByte: ms(800), Done: ms(800)}, with(read, Report{At: ms(700), Replica: "r1", Kind: Released})...), ""},
+		"held to the end":            {story(Request{Status: 502, FirstByte: ms(800), Done: ms(800)}, with(read)...), RuleHeld},
+		"answered too late":          {story(Request{Status: 503, FirstByte: ms(3000), Done: ms(3000), Complete: true}), RuleLost},
+		"no answer, new":             {story(Request{FirstOnConn: true, Done: ms(5), EndReason: "EOF"}), RuleLost},
+		"crossed":                    {story(Request{Done: ms(5), EndReason: "EOF"}), ""},
+		"crossed, and forwarded":     {story(Request{Done: ms(500), EndReason: "EOF"}, with(whole)...), RuleLost},
+		"a stream was cut":           {story(Request{Status: 200, FirstByte: ms(150), Done: ms(250), EndReason: "EOF"}, with(whole)...), RuleLost},
 		"whole, though it broke":     {story(served, with(read, run...)...), RuleLost},
-		"a foreign piece":            {story(Asked{Status: 200, First: ms(150), Done: ms(300), Whole: true, Foreign: "b"}, with(whole)...), RuleLost},
-		"forwarded after the client": {story(Asked{Left: ms(10), Done: ms(10)}, Note{At: ms(900), Replica: "r0", Kind: Taken}, Note{At: ms(910), Replica: "r0", Kind: Ended}), RuleForwarded},
-		"ran twice":                  {story(Asked{Class: "instruction", Status: 200, First: ms(150), Done: ms(300), Whole: true}, with(whole, Note{At: ms(310), Replica: "w1", Kind: Ran})...), RuleDuplicate},
-		"ran and refused":            {story(Asked{Class: "instruction", Status: 503, First: ms(400), Done: ms(400), Whole: true}, with(whole)...), RuleDuplicate},
+		"a foreign piece":            {story(Request{Status: 200, FirstByte: ms(150), Done: ms(300), Complete: true, StreamError: "b"}, with(whole)...), RuleLost},
+		"forwarded after the client": {story(Request{ClientClosed: ms(10), Done: ms(10)}, Report{At: ms(900), Replica: "r0", Kind: Received}, Report{At: ms(910), Replica: "r0", Kind: Ended}), RuleForwarded},
+		"ran twice":                  {story(Request{Class: "instruction", Status: 200, FirstByte: ms(150), Done: ms(300), Complete: true}, with(whole, Report{At: ms(310), Replica: "w1", Kind: StreamStarted})...), RuleDuplicate},
+		"ran and refused":            {story(Request{Class: "instruction", Status: 503, FirstByte: ms(400), Done: ms(400), Complete: true}, with(whole)...), RuleDuplicate},
 	} {
 		findings, _ := Judge(c.rec)
 		if c.rule == "" && len(findings) > 0 || c.rule != "" && (len(findings) == 0 || findings[0].Rule != c.rule) {
@@ -67,27 +67,29 @@
 // A state that nobody lets go of is excused where SIGKILL ended its dispatcher before its time, and only there. The text tells that it was
 // never let go of, and no time that was not seen.
 func TestOnlySIGKILLExcusesWhatIsHeld(t *testing.T) {
-	read := []Note{{At: ms(1), Replica: "r0", Kind: Taken}, {At: ms(100), Replica: "r0", Kind: ReadDone}, {At: ms(100), Replica: "r0", Kind: Ended}}
+	read := []Report{{At: ms(1), Replica: "r0", Kind: Received}, {At: ms(100), Replica: "r0", Kind: ReadDone}, {At: ms(100), Replica: "r0", Kind: Ended}}
 	for name, c := range map[string]struct {
-		end  func(l *Life)
+		end  func(l *Process)
 		kept bool
 	}{
-		"ended by itself":                {func(l *Life) {}, false},
-		"killed":                         {func(l *Life) { l.Killed, l.Code = l.Gone, killedCode }, true},
-		"killed after it had let go":     {func(l *Life) { l.Killed, l.Code, l.Gone = l.Gone.Add(time.Second), killedCode, l.Gone.Add(time.Second) }, false},
-		"ended by itself as it was shot": {func(l *Life) { l.Killed = l.Gone }, false},
+		"ended by itself": {func(l *Process) {}, false},
+		"killed":          {func(l *Process) { l.KillSent, l.ExitCode = l.Exited, killedCode }, true},
+		"killed after it had let go": {func(l *Process) {
+			l.KillSent, l.ExitCode, l.Exited = l.Exited.Add(time.Second), killedCode, l.Exited.Add(time.Second)
+		}, false},
+		"ended by itself as it was shot": {func(l *Process) { l.KillSent = l.Exited }, false},
 	} {
-		rec := story(Asked{Status: 502, First: ms(150), Done: ms(150)}, append([]Note{}, read...)...)
-		rec.Ended = rec.Began.Add(12 * time.Second)
-		l := rec.Lives["n0"][0]
-		l.Told, l.Gone = rec.Began.Add(120*time.Millisecond), rec.Began.Add(300*time.Millisecond)
+		rec := story(Request{Status: 502, FirstByte: ms(150), Done: ms(150)}, append([]Report{}, read...)...)
+		rec.Ended = rec.Started.Add(12 * time.Second)
+		l := rec.Processes["n0"][0]
+		l.TermSent, l.Exited = rec.Started.Add(120*time.Millisecond), rec.Started.Add(300*time.Millisecond)
 		c.end(l)
 		findings, f := Judge(rec)
 		if kept := len(findings) == 0; kept != c.kept {
 			t.Errorf("%s: found %v", name, findings)
 		}
-		if f.Longest > 12*time.Second {
-			t.Errorf("%s: held for %v in a run of 12 s", name, f.Longest)
+		if f.LongestHeld > 12*time.Second {
+			t.Errorf("%s: held for %v in a run of 12 s", name, f.LongestHeld)
 		}
 		if !c.kept && len(findings) > 0 && !strings.Contains(findings[0].Text, "to 12.000 (never let go)") {
 			t.Errorf("%s: %s", name, findings[0].Text)
@@ -97,16 +99,16 @@
 
 // A request is judged by the process that took it, also where the one before had ended only a moment ago (seeds 530 and 544).
 func TestRequestBelongsToTheProcessThatTookIt(t *testing.T) {
-	rec := story(Asked{New: true, Status: 200, First: ms(20), Done: ms(300), Why: "EOF"}, Note{At: ms(10), Replica: "w0", Kind: Taken})
-	now := rec.Lives["n0"][0]
-	now.Started, now.Ready, now.Told = rec.Began.Add(-50*time.Millisecond), rec.Began.Add(-40*time.Millisecond), rec.Began.Add(200*time.Millisecond)
-	now.Killed, now.Gone, now.Code = rec.Began.Add(300*time.Millisecond), rec.Began.Add(300*time.Millisecond), killedCode
-	before := &Life{Started: rec.Began.Add(-2 * time.Second), Ready: rec.Began.Add(-2 * time.Second), Told: rec.Began.Add(-time.Second), Gone: rec.Began.Add(-500 * time.Millisecond)}
-	rec.Lives["n0"] = []*Life{before, now}
+	rec := story(Request{FirstOnConn: true, Status: 200, FirstByte: ms(20), Done: ms(300), EndReason: "EOF"}, Report{At: ms(10), Replica: "w0", Kind: Received})
+	now := rec.Processes["n0"][0]
+	now.Started, now.Ready, now.TermSent = rec.Started.Add(-50*time.Millisecond), rec.Started.Add(-40*time.Millisecond), rec.Started.Add(200*time.Millisecond)
+	now.KillSent, now.Exited, now.ExitCode = rec.Started.Add(300*time.Millisecond), rec.Started.Add(300*time.Millisecond), killedCode
+	before := &Process{Started: rec.Started.Add(-2 * time.Second), Ready: rec.Started.Add(-2 * time.Second), TermSent: rec.Started.Add(-time.Second), Exited: rec.Started.Add(-500 * time.Millisecond)}
+	rec.Processes["n0"] = []*Process{before, now}
 	if findings, _ := Judge(rec); len(findings) > 0 {
 		t.Errorf("killed under a stream that it took before SIGTERM: %v", findings)
 	}
-	now.Killed, now.Code = time.Time{}, 0
+	now.KillSent, now.ExitCode = time.Time{}, 0
 	if findings, _ := Judge(rec); len(findings) == 0 {
 		t.Error("a stream that was cut by a process that ended by itself: nothing is found")
 	}
@@ -114,33 +116,33 @@
 
 // How dispatchers end is judged, and what they say of themselves.
 func TestJudgeFindsCrashes(t *testing.T) {
-	for name, change := range map[string]func(r *Record, l *Life){
-		"ended by itself":                         func(_ *Record, l *Life) { l.Told = time.Time{} },
-		"ended with an error":                     func(_ *Record, l *Life) { l.Code = 2 },
-		"ended with an error before it was ready": func(_ *Record, l *Life) { l.Code, l.Ready = 2, time.Time{} },
-		"ended by SIGTERM while it served":        func(_ *Record, l *Life) { l.Code, l.Signal = killedCode, syscall.SIGTERM },
-		"ended by SIGHUP before it was ready": func(_ *Record, l *Life) {
-			l.Code, l.Signal, l.Ready, l.Told = killedCode, syscall.SIGHUP, time.Time{}, time.Time{}
+	for name, change := range map[string]func(r *Record, l *Process){
+		"ended by itself":                         func(_ *Record, l *Process) { l.TermSent = time.Time{} },
+		"ended with an error":                     func(_ *Record, l *Process) { l.ExitCode = 2 },
+		"ended with an error before it was ready": func(_ *Record, l *Process) { l.ExitCode, l.Ready = 2, time.Time{} },
+		"ended by SIGTERM while it served":        func(_ *Record, l *Process) { l.ExitCode, l.Signal = killedCode, syscall.SIGTERM },
+		"ended by SIGHUP before it was ready": func(_ *Record, l *Process) {
+			l.ExitCode, l.Signal, l.Ready, l.TermSent = killedCode, syscall.SIGHUP, time.Time{}, time.Time{}
 		},
-		"did not end":         func(_ *Record, l *Life) { l.Gone = time.Time{} },
-		"panicked":            func(r *Record, _ *Life) { r.Logs = map[string]string{"n0": "panic: x\n"} },
-		"found a broken rule": func(r *Record, _ *Life) { r.Logs = map[string]string{"n0": "1 a violated: held_too_long\n"} },
-		"sent to who drains": func(r *Record, _ *Life) {
-			r.Drains = []Drain{{"r0", r.Began}}
-			r.Notes = []Note{{r.Began.Add(3 * time.Second), "r0", Taken, "a"}}
+		"did not end":         func(_ *Record, l *Process) { l.Exited = time.Time{} },
+		"panicked":            func(r *Record, _ *Process) { r.Logs = map[string]string{"n0": "panic: x\n"} },
+		"found a broken rule": func(r *Record, _ *Process) { r.Logs = map[string]string{"n0": "1 a violated: held_too_long\n"} },
+		"sent to who drains": func(r *Record, _ *Process) {
+			r.Drains = []Drain{{"r0", r.Started}}
+			r.Reports = []Report{{r.Started.Add(3 * time.Second), "r0", Received, "a"}}
 		},
-		"held a client for 4 s": func(r *Record, _ *Life) { r.Bad = []string{"4 s"} },
+		"held a client for 4 s": func(r *Record, _ *Process) { r.Problems = []string{"4 s"} },
 	} {
-		rec := story(Asked{Status: 502, First: ms(5), Done: ms(5)})
+		rec := story(Request{Status: 502, FirstByte: ms(5), Done: ms(5)})
 		if findings, _ := Judge(rec); len(findings) > 0 {
 			t.Fatalf("before: %v", findings)
 		}
-		change(&rec, rec.Lives["n0"][0])
+		change(&rec, rec.Processes["n0"][0])
 		if findings, _ := Judge(rec); len(findings) == 0 {
 			t.Errorf("%s: nothing is found", name)
 		}
 	}
-	if story := Draw(7, 1, 10*time.Second).Story(); story != Draw(7, 1, 10*time.Second).Story() || !strings.Contains(story, "seed 7") {
+	if story := Generate(7, 1, 10*time.Second).Describe(); story != Generate(7, 1, 10*time.Second).Describe() || !strings.Contains(story, "seed 7") {
 		t.Error("a seed draws different stories")
 	}
 }
--- a/internal/soak/large.go
+++ b/internal/soak/large.go
@@ -66,7 +66,7 @@
 	classes := []class{{"enquiry", "idempotent", 4 * time.Second}, {"instruction", "at_most_once", 6 * time.Second}, {"change", "deduplicated", 4 * time.Second}}
 	r := &largeRun{scenario: s, run: run{p: p, folder: folder, classes: classes,
 		s: Scenario{Seed: s.Seed, Dispatchers: 1, Rate: s.Rate, Sockets: s.Sockets, Classes: classes, Length: s.Length}}}
-	r.rec = Record{Scenario: r.s, Lives: map[string][]*Life{}, Logs: map[string]string{}, Disturbed: map[string][]Span{}, Crowds: map[string]bool{}}
+	r.rec = Record{Scenario: r.s, Processes: map[string][]*Process{}, Logs: map[string]string{}, FaultPeriods: map[string][]Period{}, HadIdleClients: map[string]bool{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return r.rec, Costs{}, err
@@ -77,7 +77,7 @@
 func (r *largeRun) play(ctx context.Context) (Record, Costs, error) {
 	stalled, metered := make(chan time.Duration), make(chan struct{})
 	go meter(metered, stalled)
-	r.rec.Began = time.Now()
+	r.rec.Started = time.Now()
 	if !r.scenario.Quiet {
 		r.busy.Go(r.replace)
 		r.busy.Go(r.silenceZone)
@@ -177,7 +177,7 @@
 
 // replace replaces replicas in steps: those of a step drain as their successors come, and are gone with the next step.
 func (r *largeRun) replace() {
-	time.Sleep(time.Until(r.rec.Began.Add(replaceFrom)))
+	time.Sleep(time.Until(r.rec.Started.Add(replaceFrom)))
 	draw := rand.New(rand.NewPCG(r.s.Seed, uint64(r.scenario.Replicas)))
 	old := append([]*localReplica(nil), r.serving...)
 	draw.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
@@ -218,14 +218,14 @@
 
 // silenceZone has all replicas of a zone fall silent.
 func (r *largeRun) silenceZone() {
-	time.Sleep(time.Until(r.rec.Began.Add(zoneSilentFrom)))
+	time.Sleep(time.Until(r.rec.Started.Add(zoneSilentFrom)))
 	var all []*localReplica
 	for _, n := range r.replicas {
 		if n.entry.Zone == zoneName(1) {
 			all = append(all, n)
 		}
 	}
-	span := Span{From: time.Now()}
+	span := Period{From: time.Now()}
 	for _, n := range all {
 		n.Silence(true)
 	}
@@ -237,7 +237,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range all {
-		r.rec.Disturbed[n.entry.ID] = append(r.rec.Disturbed[n.entry.ID], span)
+		r.rec.FaultPeriods[n.entry.ID] = append(r.rec.FaultPeriods[n.entry.ID], span)
 	}
 }
 
@@ -249,6 +249,6 @@
 }
 
 // LargeFiles gives the folder for a large scenario below another.
-func LargeFiles(below string, s LargeScenario) string {
+func LargeRunDir(below string, s LargeScenario) string {
 	return filepath.Join(below, fmt.Sprintf("large-%d-%d", s.Replicas, s.Seed))
 }
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -11,14 +11,14 @@
 )
 
 // NewConnections says what a Link does to connections that are made from now on.
-type NewConnections int
+type NewConnectionMode int
 
 // The modes of a Link for new connections.
 const (
-	Carried NewConnections = iota // they lead to the server
-	Silent                        // they come up, and what is sent on them vanishes
-	Pending                       // they do not come up until the mode changes
-	Refused                       // they are reset
+	Forwarded  NewConnectionMode = iota // they lead to the server
+	Blackholed                          // they come up, and what is sent on them vanishes
+	Pending                             // they do not come up until the mode changes
+	Reset                               // they are reset
 )
 
 // Link carries the connections of dispatchers to one server, and does to them what a network does: connections fall silent with no
@@ -31,7 +31,7 @@
 
 	mu    sync.Mutex
 	cond  *sync.Cond
-	mode  NewConnections
+	mode  NewConnectionMode
 	open  map[*carried]bool
 	heard func(id string)
 	fill  []net.Conn // they take the places of connections that may wait
@@ -58,14 +58,14 @@
 }
 
 // Unheard has the link tell of each attempt that its dispatcher ends on a connection that is silent, as its server hears nothing of that.
-func (l *Link) Unheard(tell func(id string)) {
+func (l *Link) OnUnseenEnd(tell func(id string)) {
 	l.mu.Lock()
 	l.heard = tell
 	l.mu.Unlock()
 }
 
 // Silence has all open connections fall silent in both directions. They stay open, and no error shows.
-func (l *Link) Silence() {
+func (l *Link) Blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
@@ -83,7 +83,7 @@
 }
 
 // SetNew changes what happens to new connections.
-func (l *Link) SetNew(mode NewConnections) {
+func (l *Link) SetNew(mode NewConnectionMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.mode
@@ -165,7 +165,7 @@
 func (l *Link) carry(c *carried) {
 	l.mu.Lock()
 	mode := l.mode
-	c.silent = mode == Silent
+	c.silent = mode == Blackholed
 	l.open[c] = true
 	l.mu.Unlock()
 	defer func() {
@@ -175,10 +175,10 @@
 		c.close()
 	}()
 	switch mode {
-	case Refused:
+	case Reset:
 		c.reset()
 		return
-	case Silent:
+	case Blackholed:
 		done := make(chan bool, 1)
 		l.pump(c, c.near, nil, done) // its end is the point
 		return
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -69,7 +69,7 @@
 	if err := says(before); err != nil {
 		t.Fatal(err)
 	}
-	l.Silence()
+	l.Blackhole()
 	if err := says(before); !timedOut(err) {
 		t.Errorf("a silent connection: %v", err)
 	}
@@ -92,7 +92,7 @@
 	if err := says(before); err != nil {
 		t.Errorf("an open connection: %v", err)
 	}
-	l.SetNew(Carried)
+	l.SetNew(Forwarded)
 	if err := says(dial(t, l)); err != nil {
 		t.Errorf("a connection after that: %v", err)
 	}
@@ -108,7 +108,7 @@
 	if err := says(before); err == nil || timedOut(err) {
 		t.Errorf("a connection that was reset: %v", err)
 	}
-	l.SetNew(Silent)
+	l.SetNew(Blackholed)
 	if err := says(dial(t, l)); !timedOut(err) {
 		t.Errorf("a new connection that is silent: %v", err)
 	}
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -12,7 +12,7 @@
 type registry struct {
 	ln    net.Listener
 	mu    sync.Mutex // for all below
-	notes []Note
+	notes []Report
 	held  map[string]bool
 	reads map[string]map[string]bool // reads in progress by request and reader; false: what it leaves is let go
 	conns map[string]net.Conn        // by replica
@@ -39,7 +39,7 @@
 func (g *registry) hear(c net.Conn) {
 	defer c.Close()
 	for lines := bufio.NewScanner(c); lines.Scan(); {
-		var n Note
+		var n Report
 		if jsoniter.Unmarshal(lines.Bytes(), &n) != nil {
 			return // the replica was killed in the middle of a report
 		}
@@ -50,16 +50,16 @@
 // localReporter reports from within the registry's own process.
 type localReporter struct{ *registry }
 
-func (l localReporter) report(n Note) { l.take(n, nil) }
+func (l localReporter) report(n Report) { l.take(n, nil) }
 
-func (l localReporter) fetch(n Note) bool {
+func (l localReporter) fetch(n Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book(n)
 }
 
 // take books a report, and answers one that asks for a state.
-func (g *registry) take(n Note, c net.Conn) {
+func (g *registry) take(n Report, c net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c != nil {
@@ -72,10 +72,10 @@
 
 // book books a report. A release lets go of what is held and of what reads in progress will leave. A fetch
 // takes what is held, and is told whether anything was. It needs mu.
-func (g *registry) book(n Note) (held bool) {
+func (g *registry) book(n Report) (held bool) {
 	g.notes = append(g.notes, n)
 	switch n.Kind {
-	case Taken:
+	case Received:
 		if g.reads[n.ID] == nil {
 			g.reads[n.ID] = map[string]bool{}
 		}
@@ -102,7 +102,7 @@
 }
 
 // conduct tells a replica how to treat calls.
-func (g *registry) conduct(replica string, how Conduct) {
+func (g *registry) conduct(replica string, how Behavior) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c := g.conns[replica]; c != nil {
@@ -117,9 +117,9 @@
 	return len(g.conns)
 }
 
-func (g *registry) close() []Note {
+func (g *registry) close() []Report {
 	_ = g.ln.Close()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Note(nil), g.notes...)
+	return append([]Report(nil), g.notes...)
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -27,38 +27,38 @@
 }
 
 // NoteKind says what a replica reports.
-type NoteKind string
+type ReportKind string
 
 // What a replica reports.
 const (
-	Taken    NoteKind = "taken"    // the last byte of a call has come
-	ReadDone NoteKind = "read"     // a prompt was read, its state waits
-	Fetch    NoteKind = "fetch"    // a writer asks for the state; the registry answers
-	Ran      NoteKind = "ran"      // a writer began to answer
-	Ended    NoteKind = "ended"    // an attempt is over, whoever ended it
-	Finished NoteKind = "finished" // a writer's stream was written whole
-	Released NoteKind = "released" // a call to let go of what is held has come
-	GaveUp   NoteKind = "gave up"  // by a link: a dispatcher has ended an attempt on a connection that is silent
+	Received      ReportKind = "taken"    // the last byte of a call has come
+	ReadDone      ReportKind = "read"     // a prompt was read, its state waits
+	Fetch         ReportKind = "fetch"    // a writer asks for the state; the registry answers
+	StreamStarted ReportKind = "ran"      // a writer began to answer
+	Ended         ReportKind = "ended"    // an attempt is over, whoever ended it
+	Finished      ReportKind = "finished" // a writer's stream was written whole
+	Released      ReportKind = "released" // a call to let go of what is held has come
+	Abandoned     ReportKind = "gave up"  // by a link: a dispatcher has ended an attempt on a connection that is silent
 )
 
 // Note is one report of a replica.
-type Note struct {
+type Report struct {
 	At      time.Time
 	Replica string
-	Kind    NoteKind
+	Kind    ReportKind
 	ID      string
 }
 
 // Conduct is how a replica treats calls from now on.
-type Conduct struct {
+type Behavior struct {
 	Error, Full, Break, BreakStream, Hang float64 // shares of calls
 	Slow                                  float64 // multiplies its times; 0 counts as 1
 }
 
 // fetched is the registry's reply to a Fetch.
 type fetched struct {
-	Held    *bool    `json:",omitempty"`
-	Conduct *Conduct `json:",omitempty"`
+	Held    *bool     `json:",omitempty"`
+	Conduct *Behavior `json:",omitempty"`
 }
 
 // replica plays one reader or writer.
@@ -66,16 +66,16 @@
 	cfg  ReplicaConfig
 	tell reporter
 	mu   sync.Mutex // for all below
-	how  Conduct
+	how  Behavior
 	draw *rand.Rand
 }
 
 // reporter is how a replica reaches the registry.
 type reporter interface {
 	// report books a note.
-	report(Note)
+	report(Report)
 	// fetch books a Fetch and tells whether the state was there.
-	fetch(Note) bool
+	fetch(Report) bool
 }
 
 // remoteReporter reports over a connection, from another process.
@@ -86,7 +86,7 @@
 	replies chan bool
 }
 
-func (m *remoteReporter) report(n Note) {
+func (m *remoteReporter) report(n Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	text, err := jsoniter.Marshal(n)
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *remoteReporter) fetch(n Note) bool {
+func (m *remoteReporter) fetch(n Report) bool {
 	m.asking.Lock()
 	defer m.asking.Unlock()
 	m.report(n)
@@ -133,7 +133,7 @@
 	if _, err := r.listen(); err != nil {
 		return err
 	}
-	r.note(Taken, "") // it is up
+	r.note(Received, "") // it is up
 	return r.obey(remote)
 }
 
@@ -156,19 +156,19 @@
 	return nil
 }
 
-func (r *replica) note(kind NoteKind, id string) {
-	r.tell.report(Note{At: time.Now(), Replica: r.cfg.Name, Kind: kind, ID: id})
+func (r *replica) note(kind ReportKind, id string) {
+	r.tell.report(Report{At: time.Now(), Replica: r.cfg.Name, Kind: kind, ID: id})
 }
 
 // fetch asks whether the state of a request is there, and takes it.
 func (r *replica) fetch(id string) bool {
-	return r.tell.fetch(Note{At: time.Now(), Replica: r.cfg.Name, Kind: Fetch, ID: id})
+	return r.tell.fetch(Report{At: time.Now(), Replica: r.cfg.Name, Kind: Fetch, ID: id})
 }
 
 // ended reports the end of an attempt. Where the replica fell silent meanwhile, the dispatcher has given it up just now.
 func (r *replica) ended(x *standin.Exchange) {
 	if x.Unsaid() {
-		r.note(GaveUp, x.ID)
+		r.note(Abandoned, x.ID)
 	}
 	r.note(Ended, x.ID)
 }
@@ -178,7 +178,7 @@
 	case "DELETE":
 		r.note(Released, c.Path[len("/bootstrap/rooms/"):])
 	case "POST":
-		r.note(Taken, c.ID)
+		r.note(Received, c.ID)
 	}
 }
 
@@ -243,7 +243,7 @@
 	if x.Await(r.span(queueLeast, queueMost)) {
 		return
 	}
-	r.note(Ran, x.ID)
+	r.note(StreamStarted, x.ID)
 	r.mu.Lock()
 	tokens, breaks := 2+r.draw.IntN(tokensMost), r.draw.Float64() < r.how.BreakStream
 	r.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -27,24 +27,24 @@
 
 // Record is all that was seen of a run.
 type Record struct {
-	Scenario  Scenario
-	Began     time.Time
-	Ended     time.Time // when what was held was looked at for the last time
-	Asked     []Asked
-	Notes     []Note
-	Lives     map[string][]*Life // by dispatcher
-	Logs      map[string]string  // likewise, whole
-	Disturbed map[string][]Span  // by replica: when it, or the way to it, was faulty
-	Drains    []Drain
-	Bad       []string        // what clients that stop in the middle of a request found wrong
-	Crowds    map[string]bool // dispatchers that had a crowd
-	Stall     time.Duration   // the longest that this process itself was held up
+	Scenario       Scenario
+	Started        time.Time
+	Ended          time.Time // when what was held was looked at for the last time
+	Requests       []Request
+	Reports        []Report
+	Processes      map[string][]*Process // by dispatcher
+	Logs           map[string]string     // likewise, whole
+	FaultPeriods   map[string][]Period   // by replica: when it, or the way to it, was faulty
+	Drains         []Drain
+	Problems       []string        // what clients that stop in the middle of a request found wrong
+	HadIdleClients map[string]bool // dispatchers that had a crowd
+	Stall          time.Duration   // the longest that this process itself was held up
 }
 
 // Drain is a replica that discovery told of as draining.
 type Drain struct {
-	Replica string
-	Told    time.Time // it counts as told by then at all dispatchers
+	Replica   string
+	KnownFrom time.Time // it counts as told by then at all dispatchers
 }
 
 // node is one replica with its link.
@@ -79,7 +79,7 @@
 // Run plays a scenario in a folder and records it. Files stay there.
 func Run(ctx context.Context, s Scenario, p Program, folder string) (Record, error) {
 	r := &run{s: s, p: p, folder: folder, classes: s.Classes}
-	r.rec = Record{Scenario: s, Lives: map[string][]*Life{}, Logs: map[string]string{}, Disturbed: map[string][]Span{}, Crowds: map[string]bool{}}
+	r.rec = Record{Scenario: s, Processes: map[string][]*Process{}, Logs: map[string]string{}, FaultPeriods: map[string][]Period{}, HadIdleClients: map[string]bool{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return r.rec, err
@@ -87,17 +87,17 @@
 	stalled := make(chan time.Duration)
 	metered := make(chan struct{})
 	go meter(metered, stalled)
-	r.rec.Began = time.Now()
+	r.rec.Started = time.Now()
 	for _, f := range s.Faults {
 		select {
 		case <-ctx.Done():
 			return r.rec, ctx.Err()
-		case <-time.After(time.Until(r.rec.Began.Add(f.At))):
+		case <-time.After(time.Until(r.rec.Started.Add(f.At))):
 		}
 		r.busy.Add(1)
 		go func() { defer r.busy.Done(); r.play(f) }()
 	}
-	time.Sleep(time.Until(r.rec.Began.Add(s.Length)))
+	time.Sleep(time.Until(r.rec.Started.Add(s.Length)))
 	r.busy.Wait()
 	r.endAll()
 	r.awaitClients()
@@ -119,14 +119,14 @@
 // collect puts into the record what was seen.
 func (r *run) collect() error {
 	r.rec.Ended = time.Now()
-	r.rec.Notes = r.reg.close()
-	r.rec.Asked = r.clients.asked
+	r.rec.Reports = r.reg.close()
+	r.rec.Requests = r.clients.asked
 	for _, d := range r.fleet {
 		text, err := os.ReadFile(d.log)
 		if err != nil {
 			return err
 		}
-		r.rec.Lives[d.name], r.rec.Logs[d.name] = d.lives, string(text)
+		r.rec.Processes[d.name], r.rec.Logs[d.name] = d.lives, string(text)
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 		if n.link, err = NewLink(r.addr(), n.cfg.Listen); err != nil {
 			return err
 		}
-		n.link.Unheard(func(id string) { r.reg.take(Note{At: time.Now(), Replica: n.cfg.Name, Kind: GaveUp, ID: id}, nil) })
+		n.link.OnUnseenEnd(func(id string) { r.reg.take(Report{At: time.Now(), Replica: n.cfg.Name, Kind: Abandoned, ID: id}, nil) })
 		if err := r.startReplica(n); err != nil {
 			return err
 		}
@@ -261,7 +261,7 @@
 func (r *run) endAll() {
 	over := make(chan time.Time)
 	defer close(over)
-	if r.s.Ending.Crowd {
+	if r.s.Shutdown.IdleClients {
 		for i, g := range r.groups {
 			r.crowds(r.fleet[i])
 			r.clients.open.Add(1)
@@ -271,7 +271,7 @@
 	}
 	var ended sync.WaitGroup
 	for _, d := range r.fleet {
-		ended.Go(func() { r.terminate(d, series(r.s.Ending.Series), r.s.Ending.Pause) })
+		ended.Go(func() { r.terminate(d, series(r.s.Shutdown.SignalSeries), r.s.Shutdown.Pause) })
 	}
 	ended.Wait()
 }
@@ -283,7 +283,7 @@
 func (r *run) crowds(d *dispatcher) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Crowds[d.name] = true
+	r.rec.HadIdleClients[d.name] = true
 }
 
 func (r *run) close() {
@@ -304,18 +304,18 @@
 }
 
 // Files gives the folder for a seed below another.
-func Files(below string, seed uint64) string {
+func RunDir(below string, seed uint64) string {
 	return filepath.Join(below, strconv.FormatUint(seed, 10))
 }
 
 // Story gives the faults of a scenario, a line each.
-func (s Scenario) Story() string {
+func (s Scenario) Describe() string {
 	var all strings.Builder
 	fmt.Fprintf(&all, "seed %d: %d dispatchers, %d readers, %d writers, %.0f requests a second each, %d sockets, classes %v\n", s.Seed, s.Dispatchers,
 		s.Readers, s.Writers, s.Rate, s.Sockets, s.Classes)
 	for _, f := range s.Faults {
 		fmt.Fprintln(&all, f)
 	}
-	fmt.Fprintf(&all, "in the end %v, %.3f s apart, crowd %v\n", series(s.Ending.Series), s.Ending.Pause.Seconds(), s.Ending.Crowd)
+	fmt.Fprintf(&all, "in the end %v, %.3f s apart, crowd %v\n", series(s.Shutdown.SignalSeries), s.Shutdown.Pause.Seconds(), s.Shutdown.IdleClients)
 	return all.String()
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -17,14 +17,14 @@
 	Classes     []class
 	Length      time.Duration
 	Faults      []fault // in their order
-	Ending      ending
+	Shutdown    shutdownPlan
 }
 
 // ending is how all dispatchers are ended after the traffic's time, while clients go on with open connections.
-type ending struct {
-	Series int // of signals
-	Pause  time.Duration
-	Crowd  bool
+type shutdownPlan struct {
+	SignalSeries int // of signals
+	Pause        time.Duration
+	IdleClients  bool
 }
 
 // fault is one thing that goes wrong at a time.
@@ -68,7 +68,7 @@
 	misbehave, misbehave, terminate, terminate, terminate, kill, heldUpFault, reload, mute, overload, drain, crowd, halfSent}
 
 // Draw gives the scenario of a seed. Size scales the number of processes, 1 being from 10 to 40.
-func Draw(seed uint64, size float64, length time.Duration) Scenario {
+func Generate(seed uint64, size float64, length time.Duration) Scenario {
 	draw := rand.New(rand.NewPCG(seed, 0x5eed))
 	between := func(least, most int) int { return least + draw.IntN(most-least+1) }
 	scaled := func(n int) int { return max(int(size*float64(n)+0.5), 1) }
@@ -86,7 +86,7 @@
 		s.Faults = append(s.Faults, f)
 		at += time.Duration(draw.Float64() * float64(800*time.Millisecond)) // spans are longer: faults overlap
 	}
-	s.Ending = ending{Series: draw.IntN(1 << 16), Pause: time.Duration(draw.Float64() * float64(seriesPause)), Crowd: draw.Float64() < crowdedEndings}
+	s.Shutdown = shutdownPlan{SignalSeries: draw.IntN(1 << 16), Pause: time.Duration(draw.Float64() * float64(seriesPause)), IdleClients: draw.Float64() < crowdedEndings}
 	return s
 }
 
