--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -38,9 +38,9 @@
 
 // clients are those of all dispatchers.
 type clients struct {
-	mu    sync.Mutex // for all below
-	asked []Request
-	next  int
+	mu       sync.Mutex // for all below
+	requests []Request
+	next     int
 
 	classes  func() []class
 	sessions int // that requests belong to
@@ -50,19 +50,19 @@
 
 // clientConn is a connection that its client keeps.
 type clientConn struct {
-	c      net.Conn
-	br     *bufio.Reader
-	served int
-	rested bool // it was opened ahead of its first request
+	c           net.Conn
+	br          *bufio.Reader
+	served      int
+	openedAhead bool // it was opened ahead of its first request
 }
 
 // group is the clients of one dispatcher with the connections that they keep.
 type group struct {
-	all  *clients
-	d    *dispatcher
-	mu   sync.Mutex // for all below
-	idle []*clientConn
-	draw *rand.Rand
+	clients *clients
+	target  *dispatcher
+	mu      sync.Mutex // for all below
+	idle    []*clientConn
+	draw    *rand.Rand
 }
 
 func (g *group) float() float64 {
@@ -72,40 +72,40 @@
 }
 
 // come has requests arrive at a dispatcher at a rate, whether or not it answers.
-func (g *group) come(perSecond float64) {
-	defer g.all.open.Done()
+func (g *group) generate(perSecond float64) {
+	defer g.clients.open.Done()
 	for {
 		wait := time.Duration((0.2 + 1.6*g.float()) / perSecond * float64(time.Second))
 		select {
-		case <-g.all.stop:
+		case <-g.clients.stop:
 			return
 		case <-time.After(wait):
 		}
-		g.all.open.Add(1)
+		g.clients.open.Add(1)
 		go func() {
-			defer g.all.open.Done()
-			if g.float() < opensAhead {
-				g.askLater()
+			defer g.clients.open.Done()
+			if g.float() < openAheadShare {
+				g.askOnIdleConn()
 			} else {
-				g.ask(g.conn)
+				g.request(g.takeConn)
 			}
 		}()
 	}
 }
 
 // askLater opens a connection and makes its first request after a while, whatever has become of the dispatcher by then.
-func (g *group) askLater() {
+func (g *group) askOnIdleConn() {
 	c, ok := g.dial()
 	if !ok {
 		return
 	}
-	c.rested = true
-	time.Sleep(time.Duration(g.float() * float64(restsMost)))
-	g.ask(func() (*clientConn, bool) { return c, true })
+	c.openedAhead = true
+	time.Sleep(time.Duration(g.float() * float64(openAheadMax)))
+	g.request(func() (*clientConn, bool) { return c, true })
 }
 
 // conn gives a connection that was kept, or a new one where the front sends any.
-func (g *group) conn() (*clientConn, bool) {
+func (g *group) takeConn() (*clientConn, bool) {
 	g.mu.Lock()
 	if n := len(g.idle); n > 0 {
 		i := g.draw.IntN(n)
@@ -120,10 +120,10 @@
 }
 
 func (g *group) dial() (*clientConn, bool) {
-	if !g.d.takesNew() {
+	if !g.target.acceptsConns() {
 		return nil, false
 	}
-	c, err := net.DialTimeout("tcp", g.d.listen, time.Second)
+	c, err := net.DialTimeout("tcp", g.target.listen, time.Second)
 	if err != nil {
 		return nil, false
 	}
@@ -137,29 +137,29 @@
 }
 
 const (
-	usualSessions = 50
-	slowClients   = 0.05 // part of the clients that pause in the middle of a request
-	leaves        = 0.06 // that leave before the answer
-	opensAhead    = 0.15 // that open a connection some time before their request
-	restsMost     = 3500 * time.Millisecond
-	repeats       = 2 // tries of a client that is refused
-	answerLate    = 500 * time.Millisecond
-	waitsLonger   = time.Second // so that an answer that comes too late is seen
+	sessionCount   = 50
+	slowShare      = 0.05 // part of the clients that pause in the middle of a request
+	leaveShare     = 0.06 // that leave before the answer
+	openAheadShare = 0.15 // that open a connection some time before their request
+	openAheadMax   = 3500 * time.Millisecond
+	retries        = 2 // tries of a client that is refused
+	answerSlack    = 500 * time.Millisecond
+	readExtra      = time.Second // so that an answer that comes too late is seen
 )
 
 // ask makes one request, and repeats it where that is allowed: on a connection that ended between requests, and after a refusal.
-func (g *group) ask(conn func() (*clientConn, bool)) {
-	classes := g.all.classes()
+func (g *group) request(takeConn func() (*clientConn, bool)) {
+	classes := g.clients.classes()
 	class := classes[int(g.float()*float64(len(classes)))]
-	patience := time.Duration((0.4 + 0.6*g.float()) * float64(class.Deadline))
-	for range repeats + 1 {
-		c, ok := conn()
-		conn = g.conn
+	timeout := time.Duration((0.4 + 0.6*g.float()) * float64(class.Deadline))
+	for range retries + 1 {
+		c, ok := takeConn()
+		takeConn = g.takeConn
 		if !ok {
 			return
 		}
-		a := g.try(c, class, patience)
-		g.all.record(a)
+		a := g.attempt(c, class, timeout)
+		g.clients.record(a)
 		if a.Status == http.StatusServiceUnavailable {
 			time.Sleep(time.Duration(g.float() * float64(100*time.Millisecond)))
 		} else if a.Status != 0 || a.FirstOnConn || !a.ClientClosed.IsZero() {
@@ -170,7 +170,7 @@
 
 func (q *clients) record(a Request) {
 	q.mu.Lock()
-	q.asked = append(q.asked, a)
+	q.requests = append(q.requests, a)
 	q.mu.Unlock()
 }
 
@@ -182,32 +182,32 @@
 }
 
 // try sends one request and reads its answer.
-func (g *group) try(c *clientConn, class class, patience time.Duration) (a Request) {
-	a = Request{ID: g.all.id(), Class: class.Name, Dispatcher: g.d.name, ClientAddr: c.c.LocalAddr().String(), PausedAfter: -1, FirstOnConn: c.served == 0 && !c.rested, Timeout: patience}
+func (g *group) attempt(c *clientConn, class class, timeout time.Duration) (a Request) {
+	a = Request{ID: g.clients.id(), Class: class.Name, Dispatcher: g.target.name, ClientAddr: c.c.LocalAddr().String(), PausedAfter: -1, FirstOnConn: c.served == 0 && !c.openedAhead, Timeout: timeout}
 	body := `{"stream":true}`
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Object: %016x\r\n"+
-		"X-Expires-In: %dm\r\nX-Props: prompt_len=%d,max_out=40\r\nContent-Length: %d\r\n\r\n%s", a.ID, class.Name, int(g.float()*float64(g.all.sessions)),
-		patience.Milliseconds(), 100+int(g.float()*2000), len(body), body)
-	cut := len(text)
-	if g.float() < slowClients {
-		cut = int(g.float() * float64(len(text)))
-		a.PausedAfter = cut
+		"X-Expires-In: %dm\r\nX-Props: prompt_len=%d,max_out=40\r\nContent-Length: %d\r\n\r\n%s", a.ID, class.Name, int(g.float()*float64(g.clients.sessions)),
+		timeout.Milliseconds(), 100+int(g.float()*2000), len(body), body)
+	first := len(text)
+	if g.float() < slowShare {
+		first = int(g.float() * float64(len(text)))
+		a.PausedAfter = first
 	}
-	_, err := io.WriteString(c.c, text[:cut])
-	if err == nil && cut < len(text) {
+	_, err := io.WriteString(c.c, text[:first])
+	if err == nil && first < len(text) {
 		time.Sleep(time.Duration(g.float() * float64(500*time.Millisecond)))
-		_, _ = io.WriteString(c.c, text[cut:])
+		_, _ = io.WriteString(c.c, text[first:])
 	} // where it is ended already, an answer may have come before the end
 	a.Sent = time.Now()
-	_ = c.c.SetReadDeadline(a.Sent.Add(patience + answerLate + waitsLonger))
-	if g.float() < leaves {
-		leave := time.Duration(g.float() * float64(patience))
+	_ = c.c.SetReadDeadline(a.Sent.Add(timeout + answerSlack + readExtra))
+	if g.float() < leaveShare {
+		closeAfter := time.Duration(g.float() * float64(timeout))
 		var at time.Time
-		left := make(chan struct{})
-		timer := time.AfterFunc(leave, func() { at = time.Now(); _ = c.c.Close(); close(left) })
+		closed := make(chan struct{})
+		timer := time.AfterFunc(closeAfter, func() { at = time.Now(); _ = c.c.Close(); close(closed) })
 		defer func() {
 			if !timer.Stop() {
-				<-left
+				<-closed
 				a.ClientClosed = at
 			}
 		}()
@@ -221,7 +221,7 @@
 }
 
 // streamSilence is for how long a client waits for a further event.
-const streamSilence = 8 * time.Second
+const eventTimeout = 8 * time.Second
 
 // read reads an answer, and tells whether its connection can be kept.
 func (g *group) read(c *clientConn, a *Request) (keep bool) {
@@ -240,7 +240,7 @@
 	}
 	lines := bufio.NewReader(resp.Body)
 	for done := false; ; {
-		_ = c.c.SetReadDeadline(time.Now().Add(streamSilence))
+		_ = c.c.SetReadDeadline(time.Now().Add(eventTimeout))
 		line, err := lines.ReadString('\n')
 		a.Done = time.Now()
 		if err != nil {
@@ -274,17 +274,17 @@
 }
 
 // crowd keeps so many connections to a dispatcher that never say anything.
-func (g *group) crowd(size int, until <-chan time.Time) {
-	defer g.all.open.Done()
+func (g *group) holdIdleConns(size int, until <-chan time.Time) {
+	defer g.clients.open.Done()
 	var idle []net.Conn
 	for range size {
-		if c, err := net.DialTimeout("tcp", g.d.listen, time.Second); err == nil {
+		if c, err := net.DialTimeout("tcp", g.target.listen, time.Second); err == nil {
 			idle = append(idle, c)
 		}
 	}
 	select {
 	case <-until:
-	case <-g.all.stop:
+	case <-g.clients.stop:
 	}
 	for _, c := range idle {
 		_ = c.Close()
@@ -292,18 +292,18 @@
 }
 
 // badMost is how long a client that stops in the middle of a request may wait for an error or the end.
-const badMost = 3 * time.Second
+const stalledClientMax = 3 * time.Second
 
 // stay sends a part of a request and waits. It tells how long it had to, or that nothing came.
-func (g *group) stay(text string) (time.Duration, error) {
-	c, err := net.DialTimeout("tcp", g.d.listen, time.Second)
+func (g *group) stall(text string) (time.Duration, error) {
+	c, err := net.DialTimeout("tcp", g.target.listen, time.Second)
 	if err != nil {
 		return 0, nil // it is down
 	}
 	defer c.Close()
 	began := time.Now()
 	_, _ = io.WriteString(c, text) // an end of the connection shows below
-	_ = c.SetReadDeadline(began.Add(badMost + time.Second))
+	_ = c.SetReadDeadline(began.Add(stalledClientMax + time.Second))
 	_, err = c.Read(make([]byte, 1))
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -27,7 +27,7 @@
 }
 
 // killedCode stands for the exit code of a process that a signal ended.
-const killedCode = -1
+const signaledExitCode = -1
 
 // Span is a time between two moments; a zero end has not come.
 type Period struct{ From, To time.Time }
@@ -40,12 +40,12 @@
 	log    string
 	agent  *standin.Agent
 
-	files sync.Mutex // held while the configuration is not whole
+	fileMu sync.Mutex // held while the configuration is not whole
 
-	mu    sync.Mutex // for all below
-	cmd   *exec.Cmd
-	lives []*Process
-	out   bool // SIGTERM was sent, or it is down: the front sends it no new connections
+	mu        sync.Mutex // for all below
+	cmd       *exec.Cmd
+	processes []*Process
+	removed   bool // SIGTERM was sent, or it is down: the front sends it no new connections
 }
 
 // program is how dispatchers are started.
@@ -54,7 +54,7 @@
 	env  []string
 }
 
-func (d *dispatcher) life() *Process { return d.lives[len(d.lives)-1] }
+func (d *dispatcher) current() *Process { return d.processes[len(d.processes)-1] }
 
 // start starts the process and has it watched.
 func (d *dispatcher) start(p program) error {
@@ -70,16 +70,16 @@
 		return err
 	}
 	life := &Process{Started: time.Now()}
-	for !HandlesSignal(cmd.Process.Pid, syscall.SIGHUP) && time.Since(life.Started) < loadTime {
+	for !HandlesSignal(cmd.Process.Pid, syscall.SIGHUP) && time.Since(life.Started) < execTimeMax {
 		time.Sleep(time.Millisecond / 10) // the machine still loads the program: no signal comes to the program yet
 	}
 	d.mu.Lock()
-	d.cmd, d.lives = cmd, append(d.lives, life)
+	d.cmd, d.processes = cmd, append(d.processes, life)
 	d.mu.Unlock()
 	go func() {
 		_ = cmd.Wait() // how it ended is told below
 		d.mu.Lock()
-		life.Exited, life.ExitCode, d.out = time.Now(), cmd.ProcessState.ExitCode(), true
+		life.Exited, life.ExitCode, d.removed = time.Now(), cmd.ProcessState.ExitCode(), true
 		if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && status.Signaled() {
 			life.Signal = status.Signal()
 		}
@@ -96,7 +96,7 @@
 		d.mu.Lock()
 		ended := !life.Exited.IsZero() || !life.TermSent.IsZero() || !life.KillSent.IsZero()
 		if ready && !ended {
-			life.Ready, d.out = time.Now(), false
+			life.Ready, d.removed = time.Now(), false
 		}
 		d.mu.Unlock()
 		if ready || ended {
@@ -110,18 +110,18 @@
 func (d *dispatcher) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.lives) == 0 || !d.life().Exited.IsZero() {
+	if len(d.processes) == 0 || !d.current().Exited.IsZero() {
 		return
 	}
-	life := d.life()
+	life := d.current()
 	switch sig {
 	case syscall.SIGTERM:
 		if life.TermSent.IsZero() {
 			life.TermSent = time.Now()
-			time.AfterFunc(frontLate, func() { d.mu.Lock(); d.out = d.out || d.life() == life; d.mu.Unlock() })
+			time.AfterFunc(frontDelay, func() { d.mu.Lock(); d.removed = d.removed || d.current() == life; d.mu.Unlock() })
 		}
 	case syscall.SIGKILL:
-		life.KillSent, d.out = time.Now(), true
+		life.KillSent, d.removed = time.Now(), true
 	case syscall.SIGSTOP:
 		life.Paused = append(life.Paused, Period{From: time.Now()})
 	case syscall.SIGCONT:
@@ -133,10 +133,10 @@
 }
 
 // loadTime is the longest that a machine may take to load a program.
-const loadTime = 100 * time.Millisecond
+const execTimeMax = 100 * time.Millisecond
 
 // frontLate is for how long after SIGTERM new connections keep coming.
-const frontLate = 300 * time.Millisecond
+const frontDelay = 300 * time.Millisecond
 
 // killAfter is how long after SIGTERM SIGKILL comes at the earliest: the longest deadline, counted as 3 s at most, and 0.7 s.
 func killAfter(longest time.Duration) time.Duration {
@@ -144,7 +144,7 @@
 }
 
 // told is when SIGTERM was sent to a process.
-func (d *dispatcher) told(life *Process) time.Time {
+func (d *dispatcher) termSentAt(life *Process) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return life.TermSent
@@ -153,14 +153,14 @@
 func (d *dispatcher) running() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.lives) > 0 && d.life().Exited.IsZero()
+	return len(d.processes) > 0 && d.current().Exited.IsZero()
 }
 
 // takesNew tells whether the front sends it new connections.
-func (d *dispatcher) takesNew() bool {
+func (d *dispatcher) acceptsConns() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.lives) > 0 && !d.out && !d.life().Ready.IsZero()
+	return len(d.processes) > 0 && !d.removed && !d.current().Ready.IsZero()
 }
 
 // class is one class of requests.
@@ -179,7 +179,7 @@
 	}
 	return map[string]any{
 		"siblings": dispatchers, "zone": zoneName(0), "zones": []string{zoneName(0), zoneName(1), zoneName(2)}, "host_types": []string{"reader", "writer"},
-		"family_info": map[string]any{"duty_by_kind": []string{"read", "write"}, "kv_tokens": []int{1000000, 1000000}, "let_go_by_us": letGoBy.Microseconds()},
+		"family_info": map[string]any{"duty_by_kind": []string{"read", "write"}, "kv_tokens": []int{1000000, 1000000}, "let_go_by_us": releaseLimit.Microseconds()},
 		"limits": map[string]any{"try_limit": 6, "cancel": true, "retry_after": true, "max_retry_after_us": 2000000, "connect_timeout_us": 250000,
 			"conn_idle_us": 30000000, "may_duplicate": true},
 		"obligations": map[string]any{"cold_from": 0.3, "ramp_time_us": 10000000, "fall_multiple": 2.5, "fall_us": 3000000, "drain_grace_us": drainGrace.Microseconds()},
@@ -191,8 +191,8 @@
 func zoneName(n int) string { return fmt.Sprintf("z%d", n) }
 
 const (
-	letGoBy    = 500 * time.Millisecond
-	drainGrace = time.Second
+	releaseLimit = 500 * time.Millisecond
+	drainGrace   = time.Second
 )
 
 // configure writes the file of a dispatcher.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -10,21 +10,21 @@
 )
 
 // play puts a fault in, and takes it back after its span.
-func (r *run) play(f fault) {
+func (r *run) inject(f fault) {
 	switch f.Kind {
-	case linkSilent, linkCut, linkPending, linkReset, hang, die, misbehave:
-		r.playReplica(f, r.nodes[f.Target%len(r.nodes)])
-	case roleSilent:
-		r.playRole(f)
-	case drain:
-		r.playDrain(f)
+	case linkBlackhole, linkPartition, linkPending, linkReset, pauseReplica, restartReplica, badAnswers:
+		r.injectReplicaFault(f, r.nodes[f.Target%len(r.nodes)])
+	case roleBlackhole:
+		r.blackholeRole(f)
+	case drainReplica:
+		r.drainReplica(f)
 	default:
-		r.playDispatcher(f, f.Target%len(r.fleet))
+		r.injectDispatcherFault(f, f.Target%len(r.dispatchers))
 	}
 }
 
 // disturbed books that a replica, or the way to it, is faulty until the function that it gives is called.
-func (r *run) disturbed(n *node) (over func()) {
+func (r *run) markFaulty(n *node) (over func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, i := n.cfg.Name, len(r.rec.FaultPeriods[n.cfg.Name])
@@ -36,47 +36,47 @@
 	}
 }
 
-func (r *run) playReplica(f fault, n *node) {
-	over := r.disturbed(n)
+func (r *run) injectReplicaFault(f fault, n *node) {
+	over := r.markFaulty(n)
 	defer over()
 	switch f.Kind {
-	case linkSilent: // new connections are well
+	case linkBlackhole: // new connections are well
 		n.link.Blackhole()
-		time.Sleep(f.Span) // those that are silent stay so
-	case linkCut:
+		time.Sleep(f.Duration) // those that are silent stay so
+	case linkPartition:
 		n.link.Blackhole()
 		n.link.SetNew(Pending)
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		n.link.SetNew(Forwarded)
 	case linkPending:
 		n.link.SetNew(Pending)
-		time.Sleep(min(f.Span, time.Second))
+		time.Sleep(min(f.Duration, time.Second))
 		n.link.SetNew(Forwarded)
 	case linkReset:
 		n.link.Reset()
-	case hang:
-		r.stopReplica(n, true)
-		time.Sleep(f.Span)
-		r.stopReplica(n, false)
-	case die:
-		r.restartReplica(n, f.Span)
-	case misbehave:
+	case pauseReplica:
+		r.setPaused(n, true)
+		time.Sleep(f.Duration)
+		r.setPaused(n, false)
+	case restartReplica:
+		r.restartReplica(n, f.Duration)
+	case badAnswers:
 		share := 0.1 + 0.6*f.Size
 		ways := []Behavior{{Error: share}, {Full: share}, {Break: share}, {BreakStream: share}, {Hang: share}, {Slow: 4}}
-		r.reg.conduct(n.cfg.Name, ways[f.Target/len(r.nodes)%len(ways)])
-		time.Sleep(f.Span)
-		r.reg.conduct(n.cfg.Name, Behavior{})
+		r.registry.setBehavior(n.cfg.Name, ways[f.Target/len(r.nodes)%len(ways)])
+		time.Sleep(f.Duration)
+		r.registry.setBehavior(n.cfg.Name, Behavior{})
 	}
 }
 
 // stopReplica stops a process, or lets it go on when no fault stops it any more.
-func (r *run) stopReplica(n *node, stop bool) {
+func (r *run) setPaused(n *node, pause bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sig := syscall.SIGSTOP
-	if stop {
-		n.stop++
-	} else if n.stop--; n.stop > 0 {
+	if pause {
+		n.pauses++
+	} else if n.pauses--; n.pauses > 0 {
 		return
 	} else {
 		sig = syscall.SIGCONT
@@ -104,23 +104,23 @@
 }
 
 // playRole has open connections to four in five replicas of a role fall silent together.
-func (r *run) playRole(f fault) {
+func (r *run) blackholeRole(f fault) {
 	readers := f.Target%2 == 0
 	var overs []func()
 	for i, n := range r.nodes {
 		if n.cfg.Reader == readers && (i+f.Target)%5 != 0 {
-			overs = append(overs, r.disturbed(n))
+			overs = append(overs, r.markFaulty(n))
 			n.link.Blackhole()
 		}
 	}
-	time.Sleep(f.Span)
+	time.Sleep(f.Duration)
 	for _, over := range overs {
 		over()
 	}
 }
 
 // playDrain has discovery tell all dispatchers that a replica drains, up to the end.
-func (r *run) playDrain(f fault) {
+func (r *run) drainReplica(f fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	left := map[string]int{}
@@ -133,62 +133,62 @@
 	if e := &r.entries[i]; e.State == "in_service" && left[e.Kind] > 2 {
 		r.entries = slices.Clone(r.entries)
 		r.entries[i].State = "terminating"
-		for _, d := range r.fleet {
+		for _, d := range r.dispatchers {
 			d.agent.Set(r.entries...)
 		}
-		r.rec.Drains = append(r.rec.Drains, Drain{r.entries[i].ID, time.Now().Add(told)})
+		r.rec.Drains = append(r.rec.Drains, Drain{r.entries[i].ID, time.Now().Add(drainKnownWithin)})
 	}
 }
 
 // told is when a change counts as told at the latest, whatever discovery does.
-const told = 6 * time.Second
+const drainKnownWithin = 6 * time.Second
 
-func (r *run) playDispatcher(f fault, i int) {
-	d, g := r.fleet[i], r.groups[i]
+func (r *run) injectDispatcherFault(f fault, i int) {
+	d, g := r.dispatchers[i], r.groups[i]
 	switch f.Kind {
-	case terminate:
-		r.terminate(d, series(f.Target/len(r.fleet)), time.Duration(f.Size*float64(seriesPause)))
-		time.Sleep(f.Span)
+	case terminateDispatcher:
+		r.terminate(d, signalSeries(f.Target/len(r.dispatchers)), time.Duration(f.Size*float64(signalPauseMax)))
+		time.Sleep(f.Duration)
 		r.restart(d)
-	case kill:
+	case killDispatcher:
 		d.signal(syscall.SIGKILL)
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		r.restart(d)
-	case heldUpFault:
+	case pauseDispatcher:
 		d.signal(syscall.SIGSTOP)
-		time.Sleep(time.Duration((0.3 + 0.7*f.Size) * float64(heldUpMost)))
+		time.Sleep(time.Duration((0.3 + 0.7*f.Size) * float64(pauseMax)))
 		d.signal(syscall.SIGCONT)
-	case reload:
+	case reloadSettings:
 		r.reload(f, d)
-	case mute:
+	case muteDiscovery:
 		d.agent.Mute(true)
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		d.agent.Mute(false)
-	case overload:
+	case overloadDiscovery:
 		d.agent.Overload(true)
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		d.agent.Overload(false)
-	case crowd:
-		r.crowds(d)
+	case idleClients:
+		r.markIdleClients(d)
 		r.clients.open.Add(1)
-		g.crowd(r.s.Sockets, time.After(f.Span))
-	case halfSent:
-		r.halfSent(d, g)
+		g.holdIdleConns(r.scenario.Sockets, time.After(f.Duration))
+	case partialRequests:
+		r.sendPartialRequests(d, g)
 	}
 }
 
 // seriesPause is the longest pause between the signals of a series.
-const seriesPause = 200 * time.Millisecond
+const signalPauseMax = 200 * time.Millisecond
 
 // series gives the nth series of signals that end a dispatcher.
-func series(n int) []syscall.Signal {
+func signalSeries(n int) []syscall.Signal {
 	all := [][]syscall.Signal{{syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM},
 		{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}}
 	return all[n%len(all)]
 }
 
 // heldUpMost is the longest that a dispatcher may be held up.
-const heldUpMost = 150 * time.Millisecond
+const pauseMax = 150 * time.Millisecond
 
 // terminate sends signals in a row, and SIGKILL when it may come first.
 func (r *run) terminate(d *dispatcher, signals []syscall.Signal, pause time.Duration) {
@@ -196,51 +196,51 @@
 		return
 	}
 	d.mu.Lock()
-	life := d.life()
+	life := d.current()
 	d.mu.Unlock()
 	for _, sig := range signals {
 		d.signal(sig)
 		time.Sleep(pause)
 	}
 	ended := func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !life.Exited.IsZero() }
-	for time.Since(d.told(life)) < killAfter(r.s.longest()) {
+	for time.Since(d.termSentAt(life)) < killAfter(r.scenario.longestDeadline()) {
 		if ended() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	d.signal(syscall.SIGKILL)
-	_ = within(time.Second, ended) // SIGKILL is not answered
+	_ = waitUntil(time.Second, ended) // SIGKILL is not answered
 }
 
 // restart starts a dispatcher that is down.
 func (r *run) restart(d *dispatcher) {
-	d.files.Lock()
-	defer d.files.Unlock()
+	d.fileMu.Lock()
+	defer d.fileMu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d.running() {
 		return
 	}
-	if err := d.start(r.program()); err != nil {
+	if err := d.start(r.dispatcherProgram()); err != nil {
 		r.rec.Problems = append(r.rec.Problems, fmt.Sprintf("%s can't be started: %v", d.name, err))
 	}
 }
 
 // reload sends SIGHUP for other settings, for a file that is cut short and for the first settings again, closer than one reload.
 func (r *run) reload(f fault, d *dispatcher) {
-	d.files.Lock()
-	defer d.files.Unlock()
+	d.fileMu.Lock()
+	defer d.fileMu.Unlock()
 	first, err := os.ReadFile(d.file)
 	if err != nil {
-		r.bad("%s: %v", d.name, err)
+		r.problem("%s: %v", d.name, err)
 		return
 	}
 	pause := time.Duration(f.Size * float64(60*time.Millisecond))
 	other := strings.Replace(string(first), `"siblings":`, `"siblings":1`, 1) // ten and more times as many
 	for _, text := range []string{other, string(first[:len(first)/2]), string(first)} {
 		if err := os.WriteFile(d.file, []byte(text), 0o600); err != nil {
-			r.bad("%s: %v", d.name, err)
+			r.problem("%s: %v", d.name, err)
 			return
 		}
 		d.signal(syscall.SIGHUP)
@@ -248,26 +248,26 @@
 	}
 }
 
-func (r *run) bad(form string, args ...any) {
+func (r *run) problem(form string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.Problems = append(r.rec.Problems, fmt.Sprintf(form, args...))
 }
 
 // halfSent has clients stop in the middle of a head, of a body and behind a whole head, and stay.
-func (r *run) halfSent(d *dispatcher, g *group) {
+func (r *run) sendPartialRequests(d *dispatcher, g *group) {
 	whole := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nX-Qos: enquiry\r\nContent-Length: 100\r\n\r\n{\"stream\""
-	for _, part := range []int{0, 30, len(whole) - 12, len(whole)} {
-		r.busy.Add(1)
+	for _, n := range []int{0, 30, len(whole) - 12, len(whole)} {
+		r.faults.Add(1)
 		go func() {
-			defer r.busy.Done()
+			defer r.faults.Done()
 			began := time.Now()
-			took, err := g.stay(whole[:part])
-			if !d.takesNew() || time.Since(began) < took {
+			took, err := g.stall(whole[:n])
+			if !d.acceptsConns() || time.Since(began) < took {
 				return
 			}
-			if err != nil || took > badMost+heldUpMost {
-				r.bad("%s: a client that stopped after %d bytes: %v, %v", d.name, part, took, err)
+			if err != nil || took > stalledClientMax+pauseMax {
+				r.problem("%s: a client that stopped after %d bytes: %v, %v", d.name, n, took, err)
 			}
 		}()
 	}
--- a/internal/soak/large.go
+++ b/internal/soak/large.go
@@ -35,16 +35,16 @@
 }
 
 const (
-	largeZones     = 3
-	replaceFrom    = 3 * time.Second
-	replaceSteps   = 8
-	replaceStep    = 850 * time.Millisecond
-	replacedShare  = 0.6
-	zoneSilentFrom = 12 * time.Second
-	zoneSilentFor  = 5 * time.Second
+	largeZones      = 3
+	replaceStart    = 3 * time.Second
+	replaceSteps    = 8
+	replaceStep     = 850 * time.Millisecond
+	replacedShare   = 0.6
+	zoneSilentStart = 12 * time.Second
+	zoneSilentFor   = 5 * time.Second
 
 	// LargeLength is when the last fault of a LargeScenario is over, and a moment more.
-	LargeLength = zoneSilentFrom + zoneSilentFor + 4*time.Second
+	LargeLength = zoneSilentStart + zoneSilentFor + 4*time.Second
 )
 
 // localReplica is a replica in this process.
@@ -56,7 +56,7 @@
 // largeRun is a run under way.
 type largeRun struct {
 	run
-	scenario LargeScenario
+	large    LargeScenario
 	replicas []*localReplica // all that there ever were
 	serving  []*localReplica // that are listed in service
 }
@@ -64,9 +64,9 @@
 // RunLarge plays a large scenario in a folder. Files stay there.
 func RunLarge(ctx context.Context, s LargeScenario, p Program, folder string) (Record, Costs, error) {
 	classes := []class{{"enquiry", "idempotent", 4 * time.Second}, {"instruction", "at_most_once", 6 * time.Second}, {"change", "deduplicated", 4 * time.Second}}
-	r := &largeRun{scenario: s, run: run{p: p, folder: folder, classes: classes,
-		s: Scenario{Seed: s.Seed, Dispatchers: 1, Rate: s.Rate, Sockets: s.Sockets, Classes: classes, Length: s.Length}}}
-	r.rec = Record{Scenario: r.s, Processes: map[string][]*Process{}, Logs: map[string]string{}, FaultPeriods: map[string][]Period{}, HadIdleClients: map[string]bool{}}
+	r := &largeRun{large: s, run: run{programs: p, folder: folder, classes: classes,
+		scenario: Scenario{Seed: s.Seed, Dispatchers: 1, Rate: s.Rate, Sockets: s.Sockets, Classes: classes, Length: s.Length}}}
+	r.rec = Record{Scenario: r.scenario, Processes: map[string][]*Process{}, Logs: map[string]string{}, FaultPeriods: map[string][]Period{}, HadIdleClients: map[string]bool{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return r.rec, Costs{}, err
@@ -76,24 +76,24 @@
 
 func (r *largeRun) play(ctx context.Context) (Record, Costs, error) {
 	stalled, metered := make(chan time.Duration), make(chan struct{})
-	go meter(metered, stalled)
+	go measureStall(metered, stalled)
 	r.rec.Started = time.Now()
-	if !r.scenario.Quiet {
-		r.busy.Go(r.replace)
-		r.busy.Go(r.silenceZone)
+	if !r.large.Quiet {
+		r.faults.Go(r.replaceReplicas)
+		r.faults.Go(r.silenceZone)
 	}
 	select {
 	case <-ctx.Done():
 		return r.rec, Costs{}, ctx.Err()
-	case <-time.After(r.s.Length):
+	case <-time.After(r.scenario.Length):
 	}
-	r.busy.Wait()
-	costs := r.costs()
-	r.endAll()
+	r.faults.Wait()
+	costs := r.liveCosts()
+	r.stopDispatchers()
 	r.awaitClients()
 	close(metered)
 	r.rec.Stall = <-stalled
-	d := r.fleet[0]
+	d := r.dispatchers[0]
 	if usage, ok := d.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		costs.CPU = d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
 		costs.PeakMemory = int(usage.Maxrss) << 10
@@ -102,8 +102,8 @@
 }
 
 // costs gives what can be told while the dispatcher runs.
-func (r *largeRun) costs() (c Costs) {
-	d := r.fleet[0]
+func (r *largeRun) liveCosts() (c Costs) {
+	d := r.dispatchers[0]
 	if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid)); err == nil {
 		c.Descriptors = len(open)
 	}
@@ -115,45 +115,45 @@
 }
 
 func (r *largeRun) start() (err error) {
-	if r.host, err = host(); err != nil {
+	if r.host, err = freeHost(); err != nil {
 		return err
 	}
 	r.port = firstPort
-	if r.reg, err = newRegistry(); err != nil {
+	if r.registry, err = newRegistry(); err != nil {
 		return err
 	}
-	for range r.scenario.Replicas {
-		if err := r.add(nil); err != nil {
+	for range r.large.Replicas {
+		if err := r.addReplica(nil); err != nil {
 			return err
 		}
 	}
 	for _, n := range r.serving {
 		r.entries = append(r.entries, n.entry)
 	}
-	r.clients = &clients{sessions: r.scenario.Sessions, stop: make(chan struct{}), classes: func() []class { return r.classes }}
+	r.clients = &clients{sessions: r.large.Sessions, stop: make(chan struct{}), classes: func() []class { return r.classes }}
 	d, err := newDispatcher(r.folder, 0, r.addr(), r.entries)
 	if err != nil {
 		return err
 	}
-	r.fleet = append(r.fleet, d)
-	if err := d.configure(settings(r.scenario.Siblings, r.classes), r.s.Sockets); err != nil {
+	r.dispatchers = append(r.dispatchers, d)
+	if err := d.configure(settings(r.large.Siblings, r.classes), r.scenario.Sockets); err != nil {
 		return err
 	}
-	if err := d.start(r.program()); err != nil {
+	if err := d.start(r.dispatcherProgram()); err != nil {
 		return err
 	}
-	if err := within(20*time.Second, d.takesNew); err != nil {
+	if err := waitUntil(20*time.Second, d.acceptsConns); err != nil {
 		return fmt.Errorf("dispatcher: %w", err)
 	}
-	g := &group{all: r.clients, d: d, draw: rand.New(rand.NewPCG(r.s.Seed, 0))}
+	g := &group{clients: r.clients, target: d, draw: rand.New(rand.NewPCG(r.scenario.Seed, 0))}
 	r.groups = append(r.groups, g)
 	r.clients.open.Add(1)
-	go g.come(r.s.Rate)
+	go g.generate(r.scenario.Rate)
 	return nil
 }
 
 // add starts a replica, in the place of another if there was one.
-func (r *largeRun) add(before *localReplica) error {
+func (r *largeRun) addReplica(before *localReplica) error {
 	n, number := &localReplica{}, len(r.replicas)
 	e := standin.Entry{Zone: zoneName(number % largeZones), Kind: "reader", State: "in_service", Weight: 1}
 	if number/largeZones%2 == 1 {
@@ -164,8 +164,8 @@
 		e.Zone, e.Kind, e.Cell, e.StartedMS = before.entry.Zone, before.entry.Kind, before.entry.Cell, time.Now().UnixMilli()
 	}
 	e.ID = fmt.Sprintf("%c%d", e.Kind[0], number)
-	cfg := ReplicaConfig{Name: e.ID, Reader: e.Kind == "reader", Listen: r.addr(), Seed: r.s.Seed + uint64(number)}
-	s, err := newReplica(cfg, localReporter{r.reg}).listen()
+	cfg := ReplicaConfig{Name: e.ID, Reader: e.Kind == "reader", Listen: r.addr(), Seed: r.scenario.Seed + uint64(number)}
+	s, err := newReplica(cfg, localReporter{r.registry}).listen()
 	if err != nil {
 		return err
 	}
@@ -176,9 +176,9 @@
 }
 
 // replace replaces replicas in steps: those of a step drain as their successors come, and are gone with the next step.
-func (r *largeRun) replace() {
-	time.Sleep(time.Until(r.rec.Started.Add(replaceFrom)))
-	draw := rand.New(rand.NewPCG(r.s.Seed, uint64(r.scenario.Replicas)))
+func (r *largeRun) replaceReplicas() {
+	time.Sleep(time.Until(r.rec.Started.Add(replaceStart)))
+	draw := rand.New(rand.NewPCG(r.scenario.Seed, uint64(r.large.Replicas)))
 	old := append([]*localReplica(nil), r.serving...)
 	draw.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
 	old = old[:int(replacedShare*float64(len(old)))]
@@ -195,30 +195,30 @@
 		for _, n := range draining {
 			n.entry.State = "terminating"
 			changed = append(changed, n.entry)
-			if err := r.add(n); err != nil {
-				r.bad("a replica can't be started: %v", err)
+			if err := r.addReplica(n); err != nil {
+				r.problem("a replica can't be started: %v", err)
 				return
 			}
 			changed = append(changed, r.replicas[len(r.replicas)-1].entry)
 		}
-		r.fleet[0].agent.Change(changed...)
-		r.drain(draining)
+		r.dispatchers[0].agent.Change(changed...)
+		r.recordDrains(draining)
 		time.Sleep(time.Until(next))
 	}
 }
 
 // drain books that replicas drain from now on.
-func (r *largeRun) drain(all []*localReplica) {
+func (r *largeRun) recordDrains(all []*localReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range all {
-		r.rec.Drains = append(r.rec.Drains, Drain{n.entry.ID, time.Now().Add(told)})
+		r.rec.Drains = append(r.rec.Drains, Drain{n.entry.ID, time.Now().Add(drainKnownWithin)})
 	}
 }
 
 // silenceZone has all replicas of a zone fall silent.
 func (r *largeRun) silenceZone() {
-	time.Sleep(time.Until(r.rec.Started.Add(zoneSilentFrom)))
+	time.Sleep(time.Until(r.rec.Started.Add(zoneSilentStart)))
 	var all []*localReplica
 	for _, n := range r.replicas {
 		if n.entry.Zone == zoneName(1) {
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -29,17 +29,17 @@
 	to string
 	ln *net.TCPListener
 
-	mu    sync.Mutex
-	cond  *sync.Cond
-	mode  NewConnectionMode
-	open  map[*carried]bool
-	heard func(id string)
-	fill  []net.Conn // they take the places of connections that may wait
-	ended bool
+	mu          sync.Mutex
+	cond        *sync.Cond
+	mode        NewConnectionMode
+	open        map[*conn]bool
+	onUnseenEnd func(id string)
+	fillers     []net.Conn // they take the places of connections that may wait
+	ended       bool
 }
 
 // carried is one connection with its two ends.
-type carried struct {
+type conn struct {
 	near, far net.Conn // far is nil where it never led anywhere
 	silent    bool     // guarded by the link
 	id        string   // of the last attempt that was sent on it; the goroutine that carries there has it
@@ -51,16 +51,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", to, err)
 	}
-	l := &Link{Addr: ln.Addr().String(), to: to, ln: ln.(*net.TCPListener), open: map[*carried]bool{}}
+	l := &Link{Addr: ln.Addr().String(), to: to, ln: ln.(*net.TCPListener), open: map[*conn]bool{}}
 	l.cond = sync.NewCond(&l.mu)
 	go l.accept()
 	return l, nil
 }
 
 // Unheard has the link tell of each attempt that its dispatcher ends on a connection that is silent, as its server hears nothing of that.
-func (l *Link) OnUnseenEnd(tell func(id string)) {
+func (l *Link) OnUnseenEnd(report func(id string)) {
 	l.mu.Lock()
-	l.heard = tell
+	l.onUnseenEnd = report
 	l.mu.Unlock()
 }
 
@@ -92,12 +92,12 @@
 	case mode == Pending && before != Pending:
 		_ = l.ln.SetDeadline(time.Now().Add(-time.Second)) // wakes the goroutine that accepts
 		l.listen(0)
-		l.takePlaces()
+		l.fillBacklog()
 	case mode != Pending && before == Pending:
-		for _, c := range l.fill {
+		for _, c := range l.fillers {
 			_ = c.Close()
 		}
-		l.fill = nil
+		l.fillers = nil
 		l.listen(backlog)
 		_ = l.ln.SetDeadline(time.Time{})
 	}
@@ -108,7 +108,7 @@
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.ended = true
-	for _, c := range l.fill {
+	for _, c := range l.fillers {
 		_ = c.Close()
 	}
 	l.mu.Unlock()
@@ -118,9 +118,9 @@
 }
 
 const (
-	backlog   = 128
-	placeTime = 20 * time.Millisecond // a connection that takes so long has found no place
-	placeMost = 8
+	backlog     = 128
+	fillTimeout = 20 * time.Millisecond // a connection that takes so long has found no place
+	fillersMax  = 8
 )
 
 // listen sets how many connections may wait to be accepted.
@@ -132,13 +132,13 @@
 
 // takePlaces connects until no further connection comes up: those of dispatchers find no place either, and the machine drops what they
 // send first.
-func (l *Link) takePlaces() {
-	for range placeMost {
-		c, err := net.DialTimeout("tcp", l.Addr, placeTime)
+func (l *Link) fillBacklog() {
+	for range fillersMax {
+		c, err := net.DialTimeout("tcp", l.Addr, fillTimeout)
 		if err != nil {
 			return
 		}
-		l.fill = append(l.fill, c)
+		l.fillers = append(l.fillers, c)
 	}
 }
 
@@ -157,12 +157,12 @@
 		if err != nil {
 			continue // woken, or closed
 		}
-		go l.carry(&carried{near: c})
+		go l.carry(&conn{near: c})
 	}
 }
 
 // carry leads one connection to the server until either side ends it.
-func (l *Link) carry(c *carried) {
+func (l *Link) carry(c *conn) {
 	l.mu.Lock()
 	mode := l.mode
 	c.silent = mode == Blackholed
@@ -200,14 +200,14 @@
 	}
 }
 
-func (l *Link) isSilent(c *carried) bool {
+func (l *Link) isSilent(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return c.silent
 }
 
 // pump carries one direction. What comes once the connection has fallen silent vanishes, and so does its end.
-func (l *Link) pump(c *carried, from, to net.Conn, done chan<- bool) {
+func (l *Link) pump(c *conn, from, to net.Conn, done chan<- bool) {
 	defer func() { done <- true }()
 	buf := make([]byte, 16<<10)
 	for {
@@ -224,7 +224,7 @@
 			continue
 		}
 		if l.isSilent(c) && from == c.near && c.id != "" {
-			l.tellUnheard(c.id)
+			l.reportUnseenEnd(c.id)
 		}
 		if err == io.EOF && !l.isSilent(c) {
 			if t, ok := to.(*net.TCPConn); ok {
@@ -235,12 +235,12 @@
 	}
 }
 
-func (l *Link) tellUnheard(id string) {
+func (l *Link) reportUnseenEnd(id string) {
 	l.mu.Lock()
-	tell := l.heard
+	report := l.onUnseenEnd
 	l.mu.Unlock()
-	if tell != nil {
-		tell(id)
+	if report != nil {
+		report(id)
 	}
 }
 
@@ -257,7 +257,7 @@
 	return last
 }
 
-func (c *carried) reset() {
+func (c *conn) reset() {
 	for _, side := range []net.Conn{c.near, c.far} {
 		if t, ok := side.(*net.TCPConn); ok {
 			_ = t.SetLinger(0) // without it the end is a plain one
@@ -266,7 +266,7 @@
 	}
 }
 
-func (c *carried) close() {
+func (c *conn) close() {
 	_ = c.near.Close()
 	if c.far != nil {
 		_ = c.far.Close()
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -39,7 +39,7 @@
 }
 
 // says tells whether the other side of a connection says back what it is told.
-func says(c net.Conn) error {
+func echoes(c net.Conn) error {
 	_ = c.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if _, err := c.Write([]byte("x")); err != nil {
 		return err
@@ -66,14 +66,14 @@
 func TestLinkSilencesOpenConnectionsOnly(t *testing.T) {
 	l := linkTo(t, echo(t))
 	before := dial(t, l)
-	if err := says(before); err != nil {
+	if err := echoes(before); err != nil {
 		t.Fatal(err)
 	}
 	l.Blackhole()
-	if err := says(before); !timedOut(err) {
+	if err := echoes(before); !timedOut(err) {
 		t.Errorf("a silent connection: %v", err)
 	}
-	if err := says(dial(t, l)); err != nil {
+	if err := echoes(dial(t, l)); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
 }
@@ -81,7 +81,7 @@
 func TestLinkKeepsNewConnectionsPending(t *testing.T) {
 	l := linkTo(t, echo(t))
 	before := dial(t, l)
-	if err := says(before); err != nil {
+	if err := echoes(before); err != nil {
 		t.Fatal(err)
 	}
 	l.SetNew(Pending)
@@ -89,11 +89,11 @@
 		_ = c.Close()
 		t.Error("a new connection came up")
 	}
-	if err := says(before); err != nil {
+	if err := echoes(before); err != nil {
 		t.Errorf("an open connection: %v", err)
 	}
 	l.SetNew(Forwarded)
-	if err := says(dial(t, l)); err != nil {
+	if err := echoes(dial(t, l)); err != nil {
 		t.Errorf("a connection after that: %v", err)
 	}
 }
@@ -101,15 +101,15 @@
 func TestLinkResets(t *testing.T) {
 	l := linkTo(t, echo(t))
 	before := dial(t, l)
-	if err := says(before); err != nil {
+	if err := echoes(before); err != nil {
 		t.Fatal(err)
 	}
 	l.Reset()
-	if err := says(before); err == nil || timedOut(err) {
+	if err := echoes(before); err == nil || timedOut(err) {
 		t.Errorf("a connection that was reset: %v", err)
 	}
 	l.SetNew(Blackholed)
-	if err := says(dial(t, l)); !timedOut(err) {
+	if err := echoes(dial(t, l)); !timedOut(err) {
 		t.Errorf("a new connection that is silent: %v", err)
 	}
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -56,18 +56,18 @@
 }
 
 // fetched is the registry's reply to a Fetch.
-type fetched struct {
+type registryMessage struct {
 	Held    *bool     `json:",omitempty"`
 	Conduct *Behavior `json:",omitempty"`
 }
 
 // replica plays one reader or writer.
 type replica struct {
-	cfg  ReplicaConfig
-	tell reporter
-	mu   sync.Mutex // for all below
-	how  Behavior
-	draw *rand.Rand
+	cfg      ReplicaConfig
+	reporter reporter
+	mu       sync.Mutex // for all below
+	behavior Behavior
+	draw     *rand.Rand
 }
 
 // reporter is how a replica reaches the registry.
@@ -82,7 +82,7 @@
 type remoteReporter struct {
 	mu      sync.Mutex // held for a write
 	conn    net.Conn
-	asking  sync.Mutex // held by who waits for a reply
+	replyMu sync.Mutex // held by who waits for a reply
 	replies chan bool
 }
 
@@ -99,14 +99,14 @@
 }
 
 func (m *remoteReporter) fetch(n Report) bool {
-	m.asking.Lock()
-	defer m.asking.Unlock()
+	m.replyMu.Lock()
+	defer m.replyMu.Unlock()
 	m.report(n)
 	return <-m.replies
 }
 
-func newReplica(cfg ReplicaConfig, tell reporter) *replica {
-	return &replica{cfg: cfg, tell: tell, draw: rand.New(rand.NewPCG(cfg.Seed, uint64(os.Getpid())))}
+func newReplica(cfg ReplicaConfig, reporter reporter) *replica {
+	return &replica{cfg: cfg, reporter: reporter, draw: rand.New(rand.NewPCG(cfg.Seed, uint64(os.Getpid())))}
 }
 
 // listen serves calls.
@@ -115,7 +115,7 @@
 	if r.cfg.Reader {
 		act = r.read
 	}
-	return standin.StartSeen(r.cfg.Listen, r.seen, act)
+	return standin.StartSeen(r.cfg.Listen, r.onCall, act)
 }
 
 // RunReplica is the process of a replica. It returns when its registry has gone.
@@ -133,14 +133,14 @@
 	if _, err := r.listen(); err != nil {
 		return err
 	}
-	r.note(Received, "") // it is up
-	return r.obey(remote)
+	r.report(Received, "") // it is up
+	return r.receive(remote)
 }
 
 // obey takes replies and conducts from the registry.
-func (r *replica) obey(remote *remoteReporter) error {
+func (r *replica) receive(remote *remoteReporter) error {
 	for lines := bufio.NewScanner(remote.conn); lines.Scan(); {
-		var m fetched
+		var m registryMessage
 		if err := jsoniter.Unmarshal(lines.Bytes(), &m); err != nil {
 			return err
 		}
@@ -149,43 +149,43 @@
 		}
 		if m.Conduct != nil {
 			r.mu.Lock()
-			r.how = *m.Conduct
+			r.behavior = *m.Conduct
 			r.mu.Unlock()
 		}
 	}
 	return nil
 }
 
-func (r *replica) note(kind ReportKind, id string) {
-	r.tell.report(Report{At: time.Now(), Replica: r.cfg.Name, Kind: kind, ID: id})
+func (r *replica) report(kind ReportKind, id string) {
+	r.reporter.report(Report{At: time.Now(), Replica: r.cfg.Name, Kind: kind, ID: id})
 }
 
 // fetch asks whether the state of a request is there, and takes it.
 func (r *replica) fetch(id string) bool {
-	return r.tell.fetch(Report{At: time.Now(), Replica: r.cfg.Name, Kind: Fetch, ID: id})
+	return r.reporter.fetch(Report{At: time.Now(), Replica: r.cfg.Name, Kind: Fetch, ID: id})
 }
 
 // ended reports the end of an attempt. Where the replica fell silent meanwhile, the dispatcher has given it up just now.
 func (r *replica) ended(x *standin.Exchange) {
 	if x.Unsaid() {
-		r.note(Abandoned, x.ID)
+		r.report(Abandoned, x.ID)
 	}
-	r.note(Ended, x.ID)
+	r.report(Ended, x.ID)
 }
 
-func (r *replica) seen(c standin.Call) {
+func (r *replica) onCall(c standin.Call) {
 	switch c.Method {
 	case "DELETE":
-		r.note(Released, c.Path[len("/bootstrap/rooms/"):])
+		r.report(Released, c.Path[len("/bootstrap/rooms/"):])
 	case "POST":
-		r.note(Received, c.ID)
+		r.report(Received, c.ID)
 	}
 }
 
 // misbehave plays what the conduct asks for instead of an answer, and tells whether it did.
 func (r *replica) misbehave(x *standin.Exchange) bool {
 	r.mu.Lock()
-	c, p := r.how, r.draw.Float64()
+	c, p := r.behavior, r.draw.Float64()
 	r.mu.Unlock()
 	for _, way := range []struct {
 		share float64
@@ -205,30 +205,30 @@
 }
 
 // span draws a time.
-func (r *replica) span(least, most time.Duration) time.Duration {
+func (r *replica) randDuration(least, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait := least + time.Duration(r.draw.Int64N(int64(most-least)))
-	if r.how.Slow > 0 {
-		wait = time.Duration(float64(wait) * r.how.Slow)
+	if r.behavior.Slow > 0 {
+		wait = time.Duration(float64(wait) * r.behavior.Slow)
 	}
 	return wait
 }
 
 func (r *replica) read(x *standin.Exchange) {
 	defer r.ended(x)
-	if r.misbehave(x) || x.Await(r.span(readLeast, readMost)) {
+	if r.misbehave(x) || x.Await(r.randDuration(readMin, readMax)) {
 		return
 	}
-	r.note(ReadDone, x.ID)
+	r.report(ReadDone, x.ID)
 	x.Read(0)
 }
 
 const (
-	readLeast, readMost   = 10 * time.Millisecond, 150 * time.Millisecond
-	queueLeast, queueMost = time.Millisecond, 400 * time.Millisecond
-	tokenLeast, tokenMost = 5 * time.Millisecond, 40 * time.Millisecond
-	tokensMost            = 150
+	readMin, readMax   = 10 * time.Millisecond, 150 * time.Millisecond
+	queueMin, queueMax = time.Millisecond, 400 * time.Millisecond
+	tokenMin, tokenMax = 5 * time.Millisecond, 40 * time.Millisecond
+	extraTokensMax     = 150
 )
 
 func (r *replica) write(x *standin.Exchange) {
@@ -240,12 +240,12 @@
 		x.Status(410, true, "nothing is held")
 		return
 	}
-	if x.Await(r.span(queueLeast, queueMost)) {
+	if x.Await(r.randDuration(queueMin, queueMax)) {
 		return
 	}
-	r.note(StreamStarted, x.ID)
+	r.report(StreamStarted, x.ID)
 	r.mu.Lock()
-	tokens, breaks := 2+r.draw.IntN(tokensMost), r.draw.Float64() < r.how.BreakStream
+	tokens, breaks := 2+r.draw.IntN(extraTokensMax), r.draw.Float64() < r.behavior.BreakStream
 	r.mu.Unlock()
 	x.Head()
 	for n := range tokens {
@@ -254,12 +254,12 @@
 			return
 		}
 		x.Token(token{x.ID, n, time.Now()}.String())
-		if x.Broken() || x.Await(r.span(tokenLeast, tokenMost)) {
+		if x.Broken() || x.Await(r.randDuration(tokenMin, tokenMax)) {
 			return
 		}
 	}
 	if x.End(); !x.Broken() {
-		r.note(Finished, x.ID)
+		r.report(Finished, x.ID)
 	}
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -49,36 +49,36 @@
 
 // node is one replica with its link.
 type node struct {
-	cfg  ReplicaConfig
-	link *Link
-	cmd  *exec.Cmd
-	stop int  // faults that stop it now
-	down bool // a fault has killed it
+	cfg    ReplicaConfig
+	link   *Link
+	cmd    *exec.Cmd
+	pauses int  // faults that stop it now
+	down   bool // a fault has killed it
 }
 
 // run is a run under way.
 type run struct {
-	s       Scenario
-	p       Program
-	folder  string
-	reg     *registry
-	nodes   []*node
-	fleet   []*dispatcher
-	groups  []*group
-	clients *clients
-	entries []standin.Entry
-	host    string
-	port    int // of the address that was given last
+	scenario    Scenario
+	programs    Program
+	folder      string
+	registry    *registry
+	nodes       []*node
+	dispatchers []*dispatcher
+	groups      []*group
+	clients     *clients
+	entries     []standin.Entry
+	host        string
+	port        int // of the address that was given last
 
 	mu      sync.Mutex // for all below
 	rec     Record
 	classes []class
-	busy    sync.WaitGroup // faults that are not over
+	faults  sync.WaitGroup // faults that are not over
 }
 
 // Run plays a scenario in a folder and records it. Files stay there.
 func Run(ctx context.Context, s Scenario, p Program, folder string) (Record, error) {
-	r := &run{s: s, p: p, folder: folder, classes: s.Classes}
+	r := &run{scenario: s, programs: p, folder: folder, classes: s.Classes}
 	r.rec = Record{Scenario: s, Processes: map[string][]*Process{}, Logs: map[string]string{}, FaultPeriods: map[string][]Period{}, HadIdleClients: map[string]bool{}}
 	defer r.close()
 	if err := r.start(); err != nil {
@@ -86,7 +86,7 @@
 	}
 	stalled := make(chan time.Duration)
 	metered := make(chan struct{})
-	go meter(metered, stalled)
+	go measureStall(metered, stalled)
 	r.rec.Started = time.Now()
 	for _, f := range s.Faults {
 		select {
@@ -94,12 +94,12 @@
 			return r.rec, ctx.Err()
 		case <-time.After(time.Until(r.rec.Started.Add(f.At))):
 		}
-		r.busy.Add(1)
-		go func() { defer r.busy.Done(); r.play(f) }()
+		r.faults.Add(1)
+		go func() { defer r.faults.Done(); r.inject(f) }()
 	}
 	time.Sleep(time.Until(r.rec.Started.Add(s.Length)))
-	r.busy.Wait()
-	r.endAll()
+	r.faults.Wait()
+	r.stopDispatchers()
 	r.awaitClients()
 	close(metered)
 	r.rec.Stall = <-stalled
@@ -107,39 +107,39 @@
 }
 
 // heldLook is for how long after the last request what is held is looked at: a state that is held for too long shows by then.
-const heldLook = letGoBy + heldSlack + heldUpMost + 500*time.Millisecond
+const releaseWait = releaseLimit + releaseSlack + pauseMax + 500*time.Millisecond
 
 // awaitClients ends the clients, and returns when what is held has had its time.
 func (r *run) awaitClients() {
 	close(r.clients.stop)
 	r.clients.open.Wait()
-	time.Sleep(heldLook)
+	time.Sleep(releaseWait)
 }
 
 // collect puts into the record what was seen.
 func (r *run) collect() error {
 	r.rec.Ended = time.Now()
-	r.rec.Reports = r.reg.close()
-	r.rec.Requests = r.clients.asked
-	for _, d := range r.fleet {
+	r.rec.Reports = r.registry.close()
+	r.rec.Requests = r.clients.requests
+	for _, d := range r.dispatchers {
 		text, err := os.ReadFile(d.log)
 		if err != nil {
 			return err
 		}
-		r.rec.Processes[d.name], r.rec.Logs[d.name] = d.lives, string(text)
+		r.rec.Processes[d.name], r.rec.Logs[d.name] = d.processes, string(text)
 	}
 	return nil
 }
 
 // meter finds the longest time for which this process was held up.
-func meter(stop <-chan struct{}, to chan<- time.Duration) {
+func measureStall(stop <-chan struct{}, result chan<- time.Duration) {
 	const step = 5 * time.Millisecond
 	worst := time.Duration(0)
 	for {
 		at := time.Now()
 		select {
 		case <-stop:
-			to <- worst
+			result <- worst
 			return
 		case <-time.After(step):
 			worst = max(worst, time.Since(at)-step)
@@ -148,7 +148,7 @@
 }
 
 // host draws a loopback address that is this run's alone, so that its ports are free.
-func host() (string, error) {
+func freeHost() (string, error) {
 	const tries, port = 100, 10000
 	for range tries {
 		addr := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
@@ -170,15 +170,15 @@
 const firstPort = 10000
 
 func (r *run) start() (err error) {
-	if r.host, err = host(); err != nil {
+	if r.host, err = freeHost(); err != nil {
 		return err
 	}
 	r.port = firstPort
-	if r.reg, err = newRegistry(); err != nil {
+	if r.registry, err = newRegistry(); err != nil {
 		return err
 	}
-	for i := range r.s.Readers + r.s.Writers {
-		n := &node{cfg: ReplicaConfig{Name: fmt.Sprintf("w%d", i), Reader: i < r.s.Readers, Registry: r.reg.ln.Addr().String(), Seed: r.s.Seed + uint64(i)}}
+	for i := range r.scenario.Readers + r.scenario.Writers {
+		n := &node{cfg: ReplicaConfig{Name: fmt.Sprintf("w%d", i), Reader: i < r.scenario.Readers, Registry: r.registry.ln.Addr().String(), Seed: r.scenario.Seed + uint64(i)}}
 		kind := "writer"
 		if n.cfg.Reader {
 			kind, n.cfg.Name = "reader", fmt.Sprintf("r%d", i)
@@ -187,34 +187,36 @@
 		if n.link, err = NewLink(r.addr(), n.cfg.Listen); err != nil {
 			return err
 		}
-		n.link.OnUnseenEnd(func(id string) { r.reg.take(Report{At: time.Now(), Replica: n.cfg.Name, Kind: Abandoned, ID: id}, nil) })
+		n.link.OnUnseenEnd(func(id string) {
+			r.registry.handle(Report{At: time.Now(), Replica: n.cfg.Name, Kind: Abandoned, ID: id}, nil)
+		})
 		if err := r.startReplica(n); err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
 		r.entries = append(r.entries, standin.Entry{ID: n.cfg.Name, Addr: n.link.Addr, Zone: zoneName(0), Kind: kind, State: "in_service", Weight: 1})
 	}
-	if err := within(5*time.Second, func() bool { return r.reg.up() == len(r.nodes) }); err != nil {
+	if err := waitUntil(5*time.Second, func() bool { return r.registry.reported() == len(r.nodes) }); err != nil {
 		return fmt.Errorf("replicas: %w", err)
 	}
-	r.clients = &clients{sessions: usualSessions, stop: make(chan struct{}), classes: func() []class { r.mu.Lock(); defer r.mu.Unlock(); return r.classes }}
-	for i := range r.s.Dispatchers {
+	r.clients = &clients{sessions: sessionCount, stop: make(chan struct{}), classes: func() []class { r.mu.Lock(); defer r.mu.Unlock(); return r.classes }}
+	for i := range r.scenario.Dispatchers {
 		d, err := newDispatcher(r.folder, i, r.addr(), r.entries)
 		if err != nil {
 			return err
 		}
-		r.fleet = append(r.fleet, d)
-		if err := d.configure(settings(r.s.Dispatchers, r.s.Classes), r.s.Sockets); err != nil {
+		r.dispatchers = append(r.dispatchers, d)
+		if err := d.configure(settings(r.scenario.Dispatchers, r.scenario.Classes), r.scenario.Sockets); err != nil {
 			return err
 		}
-		if err := d.start(r.program()); err != nil {
+		if err := d.start(r.dispatcherProgram()); err != nil {
 			return err
 		}
-		r.groups = append(r.groups, &group{all: r.clients, d: d, draw: rand.New(rand.NewPCG(r.s.Seed, uint64(i)))})
+		r.groups = append(r.groups, &group{clients: r.clients, target: d, draw: rand.New(rand.NewPCG(r.scenario.Seed, uint64(i)))})
 	}
-	if err := within(10*time.Second, func() bool {
-		for _, d := range r.fleet {
-			if !d.takesNew() {
+	if err := waitUntil(10*time.Second, func() bool {
+		for _, d := range r.dispatchers {
+			if !d.acceptsConns() {
 				return false
 			}
 		}
@@ -224,12 +226,12 @@
 	}
 	for _, g := range r.groups {
 		r.clients.open.Add(1)
-		go g.come(r.s.Rate)
+		go g.generate(r.scenario.Rate)
 	}
 	return nil
 }
 
-func within(limit time.Duration, cond func() bool) error {
+func waitUntil(limit time.Duration, cond func() bool) error {
 	for end := time.Now().Add(limit); !cond(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("not up within %v", limit)
@@ -238,15 +240,17 @@
 	return nil
 }
 
-func (r *run) program() program { return program{r.p.Dispatcher, r.p.DispatcherEnv} }
+func (r *run) dispatcherProgram() program {
+	return program{r.programs.Dispatcher, r.programs.DispatcherEnv}
+}
 
 func (r *run) startReplica(n *node) error {
 	text, err := jsoniter.MarshalToString(n.cfg)
 	if err != nil {
 		return err
 	}
-	n.cmd = exec.Command(r.p.Replica)
-	n.cmd.Env = append(append(os.Environ(), r.p.ReplicaEnv...), ReplicaEnv+"="+text)
+	n.cmd = exec.Command(r.programs.Replica)
+	n.cmd.Env = append(append(os.Environ(), r.programs.ReplicaEnv...), ReplicaEnv+"="+text)
 	log, err := os.OpenFile(filepath.Join(r.folder, n.cfg.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -258,36 +262,36 @@
 
 // endAll ends the dispatchers, as at a planned restart: with signals in series, while clients go on with the connections that are open, in
 // some runs beside a crowd that fills the descriptors.
-func (r *run) endAll() {
+func (r *run) stopDispatchers() {
 	over := make(chan time.Time)
 	defer close(over)
-	if r.s.Shutdown.IdleClients {
+	if r.scenario.Shutdown.IdleClients {
 		for i, g := range r.groups {
-			r.crowds(r.fleet[i])
+			r.markIdleClients(r.dispatchers[i])
 			r.clients.open.Add(1)
-			go g.crowd(r.s.Sockets, over)
+			go g.holdIdleConns(r.scenario.Sockets, over)
 		}
-		time.Sleep(crowdGathers)
+		time.Sleep(connectTime)
 	}
 	var ended sync.WaitGroup
-	for _, d := range r.fleet {
-		ended.Go(func() { r.terminate(d, series(r.s.Shutdown.SignalSeries), r.s.Shutdown.Pause) })
+	for _, d := range r.dispatchers {
+		ended.Go(func() { r.terminate(d, signalSeries(r.scenario.Shutdown.SignalSeries), r.scenario.Shutdown.Pause) })
 	}
 	ended.Wait()
 }
 
 // crowdGathers is how long a crowd has to connect.
-const crowdGathers = 200 * time.Millisecond
+const connectTime = 200 * time.Millisecond
 
 // crowds books that a dispatcher has a crowd.
-func (r *run) crowds(d *dispatcher) {
+func (r *run) markIdleClients(d *dispatcher) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.HadIdleClients[d.name] = true
 }
 
 func (r *run) close() {
-	for _, d := range r.fleet {
+	for _, d := range r.dispatchers {
 		d.signal(syscall.SIGKILL)
 		d.agent.Close()
 	}
@@ -298,8 +302,8 @@
 		}
 		n.link.Close()
 	}
-	if r.reg != nil {
-		_ = r.reg.close()
+	if r.registry != nil {
+		_ = r.registry.close()
 	}
 }
 
@@ -316,6 +320,6 @@
 	for _, f := range s.Faults {
 		fmt.Fprintln(&all, f)
 	}
-	fmt.Fprintf(&all, "in the end %v, %.3f s apart, crowd %v\n", series(s.Shutdown.SignalSeries), s.Shutdown.Pause.Seconds(), s.Shutdown.IdleClients)
+	fmt.Fprintf(&all, "in the end %v, %.3f s apart, crowd %v\n", signalSeries(s.Shutdown.SignalSeries), s.Shutdown.Pause.Seconds(), s.Shutdown.IdleClients)
 	return all.String()
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -29,15 +29,15 @@
 
 // fault is one thing that goes wrong at a time.
 type fault struct {
-	At     time.Duration
-	Kind   faultKind
-	Target int // of the dispatchers or replicas, by kind
-	Span   time.Duration
-	Size   float64
+	At       time.Duration
+	Kind     faultKind
+	Target   int // of the dispatchers or replicas, by kind
+	Duration time.Duration
+	Size     float64
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%.3f %s %d for %.3f, %.2f", f.At.Seconds(), f.Kind, f.Target, f.Span.Seconds(), f.Size)
+	return fmt.Sprintf("%.3f %s %d for %.3f, %.2f", f.At.Seconds(), f.Kind, f.Target, f.Duration.Seconds(), f.Size)
 }
 
 // faultKind names a fault.
@@ -45,27 +45,27 @@
 
 // The faults. Those of links concern the connections of all dispatchers to a replica.
 const (
-	linkSilent  faultKind = "open connections fall silent"
-	linkCut     faultKind = "cut off"
-	linkPending faultKind = "new connections do not come up"
-	linkReset   faultKind = "connections are reset"
-	roleSilent  faultKind = "open connections to most replicas of a role fall silent"
-	hang        faultKind = "stopped"
-	die         faultKind = "killed and started again"
-	misbehave   faultKind = "answers badly"
-	terminate   faultKind = "SIGTERM, with signals in series"
-	kill        faultKind = "SIGKILL"
-	heldUpFault faultKind = "held up"
-	reload      faultKind = "SIGHUP in a row"
-	mute        faultKind = "discovery is silent"
-	overload    faultKind = "discovery turns calls away"
-	drain       faultKind = "drains"
-	crowd       faultKind = "crowd of idle clients"
-	halfSent    faultKind = "clients stop in the middle of a request"
+	linkBlackhole       faultKind = "open connections fall silent"
+	linkPartition       faultKind = "cut off"
+	linkPending         faultKind = "new connections do not come up"
+	linkReset           faultKind = "connections are reset"
+	roleBlackhole       faultKind = "open connections to most replicas of a role fall silent"
+	pauseReplica        faultKind = "stopped"
+	restartReplica      faultKind = "killed and started again"
+	badAnswers          faultKind = "answers badly"
+	terminateDispatcher faultKind = "SIGTERM, with signals in series"
+	killDispatcher      faultKind = "SIGKILL"
+	pauseDispatcher     faultKind = "held up"
+	reloadSettings      faultKind = "SIGHUP in a row"
+	muteDiscovery       faultKind = "discovery is silent"
+	overloadDiscovery   faultKind = "discovery turns calls away"
+	drainReplica        faultKind = "drains"
+	idleClients         faultKind = "crowd of idle clients"
+	partialRequests     faultKind = "clients stop in the middle of a request"
 )
 
-var faultKinds = []faultKind{linkSilent, linkSilent, linkSilent, linkCut, linkCut, linkPending, linkReset, roleSilent, roleSilent, hang, hang, die,
-	misbehave, misbehave, terminate, terminate, terminate, kill, heldUpFault, reload, mute, overload, drain, crowd, halfSent}
+var faultKinds = []faultKind{linkBlackhole, linkBlackhole, linkBlackhole, linkPartition, linkPartition, linkPending, linkReset, roleBlackhole, roleBlackhole, pauseReplica, pauseReplica, restartReplica,
+	badAnswers, badAnswers, terminateDispatcher, terminateDispatcher, terminateDispatcher, killDispatcher, pauseDispatcher, reloadSettings, muteDiscovery, overloadDiscovery, drainReplica, idleClients, partialRequests}
 
 // Draw gives the scenario of a seed. Size scales the number of processes, 1 being from 10 to 40.
 func Generate(seed uint64, size float64, length time.Duration) Scenario {
@@ -78,23 +78,23 @@
 	for _, c := range [][2]string{{"enquiry", "idempotent"}, {"instruction", "at_most_once"}, {"change", "deduplicated"}} {
 		s.Classes = append(s.Classes, class{c[0], c[1], deadlines[draw.IntN(len(deadlines))]})
 	}
-	const quiet = 1500 * time.Millisecond // at the start and, for what has no span, at the end
-	at := quiet
-	for at < length-quiet {
+	const margin = 1500 * time.Millisecond // at the start and, for what has no span, at the end
+	at := margin
+	for at < length-margin {
 		f := fault{At: at, Kind: faultKinds[draw.IntN(len(faultKinds))], Target: draw.IntN(1 << 16), Size: draw.Float64(),
-			Span: time.Duration((0.2 + 2.8*draw.Float64()) * float64(time.Second))}
+			Duration: time.Duration((0.2 + 2.8*draw.Float64()) * float64(time.Second))}
 		s.Faults = append(s.Faults, f)
 		at += time.Duration(draw.Float64() * float64(800*time.Millisecond)) // spans are longer: faults overlap
 	}
-	s.Shutdown = shutdownPlan{SignalSeries: draw.IntN(1 << 16), Pause: time.Duration(draw.Float64() * float64(seriesPause)), IdleClients: draw.Float64() < crowdedEndings}
+	s.Shutdown = shutdownPlan{SignalSeries: draw.IntN(1 << 16), Pause: time.Duration(draw.Float64() * float64(signalPauseMax)), IdleClients: draw.Float64() < idleClientsShare}
 	return s
 }
 
 // crowdedEndings is the part of the runs that end beside a crowd.
-const crowdedEndings = 0.25
+const idleClientsShare = 0.25
 
 // longest is the longest deadline of the classes.
-func (s Scenario) longest() (d time.Duration) {
+func (s Scenario) longestDeadline() (d time.Duration) {
 	for _, c := range s.Classes {
 		d = max(d, c.Deadline)
 	}
