--- a/cmd/standpulley/known_list_test.go
+++ b/cmd/standpulley/known_list_test.go
@@ -34,7 +34,7 @@
 		changed := strings.Replace(settings, `"siblings":1,`, `"siblings":1,"registry_mode":"`+c.mode+`",`, 1)
 		_, out := startProgram(t, writeConfig(t, path, addr, agent.Addr, changed, fmt.Sprintf(`,"known":{"version":%d,"full":true,"servers":[%s]}`, c.version, strings.Join(known, ","))))
 		waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
-		if asked := agent.Asked(); asked[0] != c.query || strings.Contains(out.String(), "no list from discovery yet") {
+		if asked := agent.Queries(); asked[0] != c.query || strings.Contains(out.String(), "no list from discovery yet") {
 			t.Errorf("%s, version %d: asked %q\n%s", c.mode, c.version, asked, out)
 		}
 		if c.drains {
@@ -50,8 +50,8 @@
 		if sent := len(leaving.Calls("POST")) > 0; c.drains && (sent || answers["leaving"]) {
 			t.Errorf("%s, version %d: requests sent to the draining writer", c.mode, c.version)
 		}
-		if c.mode == "on_request" && slices.Contains(agent.Asked(), "") {
-			t.Errorf("%s, version %d: asked for the full list: %q", c.mode, c.version, agent.Asked())
+		if c.mode == "on_request" && slices.Contains(agent.Queries(), "") {
+			t.Errorf("%s, version %d: asked for the full list: %q", c.mode, c.version, agent.Queries())
 		}
 	}
 }
--- a/cmd/standpulley/shutdown_test.go
+++ b/cmd/standpulley/shutdown_test.go
@@ -91,7 +91,7 @@
 		reader, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) {
 			if strings.HasSuffix(x.ID, "1") {
 				hung <- true
-				x.Gone()
+				x.WaitClosed()
 				return
 			}
 			x.Read(0)
@@ -100,7 +100,7 @@
 			switch x.ID[len(x.ID)-1] {
 			case '2':
 				hung <- true
-				x.Gone()
+				x.WaitClosed()
 			case '3':
 				x.Head()
 				x.Token("one")
@@ -241,7 +241,7 @@
 	old, addr, path := startAgent(t, r, l, s), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	cmd, out := startProgram(t, writeConfig(t, path, addr, old.Addr, settings, ""))
 	waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
-	old.Mute(true)
+	old.SetUnresponsive(true)
 	l.State = "terminating"
 	next := startAgent(t, r, l, s)
 	writeConfig(t, path, addr, next.Addr, settings, "")
@@ -282,7 +282,7 @@
 		open = append(open, sendRequest(t, addr, n+1))
 		<-arrived
 	}
-	old.Mute(true)
+	old.SetUnresponsive(true)
 	l.State = "terminating"
 	next := startAgent(t, r, l, s)
 	writeConfig(t, path, freeAddr(t), next.Addr, settings, "")
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -61,7 +61,7 @@
 			break
 		}
 	}
-	if q := a.Asked(); q[0] != "" || !strings.HasPrefix(q[1], "index=1&wait=") {
+	if q := a.Queries(); q[0] != "" || !strings.HasPrefix(q[1], "index=1&wait=") {
 		t.Errorf("asked %q", q)
 	}
 	cancel()
@@ -101,7 +101,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Overload(true)
+		a.SetOverloaded(true)
 		updates := make(chan dispatch.Update, 8)
 		ctx, cancel := context.WithCancel(context.Background())
 		w := &discovery.Watcher{Addr: a.Addr, Siblings: siblings, Kinds: []logic.Kind{{Name: "k"}}, OnUpdate: func(u dispatch.Update) { updates <- u }}
@@ -113,14 +113,14 @@
 	defer stop()
 	many, _, stopMany := watch(80)
 	defer stopMany()
-	for len(many.Asked()) == 0 || len(few.Asked()) < 2 {
+	for len(many.Queries()) == 0 || len(few.Queries()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	few.Overload(false)
+	few.SetOverloaded(false)
 	if u := <-updates; len(u.Servers) != 1 {
 		t.Errorf("got %+v", u)
 	}
-	if n := len(many.Asked()); n != 1 {
+	if n := len(many.Queries()); n != 1 {
 		t.Errorf("one of 80 dispatchers made %d calls while discovery rejected them, want 1 in four seconds", n)
 	}
 }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -185,7 +185,7 @@
 // Guards: the client library times out and resends the instruction while the first attempt may be
 // running.
 func TestInstructionAbandonedByItsClientIsNotRunAgain(t *testing.T) {
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone() })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.WaitClosed() })
 	_, err := newSDKClient(addr, option.WithRequestTimeout(time.Second)).Chat.Completions.New(context.Background(), sdkParams("act"))
 	if err == nil {
 		t.Error("the abandoned request was answered")
@@ -204,7 +204,7 @@
 	act := firstThen(func(x *standin.Exchange) {
 		x.Head()
 		x.Token("half")
-		x.Gone()
+		x.WaitClosed()
 		gone <- true
 	}, func(x *standin.Exchange) { x.Answer("twice!") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
@@ -239,7 +239,7 @@
 // stream must not look complete, and nothing is sent again.
 func TestReplicaStallsAfterTheFirstEvent(t *testing.T) {
 	for _, model := range []string{"ask", "act"} {
-		stall := func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Gone() }
+		stall := func(x *standin.Exchange) { x.Head(); x.Token("half"); x.WaitClosed() }
 		rig, addr := start(t, fronttest.HealthyReader, stall, stall)
 		from := time.Now()
 		_, body := post(t, addr, requestBody(model, true))
@@ -268,7 +268,7 @@
 		func(x *standin.Exchange) { x.Break() },
 		func(x *standin.Exchange) { x.Status(500, false, "") },
 		func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Break() },
-		func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Gone() },
+		func(x *standin.Exchange) { x.Head(); x.Token("half"); x.WaitClosed() },
 	}
 	const requests = 20
 	var mu sync.Mutex
--- a/internal/front/platform/disconnect_test.go
+++ b/internal/front/platform/disconnect_test.go
@@ -30,7 +30,7 @@
 func TestClientClosesWithNextRequestSent(t *testing.T) {
 	for name, end := range clientCloses {
 		for _, behind := range []string{"", "P", rawRequest("enquiry", "3000m"), strings.Repeat(rawRequest("enquiry", "3000m"), 8), strings.Repeat(rawRequest("enquiry", "3000m"), 200)} {
-			rig, addr := start(t, func(x *standin.Exchange) { x.Gone() }, serve)
+			rig, addr := start(t, func(x *standin.Exchange) { x.WaitClosed() }, serve)
 			c := send(t, addr, rawRequest("enquiry", "3000m"))
 			fronttest.WaitFor(t, "the send to the reader", func() bool { return len(rig.Reader.Calls("POST")) == 1 })
 			if _, err := io.WriteString(c, behind); err != nil {
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -59,7 +59,7 @@
 }
 
 func serve(x *standin.Exchange) { x.Answer("a", "b") }
-func hang(x *standin.Exchange)  { x.Gone() }
+func hang(x *standin.Exchange)  { x.WaitClosed() }
 
 func TestServed(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
@@ -78,7 +78,7 @@
 func TestBrokenStreamEndsWithoutTheLastChunk(t *testing.T) {
 	for name, act := range map[string]func(*standin.Exchange){
 		"broken":  func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Break() },
-		"stalled": func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Gone() },
+		"stalled": func(x *standin.Exchange) { x.Head(); x.Token("a"); x.WaitClosed() },
 	} {
 		rig, addr := start(t, fronttest.HealthyReader, act)
 		if resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m"))); resp.StatusCode != 200 || complete ||
@@ -94,7 +94,7 @@
 // Guards: fasthttp does not report a client that disconnects while a handler waits.
 func TestClientClosesWhileWaiting(t *testing.T) {
 	gone := make(chan bool, 1)
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Gone(); gone <- true })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.WaitClosed(); gone <- true })
 	c := send(t, addr, rawRequest("instruction", "3000m"))
 	fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 	_ = c.Close()
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -61,7 +61,7 @@
 	for i, d := range b.Dispatchers {
 		tell := func() {
 			if a := b.reg.agents[d.Name]; a.Version() < version {
-				a.SetAt(version, list...)
+				a.SetAtVersion(version, list...)
 			}
 		}
 		if wait := late(i); wait > 0 {
@@ -139,7 +139,7 @@
 		work.Go(func() {
 			for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(time.Millisecond) {
 				if b.Script.Standalone {
-					if b.reg.agents[d.Name].Handed() >= version {
+					if b.reg.agents[d.Name].ServedVersion() >= version {
 						return
 					}
 				} else if o, err := b.Status(d); err == nil && o.ListVersion >= number {
@@ -183,7 +183,7 @@
 // Load sums what was asked of the register: calls answered, calls turned away, bytes handed out.
 func (b *Bench) RegistryLoad() (answered, away, bytes int) {
 	for _, a := range b.reg.agents {
-		x, y, z := a.Load()
+		x, y, z := a.Stats()
 		answered, away, bytes = answered+x, away+y, bytes+z
 	}
 	return answered, away, bytes
@@ -193,7 +193,7 @@
 func (b *Bench) LimitRegistry(calls int) {
 	l := rate.NewLimiter(rate.Limit(calls), calls)
 	for _, a := range b.reg.agents {
-		a.Limit(l)
+		a.SetRateLimit(l)
 	}
 }
 
--- a/internal/proving/register_list.go
+++ b/internal/proving/register_list.go
@@ -52,14 +52,14 @@
 	switch word {
 	case "mute", "unmute":
 		for _, d := range who {
-			r.agents[d.Name].Mute(word == "mute")
+			r.agents[d.Name].SetUnresponsive(word == "mute")
 		}
 		return nil
 	case "again": // what the register says by now, for who has not heard it
 		list, version = r.list, r.version
 	case "empty":
 		for _, d := range who {
-			r.agents[d.Name].SetAt(0)
+			r.agents[d.Name].SetAtVersion(0)
 		}
 		return nil
 	case "back":
@@ -68,7 +68,7 @@
 			return fmt.Errorf("no version %s of the register", arg)
 		}
 		for _, d := range who {
-			r.agents[d.Name].SetAt(int64(n), r.history[n]...)
+			r.agents[d.Name].SetAtVersion(int64(n), r.history[n]...)
 		}
 		return nil
 	case "new":
@@ -107,7 +107,7 @@
 			bad.ID, bad.Kind = "odd", "unheard-of"
 		}
 		for _, d := range who {
-			r.agents[d.Name].SetAt(version, append(list, bad)...)
+			r.agents[d.Name].SetAtVersion(version, append(list, bad)...)
 		}
 		return nil
 	case "half": // of all, at once
@@ -123,7 +123,7 @@
 		r.history = append(r.history, list)
 	}
 	for _, d := range who {
-		r.agents[d.Name].SetAt(version, list...)
+		r.agents[d.Name].SetAtVersion(version, list...)
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 			p.mu.Lock()
 			done := d.Until != 0 && p.f.Now() > d.Until
 			for name, a := range p.reg.agents {
-				if at := a.ToldOf(replica); !at.IsZero() && d.Told[name] == 0 {
+				if at := a.RemovalServedAt(replica); !at.IsZero() && d.Told[name] == 0 {
 					d.Told[name] = at.Sub(p.f.start)
 				}
 			}
--- a/internal/replica/opening_test.go
+++ b/internal/replica/opening_test.go
@@ -53,7 +53,7 @@
 	for _, cut := range []int{1, 6, len(whole) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
 			for name, end := range map[string]func(*standin.Exchange){
-				"reset": (*standin.Exchange).Break, "silence": (*standin.Exchange).Gone,
+				"reset": (*standin.Exchange).Break, "silence": (*standin.Exchange).WaitClosed,
 			} {
 				r := replicaOf(t, func(x *standin.Exchange) {
 					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(whole[:cut], size)) // what the other side makes of it is the point
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -19,7 +19,7 @@
 		"well":    {func(x *standin.Exchange) { x.Status(200, false, "") }, logic.Delivered},
 		"busy":    {func(x *standin.Exchange) { x.Status(503, false, "") }, logic.Full},
 		"unknown": {func(x *standin.Exchange) { x.Status(404, false, "") }, logic.Full},
-		"silent":  {func(x *standin.Exchange) { x.Gone() }, logic.ConnectFailed},
+		"silent":  {func(x *standin.Exchange) { x.WaitClosed() }, logic.ConnectFailed},
 		"broken":  {func(x *standin.Exchange) { x.Break() }, logic.ConnectFailed},
 		"dead":    {nil, logic.ConnectFailed},
 	} {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -70,7 +70,7 @@
 		"410 without proof": {func(x *standin.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
 		"reset":             {func(x *standin.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
 		"head, no event":    {func(x *standin.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
-		"silence":           {func(x *standin.Exchange) { x.Gone() }, dispatch.Result{Outcome: logic.TimedOut}},
+		"silence":           {func(x *standin.Exchange) { x.WaitClosed() }, dispatch.Result{Outcome: logic.TimedOut}},
 	} {
 		r := replicaOf(t, c.act)
 		wait := 5 * time.Second
@@ -102,7 +102,7 @@
 				return
 			}
 		}
-		x.Gone()
+		x.WaitClosed()
 	}
 }
 
@@ -243,7 +243,7 @@
 // Guards: an attempt that is given up closes its connection, and one that never left tells nothing of the replica.
 func TestCancel(t *testing.T) {
 	gone := make(chan bool, 1)
-	r := replicaOf(t, func(x *standin.Exchange) { x.Gone(); gone <- true })
+	r := replicaOf(t, func(x *standin.Exchange) { x.WaitClosed(); gone <- true })
 	rep, at := send(NewPool(4, 0, 0), r.Addr, 10*time.Second, "b")
 	for len(r.Calls("")) == 0 {
 		time.Sleep(time.Millisecond)
@@ -387,7 +387,7 @@
 // Guards: a machine that is cut off leaves its connections open and silent: after one silence the others are not used.
 func TestSilentConnectionsAreDoubted(t *testing.T) {
 	pool := NewPool(8, 0, 0)
-	quiet := replicaOf(t, func(x *standin.Exchange) { x.Gone() })
+	quiet := replicaOf(t, func(x *standin.Exchange) { x.WaitClosed() })
 	for range 2 { // two that idle, and one that falls silent
 		c, err := pool.dial(context.Background(), quiet.Addr, 0)
 		if err != nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -161,13 +161,13 @@
 	case reload:
 		r.reload(f, d)
 	case mute:
-		d.agent.Mute(true)
+		d.agent.SetUnresponsive(true)
 		time.Sleep(f.Span)
-		d.agent.Mute(false)
+		d.agent.SetUnresponsive(false)
 	case overload:
-		d.agent.Overload(true)
+		d.agent.SetOverloaded(true)
 		time.Sleep(f.Span)
-		d.agent.Overload(false)
+		d.agent.SetOverloaded(false)
 	case crowd:
 		r.crowds(d)
 		r.clients.open.Add(1)
--- a/internal/soak/large.go
+++ b/internal/soak/large.go
@@ -110,7 +110,7 @@
 	for _, n := range r.replicas {
 		c.Connections += n.Accepted()
 	}
-	_, _, c.ListBytes = d.agent.Load()
+	_, _, c.ListBytes = d.agent.Stats()
 	return c
 }
 
@@ -201,7 +201,7 @@
 			}
 			changed = append(changed, r.replicas[len(r.replicas)-1].entry)
 		}
-		r.fleet[0].agent.Change(changed...)
+		r.fleet[0].agent.Update(changed...)
 		r.drain(draining)
 		time.Sleep(time.Until(next))
 	}
@@ -227,11 +227,11 @@
 	}
 	span := Span{From: time.Now()}
 	for _, n := range all {
-		n.Silence(true)
+		n.SetUnresponsive(true)
 	}
 	time.Sleep(zoneSilentFor)
 	for _, n := range all {
-		n.Silence(false)
+		n.SetUnresponsive(false)
 	}
 	span.To = time.Now()
 	r.mu.Lock()
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -115,7 +115,7 @@
 	if r.cfg.Reader {
 		act = r.read
 	}
-	return standin.StartSeen(r.cfg.Listen, r.seen, act)
+	return standin.StartWithObserver(r.cfg.Listen, r.seen, act)
 }
 
 // RunReplica is the process of a replica. It returns when its registry has gone.
@@ -167,7 +167,7 @@
 
 // ended reports the end of an attempt. Where the replica fell silent meanwhile, the dispatcher has given it up just now.
 func (r *replica) ended(x *standin.Exchange) {
-	if x.Unsaid() {
+	if x.Stalled() {
 		r.note(GaveUp, x.ID)
 	}
 	r.note(Ended, x.ID)
@@ -194,7 +194,7 @@
 		{c.Error, func() { x.Status(500, false, "spoilt") }},
 		{c.Full, func() { x.Status(503, true, "full") }},
 		{c.Break, x.Break},
-		{c.Hang, x.Gone},
+		{c.Hang, x.WaitClosed},
 	} {
 		if p -= way.share; p < 0 {
 			way.play()
@@ -217,7 +217,7 @@
 
 func (r *replica) read(x *standin.Exchange) {
 	defer r.ended(x)
-	if r.misbehave(x) || x.Await(r.span(readLeast, readMost)) {
+	if r.misbehave(x) || x.WaitClosedFor(r.span(readLeast, readMost)) {
 		return
 	}
 	r.note(ReadDone, x.ID)
@@ -240,7 +240,7 @@
 		x.Status(410, true, "nothing is held")
 		return
 	}
-	if x.Await(r.span(queueLeast, queueMost)) {
+	if x.WaitClosedFor(r.span(queueLeast, queueMost)) {
 		return
 	}
 	r.note(Ran, x.ID)
@@ -254,7 +254,7 @@
 			return
 		}
 		x.Token(token{x.ID, n, time.Now()}.String())
-		if x.Broken() || x.Await(r.span(tokenLeast, tokenMost)) {
+		if x.Broken() || x.WaitClosedFor(r.span(tokenLeast, tokenMost)) {
 			return
 		}
 	}
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -66,8 +66,8 @@
 	a.changed = make(chan struct{})
 }
 
-// Change changes or adds entries; watches are answered with what has changed since the version that they know.
-func (a *Agent) Change(entries ...Entry) {
+// Update changes or adds entries; watches are answered with what has changed since the version that they know.
+func (a *Agent) Update(entries ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.deltaFrom == 0 {
@@ -104,8 +104,8 @@
 	return changes, true
 }
 
-// SetAt is Set with the register's version, which agents of one register share.
-func (a *Agent) SetAt(version int64, list ...Entry) {
+// SetAtVersion is Set with the register's version, which agents of one register share.
+func (a *Agent) SetAtVersion(version int64, list ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version = version
@@ -114,8 +114,8 @@
 	a.changed = make(chan struct{})
 }
 
-// Mute has the agent say nothing any more, or again: calls wait until their callers give up.
-func (a *Agent) Mute(is bool) {
+// SetUnresponsive has the agent say nothing any more, or again: calls wait until their callers give up.
+func (a *Agent) SetUnresponsive(is bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.mute = is
@@ -139,9 +139,9 @@
 	return err == nil && there
 }
 
-// ToldOf gives when the agent first handed out a list without a replica in service that had named it before; zero if it has
+// RemovalServedAt gives when the agent first handed out a list without a replica in service that had named it before; zero if it has
 // not.
-func (a *Agent) ToldOf(replica string) time.Time {
+func (a *Agent) RemovalServedAt(replica string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.without[replica]
@@ -164,15 +164,15 @@
 	}
 }
 
-// Overload has the agent turn calls away, as it does while discovery can't take them all.
-func (a *Agent) Overload(is bool) {
+// SetOverloaded has the agent turn calls away, as it does while discovery can't take them all.
+func (a *Agent) SetOverloaded(is bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.busy = is
 }
 
-// Limit has the agent turn away what a service that all agents share can't take.
-func (a *Agent) Limit(l *rate.Limiter) {
+// SetRateLimit has the agent turn away what a service that all agents share can't take.
+func (a *Agent) SetRateLimit(l *rate.Limiter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.limit = l
@@ -185,22 +185,22 @@
 	return a.version
 }
 
-// Handed is told by Version.
-func (a *Agent) Handed() int64 {
+// ServedVersion is told by Version.
+func (a *Agent) ServedVersion() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.handed
 }
 
-// Load gives the calls that were taken and turned away so far, and the bytes that were handed out.
-func (a *Agent) Load() (answered, away, bytes int) {
+// Stats gives the calls that were taken and turned away so far, and the bytes that were handed out.
+func (a *Agent) Stats() (answered, away, bytes int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls[0], a.calls[1], a.bytes
 }
 
-// Asked gives the queries so far.
-func (a *Agent) Asked() []string {
+// Queries gives the queries so far.
+func (a *Agent) Queries() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]string(nil), a.asked...)
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -36,10 +36,12 @@
 }
 
 // Start listens at addr ("127.0.0.1:0" picks a port) and plays each request by act.
-func Start(addr string, act func(*Exchange)) (*Replica, error) { return StartSeen(addr, nil, act) }
+func Start(addr string, act func(*Exchange)) (*Replica, error) {
+	return StartWithObserver(addr, nil, act)
+}
 
-// StartSeen is Start, and tells seen of each call before it is played. Calls are not kept then.
-func StartSeen(addr string, seen func(Call), act func(*Exchange)) (*Replica, error) {
+// StartWithObserver is Start, and tells seen of each call before it is played. Calls are not kept then.
+func StartWithObserver(addr string, seen func(Call), act func(*Exchange)) (*Replica, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -59,16 +61,16 @@
 	}
 }
 
-// Silence has the replica say nothing and hear nothing from now on, on connections that are open or come up meanwhile, or speak again on new
+// SetUnresponsive has the replica say nothing and hear nothing from now on, on connections that are open or come up meanwhile, or speak again on new
 // ones. A connection that has fallen silent stays so.
-func (r *Replica) Silence(is bool) {
+func (r *Replica) SetUnresponsive(is bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent = is
 }
 
-// IsSilent tells whether the replica is silent now.
-func (r *Replica) IsSilent() bool {
+// IsUnresponsive tells whether the replica is silent now.
+func (r *Replica) IsUnresponsive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.silent
@@ -121,8 +123,8 @@
 		if err := x.Req.Read(br); err != nil {
 			return
 		}
-		if r.IsSilent() {
-			x.Gone()
+		if r.IsUnresponsive() {
+			x.WaitClosed()
 			return
 		}
 		x.Path = string(x.Req.URI().PathOriginal())
@@ -217,8 +219,8 @@
 	reset(x.Conn)
 }
 
-// Gone waits until the other side has closed the connection.
-func (x *Exchange) Gone() {
+// WaitClosed waits until the other side has closed the connection.
+func (x *Exchange) WaitClosed() {
 	x.broken = true
 	var b [1]byte
 	_, _ = x.Conn.Read(b[:]) // any end will do
@@ -227,8 +229,8 @@
 // Broken tells whether the connection has ended or must.
 func (x *Exchange) Broken() bool { return x.broken }
 
-// Await waits for a time, and tells whether the other side has closed the connection meanwhile. Nothing may come on it until the answer.
-func (x *Exchange) Await(wait time.Duration) (gone bool) {
+// WaitClosedFor waits for a time, and tells whether the other side has closed the connection meanwhile. Nothing may come on it until the answer.
+func (x *Exchange) WaitClosedFor(wait time.Duration) (gone bool) {
 	_ = x.Conn.SetReadDeadline(time.Now().Add(wait)) // a failure shows in the read
 	_, err := x.Conn.Read(make([]byte, 1))
 	_ = x.Conn.SetReadDeadline(time.Time{})
@@ -238,17 +240,17 @@
 	return gone
 }
 
-// Unsaid tells whether the replica fell silent in the middle of the exchange, and the other side has given it up since.
-func (x *Exchange) Unsaid() bool { return x.unsaid }
+// Stalled tells whether the replica fell silent in the middle of the exchange, and the other side has given it up since.
+func (x *Exchange) Stalled() bool { return x.unsaid }
 
 // write writes a part of the answer. On a silent replica's connection it comes to nobody, and the exchange lasts until the other side ends it.
 func (x *Exchange) write(text string) {
 	if x.unsaid {
 		return
 	}
-	if x.r.IsSilent() {
+	if x.r.IsUnresponsive() {
 		x.unsaid = true
-		x.Gone()
+		x.WaitClosed()
 		return
 	}
 	if _, err := x.Conn.Write([]byte(text)); err != nil {
