--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -14,49 +14,50 @@
 	"standpulley/internal/discovery"
 )
 
-const muteTime = 20 * time.Second // longer than any caller waits
+// unresponsiveTime is longer than any client waits for an answer.
+const unresponsiveTime = 20 * time.Second
 
 // Entry is one replica as discovery lists it.
 type Entry = discovery.Entry
 
-// Agent is a discovery agent whose list is set by the story.
+// Agent is a fake discovery agent. The test sets the list of replicas that it serves.
 type Agent struct {
 	Addr string
 
-	ln      net.Listener
-	mu      sync.Mutex
-	version int64
-	list    []Entry
-	changed chan struct{} // closed when the list changes
-	asked   []string      // the queries so far
-	busy    bool
-	mute    bool
-	limit   *rate.Limiter   // of the one service behind all agents; nil: none
-	calls   [2]int          // taken, turned away
-	bytes   int             // handed out
-	handed  int64           // the version of the list that was handed out last
-	named   map[string]bool // replicas that were handed out in service
-	without map[string]time.Time
+	ln              net.Listener
+	mu              sync.Mutex
+	version         int64
+	list            []Entry
+	changed         chan struct{} // closed when the list changes
+	queries         []string      // query strings of all requests so far
+	overloaded      bool
+	unresponsive    bool
+	limiter         *rate.Limiter // limit of the discovery service that all agents share; nil if there is none
+	requests        [2]int        // accepted, refused
+	bytesSent       int
+	servedVersion   int64                // version of the full list that was served last
+	servedInService map[string]bool      // replicas that have been served as in service
+	removalServedAt map[string]time.Time // by replica, see RemovalServedAt
 
-	changedAt map[string]int64 // by replica, the version that changed it, since deltas are told
-	deltaFrom int64            // the oldest version from which deltas are told; 0: none are
+	changedIn   map[string]int64 // by replica, the version that last changed it, from deltasSince on
+	deltasSince int64            // oldest version for which a delta can be served; 0 if no deltas are served
 }
 
-// StartAgent listens at addr.
+// StartAgent starts an agent that listens at addr and serves the given list as version 1.
 func StartAgent(addr string, list ...Entry) (*Agent, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{Addr: ln.Addr().String(), ln: ln, version: 1, list: list, changed: make(chan struct{}), named: map[string]bool{}, without: map[string]time.Time{}}
+	a := &Agent{Addr: ln.Addr().String(), ln: ln, version: 1, list: list, changed: make(chan struct{}), servedInService: map[string]bool{}, removalServedAt: map[string]time.Time{}}
 	go func() { _ = fasthttp.Serve(ln, a.serve) }() // ends with the listener
 	return a, nil
 }
 
-// Close stops listening.
+// Close closes the listener.
 func (a *Agent) Close() { _ = a.ln.Close() }
 
-// Set replaces the list; watches that wait are answered with the whole of it.
+// Set replaces the list under the next version. Pending watches are answered with the full list.
 func (a *Agent) Set(list ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,22 +67,23 @@
 	a.changed = make(chan struct{})
 }
 
-// Update changes or adds entries; watches are answered with what has changed since the version that they know.
+// Update replaces or adds entries under the next version. From the first call on, watches are
+// answered with a delta: the entries that have changed since the version they name.
 func (a *Agent) Update(entries ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.deltaFrom == 0 {
-		a.deltaFrom, a.changedAt = a.version, map[string]int64{}
+	if a.deltasSince == 0 {
+		a.deltasSince, a.changedIn = a.version, map[string]int64{}
 	}
 	a.version++
-	place := make(map[string]int, len(a.list))
+	index := make(map[string]int, len(a.list))
 	for i, e := range a.list {
-		place[e.ID] = i
+		index[e.ID] = i
 	}
 	a.list = append([]Entry(nil), a.list...)
 	for _, e := range entries {
-		a.changedAt[e.ID] = a.version
-		if i, known := place[e.ID]; known {
+		a.changedIn[e.ID] = a.version
+		if i, known := index[e.ID]; known {
 			a.list[i] = e
 		} else {
 			a.list = append(a.list, e)
@@ -91,20 +93,22 @@
 	a.changed = make(chan struct{})
 }
 
-// changesSince gives the entries that have changed since a version, and whether they can be told. It needs mu.
+// changesSince returns the entries that have changed since a version; ok is false if no delta from
+// that version can be served. The caller holds mu.
 func (a *Agent) changesSince(version int64) (changes []Entry, ok bool) {
-	if a.deltaFrom == 0 || version < a.deltaFrom || version > a.version {
+	if a.deltasSince == 0 || version < a.deltasSince || version > a.version {
 		return nil, false
 	}
 	for _, e := range a.list {
-		if a.changedAt[e.ID] > version {
+		if a.changedIn[e.ID] > version {
 			changes = append(changes, e)
 		}
 	}
 	return changes, true
 }
 
-// SetAtVersion is Set with the register's version, which agents of one register share.
+// SetAtVersion is like Set, but sets the version of the registry, which several agents of one
+// registry share.
 func (a *Agent) SetAtVersion(version int64, list ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,15 +118,17 @@
 	a.changed = make(chan struct{})
 }
 
-// SetUnresponsive has the agent say nothing any more, or again: calls wait until their callers give up.
-func (a *Agent) SetUnresponsive(is bool) {
+// SetUnresponsive makes the agent stop answering, or answer again. Requests to an unresponsive
+// agent hang until their clients time out.
+func (a *Agent) SetUnresponsive(enabled bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.mute = is
+	a.unresponsive = enabled
 }
 
-// heard tells whether a caller that waited is still there: what is said to one that has hung up is told to nobody.
-func heard(c net.Conn) bool {
+// isConnected reports whether the client has not closed its connection yet. A list sent to a client
+// that has closed it must not count as served.
+func isConnected(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return true
@@ -131,79 +137,82 @@
 	if err != nil {
 		return false
 	}
-	there := true
+	connected := true
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		there = n > 0 || err == syscall.EAGAIN
+		connected = n > 0 || err == syscall.EAGAIN
 	})
-	return err == nil && there
+	return err == nil && connected
 }
 
-// RemovalServedAt gives when the agent first handed out a list without a replica in service that had named it before; zero if it has
-// not.
+// RemovalServedAt returns when the agent first served a list in which a replica that it had served
+// as in service no longer was, or the zero time if it has not served such a list.
 func (a *Agent) RemovalServedAt(replica string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.without[replica]
+	return a.removalServedAt[replica]
 }
 
-// hand notes what a list that is handed out tells. It needs mu.
-func (a *Agent) hand(list []Entry) {
+// recordServed records which replicas a served list has as in service and which it has no longer.
+// The caller holds mu.
+func (a *Agent) recordServed(list []Entry) {
 	now := map[string]bool{}
 	for _, e := range list {
 		if e.State == "in_service" {
 			now[e.ID] = true
-			a.named[e.ID] = true
-			delete(a.without, e.ID)
+			a.servedInService[e.ID] = true
+			delete(a.removalServedAt, e.ID)
 		}
 	}
-	for id := range a.named {
-		if _, told := a.without[id]; !now[id] && !told {
-			a.without[id] = time.Now()
+	for id := range a.servedInService {
+		if _, recorded := a.removalServedAt[id]; !now[id] && !recorded {
+			a.removalServedAt[id] = time.Now()
 		}
 	}
 }
 
-// SetOverloaded has the agent turn calls away, as it does while discovery can't take them all.
-func (a *Agent) SetOverloaded(is bool) {
+// SetOverloaded makes the agent refuse all requests with status 503, as it does while discovery is
+// overloaded.
+func (a *Agent) SetOverloaded(enabled bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.busy = is
+	a.overloaded = enabled
 }
 
-// SetRateLimit has the agent turn away what a service that all agents share can't take.
+// SetRateLimit sets the limiter of the discovery service that all agents share. The agent refuses
+// requests beyond it with status 503.
 func (a *Agent) SetRateLimit(l *rate.Limiter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.limit = l
+	a.limiter = l
 }
 
-// Version gives the register's version that the agent knows, and Handed the one that it handed out last.
+// Version returns the registry's version of the list that the agent has now.
 func (a *Agent) Version() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.version
 }
 
-// ServedVersion is told by Version.
+// ServedVersion returns the version of the full list that the agent served last.
 func (a *Agent) ServedVersion() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.handed
+	return a.servedVersion
 }
 
-// Stats gives the calls that were taken and turned away so far, and the bytes that were handed out.
-func (a *Agent) Stats() (answered, away, bytes int) {
+// Stats returns the numbers of requests accepted and refused so far, and the bytes of lists served.
+func (a *Agent) Stats() (accepted, refused, bytesSent int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.calls[0], a.calls[1], a.bytes
+	return a.requests[0], a.requests[1], a.bytesSent
 }
 
-// Queries gives the queries so far.
+// Queries returns the query strings of all requests so far.
 func (a *Agent) Queries() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]string(nil), a.asked...)
+	return append([]string(nil), a.queries...)
 }
 
 func (a *Agent) serve(ctx *fasthttp.RequestCtx) {
@@ -212,17 +221,18 @@
 		return
 	}
 	a.mu.Lock()
-	a.asked = append(a.asked, string(ctx.QueryArgs().QueryString()))
-	if a.busy || a.limit != nil && !a.limit.Allow() {
-		a.calls[1]++
+	a.queries = append(a.queries, string(ctx.QueryArgs().QueryString()))
+	if a.overloaded || a.limiter != nil && !a.limiter.Allow() {
+		a.requests[1]++
 		a.mu.Unlock()
 		ctx.Error("discovery is overloaded", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	a.calls[0]++ // who asks may have hung up by the answer
+	a.requests[0]++ // counted before the answer, as the client may have closed the connection by then
 	index, watch := int64(0), ctx.QueryArgs().Has("index")
 	if watch {
-		index, _ = strconv.ParseInt(string(ctx.QueryArgs().Peek("index")), 10, 64) // 0 is older than any list
+		// An invalid index counts as 0, which is older than any list.
+		index, _ = strconv.ParseInt(string(ctx.QueryArgs().Peek("index")), 10, 64)
 	}
 	changed := a.changed
 	if watch && index == a.version {
@@ -233,12 +243,13 @@
 		}
 		a.mu.Lock()
 	}
-	if a.mute {
+	if a.unresponsive {
 		a.mu.Unlock()
-		time.Sleep(muteTime)
+		time.Sleep(unresponsiveTime)
 		return
 	}
-	// Another version than the caller's is handed out whole, an older one too: a register that was restored has gone back.
+	// A client at another version gets the full list, even if the agent's version is older: a
+	// registry that was restored from a backup goes back to an older version.
 	reply := discovery.List{Version: a.version, Full: !watch || a.version != index}
 	if reply.Full {
 		reply.Servers = a.list
@@ -253,10 +264,11 @@
 		return
 	}
 	a.mu.Lock()
-	a.bytes += len(text)
-	if reply.Full && heard(ctx.Conn()) { // told no earlier than this, however long it took to write the list down
-		a.hand(reply.Servers)
-		a.handed = reply.Version
+	a.bytesSent += len(text)
+	// Recorded after encoding, which can take long: the list counts as served no earlier than this.
+	if reply.Full && isConnected(ctx.Conn()) {
+		a.recordServed(reply.Servers)
+		a.servedVersion = reply.Version
 	}
 	a.mu.Unlock()
 	ctx.SetBody(text)
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -1,5 +1,6 @@
-// Package standin plays the parties around the dispatcher for tests and for the example: replicas whose answers
-// follow a script, and a discovery agent. They speak the published protocol, on loopback addresses only.
+// Package standin has fakes of the dispatcher's peers, for tests and for the example: replicas whose
+// answers follow a script, and a discovery agent. They implement the published protocol and listen on
+// loopback addresses only.
 package standin
 
 import (
@@ -14,44 +15,46 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Call is one request that came in whole.
+// Call is one request that a fake replica has received completely.
 type Call struct {
 	Method, Path, ID, Body string
 	Header                 map[string]string
 }
 
-// Replica is a server whose every request is played by Act.
+// Replica is a fake replica. A script, the function given to Start, answers each request but DELETE.
 type Replica struct {
 	Addr string
 
-	seen  func(Call) // told of each call before it is played; may be nil
-	act   func(*Exchange)
-	ln    net.Listener
-	mu    sync.Mutex
-	calls []Call
-	conns map[net.Conn]bool
+	observe func(Call)      // called with each request before the script runs; may be nil
+	act     func(*Exchange) // the script
+	ln      net.Listener
+	mu      sync.Mutex
+	calls   []Call
+	conns   map[net.Conn]bool
 
-	accepted int
-	silent   bool
+	accepted     int // connections accepted so far
+	unresponsive bool
 }
 
-// Start listens at addr ("127.0.0.1:0" picks a port) and plays each request by act.
+// Start starts a replica that listens at addr ("127.0.0.1:0" picks a port) and answers each request
+// with act.
 func Start(addr string, act func(*Exchange)) (*Replica, error) {
 	return StartWithObserver(addr, nil, act)
 }
 
-// StartWithObserver is Start, and tells seen of each call before it is played. Calls are not kept then.
-func StartWithObserver(addr string, seen func(Call), act func(*Exchange)) (*Replica, error) {
+// StartWithObserver is like Start, but calls observe with each request before act runs. If observe
+// is not nil, the replica does not record requests, and Calls returns none.
+func StartWithObserver(addr string, observe func(Call), act func(*Exchange)) (*Replica, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{Addr: ln.Addr().String(), seen: seen, act: act, ln: ln, conns: map[net.Conn]bool{}}
+	r := &Replica{Addr: ln.Addr().String(), observe: observe, act: act, ln: ln, conns: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
 
-// Close ends the replica as a killed process would end: its connections break, new ones are refused.
+// Close ends the replica as if its process were killed: open connections are reset, new ones refused.
 func (r *Replica) Close() {
 	_ = r.ln.Close() // it may be closed already
 	r.mu.Lock()
@@ -61,39 +64,40 @@
 	}
 }
 
-// SetUnresponsive has the replica say nothing and hear nothing from now on, on connections that are open or come up meanwhile, or speak again on new
-// ones. A connection that has fallen silent stays so.
-func (r *Replica) SetUnresponsive(is bool) {
+// SetUnresponsive makes the replica stop answering, on open and on new connections, or answer again
+// on new ones. A connection on which a request or an answer came while the replica was unresponsive
+// is never answered again.
+func (r *Replica) SetUnresponsive(enabled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = is
+	r.unresponsive = enabled
 }
 
-// IsUnresponsive tells whether the replica is silent now.
+// IsUnresponsive reports whether the replica is unresponsive now.
 func (r *Replica) IsUnresponsive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silent
+	return r.unresponsive
 }
 
-// Accepted counts the connections that came up.
+// Accepted returns the number of connections accepted so far.
 func (r *Replica) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted
 }
 
-// Calls are the requests so far, of one method, or of all with "".
+// Calls returns the requests received so far with the given method, or all of them for "".
 func (r *Replica) Calls(method string) []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var some []Call
+	var matching []Call
 	for _, c := range r.calls {
 		if method == "" || c.Method == method {
-			some = append(some, c)
+			matching = append(matching, c)
 		}
 	}
-	return some
+	return matching
 }
 
 func (r *Replica) accept() {
@@ -112,14 +116,14 @@
 
 func (r *Replica) serve(c net.Conn) {
 	defer func() {
-		_ = c.Close() // the script may have closed it
+		_ = c.Close() // the script may have closed it already
 		r.mu.Lock()
 		delete(r.conns, c)
 		r.mu.Unlock()
 	}()
 	br := bufio.NewReader(c)
 	for {
-		x := &Exchange{Conn: c, r: r}
+		x := &Exchange{Conn: c, replica: r}
 		if err := x.Req.Read(br); err != nil {
 			return
 		}
@@ -133,8 +137,8 @@
 		for k, v := range x.Req.Header.All() {
 			call.Header[string(k)] = string(v)
 		}
-		if r.seen != nil {
-			r.seen(call)
+		if r.observe != nil {
+			r.observe(call)
 		} else {
 			r.mu.Lock()
 			r.calls = append(r.calls, call)
@@ -145,24 +149,25 @@
 		} else {
 			r.act(x)
 		}
-		if x.broken {
+		if x.closed {
 			return
 		}
 	}
 }
 
-// Exchange is one request and the means to answer it, well or badly.
+// Exchange is one request, with methods that send correct and faulty answers to it.
 type Exchange struct {
-	Conn   net.Conn
-	Req    fasthttp.Request
-	ID     string
-	Path   string
-	r      *Replica
-	broken bool
-	unsaid bool
+	Conn    net.Conn
+	Req     fasthttp.Request
+	ID      string
+	Path    string
+	replica *Replica
+	closed  bool // the connection has ended, or ends after this exchange
+	stalled bool // see Stalled
 }
 
-// Status answers without a stream.
+// Status sends an answer without a stream. If neverRan is set, the answer says that the request was
+// not executed.
 func (x *Exchange) Status(code int, neverRan bool, body string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", code, fasthttp.StatusMessage(code))
@@ -175,28 +180,28 @@
 	x.write(b.String() + "\r\n" + body)
 }
 
-// Read answers as a reader that has read the prompt.
+// Read sends the answer of a reader that has read the prompt, cached tokens of it from its cache.
 func (x *Exchange) Read(cached int) {
 	x.Status(202, false, fmt.Sprintf(`{"cached_tokens":%d}`, cached))
 }
 
-// Head begins a stream.
+// Head sends the header of a streamed answer.
 func (x *Exchange) Head() {
 	x.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// Event sends one event of a stream.
+// Event sends one server-sent event of a stream.
 func (x *Exchange) Event(data string) {
 	text := "data: " + data + "\n\n"
 	x.write(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 }
 
-// Token sends one event with a piece of the answer.
+// Token sends one event with a piece of the answer's text.
 func (x *Exchange) Token(text string) {
 	x.Event(fmt.Sprintf(`{"choices":[{"index":0,"delta":{"content":%q},"finish_reason":null}]}`, text))
 }
 
-// End sends the last events and the last chunk.
+// End sends the final events of a stream and its last chunk.
 func (x *Exchange) End() {
 	x.Event(`{"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`)
 	x.Event(`{"choices":[],"usage":{"prompt_tokens":8,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":4}}}`)
@@ -204,7 +209,7 @@
 	x.write("0\r\n\r\n")
 }
 
-// Answer streams a whole answer.
+// Answer streams a complete answer with the given pieces of text.
 func (x *Exchange) Answer(tokens ...string) {
 	x.Head()
 	for _, t := range tokens {
@@ -215,52 +220,56 @@
 
 // Break resets the connection.
 func (x *Exchange) Break() {
-	x.broken = true
+	x.closed = true
 	reset(x.Conn)
 }
 
-// WaitClosed waits until the other side has closed the connection.
+// WaitClosed waits until the client has closed the connection, or sends anything on it.
 func (x *Exchange) WaitClosed() {
-	x.broken = true
+	x.closed = true
 	var b [1]byte
-	_, _ = x.Conn.Read(b[:]) // any end will do
+	_, _ = x.Conn.Read(b[:]) // every error means that the connection has ended
 }
 
-// Broken tells whether the connection has ended or must.
-func (x *Exchange) Broken() bool { return x.broken }
+// Broken reports whether the connection has ended, or must end after this exchange.
+func (x *Exchange) Broken() bool { return x.closed }
 
-// WaitClosedFor waits for a time, and tells whether the other side has closed the connection meanwhile. Nothing may come on it until the answer.
-func (x *Exchange) WaitClosedFor(wait time.Duration) (gone bool) {
-	_ = x.Conn.SetReadDeadline(time.Now().Add(wait)) // a failure shows in the read
+// WaitClosedFor waits for the given time, or until the client closes the connection, and reports
+// whether it has closed it. The client must not send anything meanwhile.
+func (x *Exchange) WaitClosedFor(wait time.Duration) (closed bool) {
+	_ = x.Conn.SetReadDeadline(time.Now().Add(wait)) // if this fails, so does the read below
 	_, err := x.Conn.Read(make([]byte, 1))
 	_ = x.Conn.SetReadDeadline(time.Time{})
-	var late net.Error
-	gone = !errors.As(err, &late) || !late.Timeout()
-	x.broken = x.broken || gone
-	return gone
+	var netErr net.Error
+	closed = !errors.As(err, &netErr) || !netErr.Timeout()
+	x.closed = x.closed || closed
+	return closed
 }
 
-// Stalled tells whether the replica fell silent in the middle of the exchange, and the other side has given it up since.
-func (x *Exchange) Stalled() bool { return x.unsaid }
+// Stalled reports whether the replica became unresponsive in the middle of the exchange and the
+// client has closed the connection since.
+func (x *Exchange) Stalled() bool { return x.stalled }
 
-// write writes a part of the answer. On a silent replica's connection it comes to nobody, and the exchange lasts until the other side ends it.
+// write sends a part of the answer. If the replica is unresponsive, it sends nothing and returns once
+// the client has closed the connection.
 func (x *Exchange) write(text string) {
-	if x.unsaid {
+	if x.stalled {
 		return
 	}
-	if x.r.IsUnresponsive() {
-		x.unsaid = true
+	if x.replica.IsUnresponsive() {
+		x.stalled = true
 		x.WaitClosed()
 		return
 	}
 	if _, err := x.Conn.Write([]byte(text)); err != nil {
-		x.broken = true
+		x.closed = true
 	}
 }
 
+// reset closes a connection so that the client sees a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // without it the end is a plain one
+		_ = t.SetLinger(0) // otherwise the close is an orderly one, with FIN
 	}
 	_ = c.Close()
 }
