--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -62,7 +62,7 @@
 	for i, d := range b.Dispatchers {
 		notify := func() {
 			if a := b.registry.agents[d.Name]; a.Version() < version {
-				a.SetAt(version, list...)
+				a.SetAtVersion(version, list...)
 			}
 		}
 		if after := delay(i); after > 0 {
@@ -142,7 +142,7 @@
 		waiters.Go(func() {
 			for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 				if b.Script.Standalone {
-					if b.registry.agents[d.Name].Handed() >= version {
+					if b.registry.agents[d.Name].ServedVersion() >= version {
 						return
 					}
 				} else if o, err := b.Status(d); err == nil && o.ListVersion >= number {
@@ -186,7 +186,7 @@
 // RegistryLoad sums up the load of the agents: calls answered, calls refused, and bytes sent.
 func (b *Bench) RegistryLoad() (answered, refused, bytes int) {
 	for _, a := range b.registry.agents {
-		x, y, z := a.Load()
+		x, y, z := a.Stats()
 		answered, refused, bytes = answered+x, refused+y, bytes+z
 	}
 	return answered, refused, bytes
@@ -197,7 +197,7 @@
 func (b *Bench) LimitRegistry(calls int) {
 	l := rate.NewLimiter(rate.Limit(calls), calls)
 	for _, a := range b.registry.agents {
-		a.Limit(l)
+		a.SetRateLimit(l)
 	}
 }
 
--- a/internal/proving/registry.go
+++ b/internal/proving/registry.go
@@ -53,14 +53,14 @@
 	switch change {
 	case "mute", "unmute":
 		for _, d := range who {
-			r.agents[d.Name].Mute(change == "mute")
+			r.agents[d.Name].SetUnresponsive(change == "mute")
 		}
 		return nil
 	case "again": // agents that missed a change report the present list
 		list, version = r.list, r.version
 	case "empty":
 		for _, d := range who {
-			r.agents[d.Name].SetAt(0)
+			r.agents[d.Name].SetAtVersion(0)
 		}
 		return nil
 	case "back":
@@ -69,7 +69,7 @@
 			return fmt.Errorf("the registry has no version %s", arg)
 		}
 		for _, d := range who {
-			r.agents[d.Name].SetAt(int64(n), r.history[n]...)
+			r.agents[d.Name].SetAtVersion(int64(n), r.history[n]...)
 		}
 		return nil
 	case "new":
@@ -108,7 +108,7 @@
 			bad.ID, bad.Kind = "odd", "unheard-of"
 		}
 		for _, d := range who {
-			r.agents[d.Name].SetAt(version, append(list, bad)...)
+			r.agents[d.Name].SetAtVersion(version, append(list, bad)...)
 		}
 		return nil
 	case "half": // removes all replicas with this prefix at once
@@ -124,7 +124,7 @@
 		r.history = append(r.history, list)
 	}
 	for _, d := range who {
-		r.agents[d.Name].SetAt(version, list...)
+		r.agents[d.Name].SetAtVersion(version, list...)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 			p.mu.Lock()
 			done := d.EndsAt != 0 && p.fleet.Now() > d.EndsAt
 			for name, a := range p.registry.agents {
-				if at := a.ToldOf(replica); !at.IsZero() && d.NotifiedAt[name] == 0 {
+				if at := a.RemovalServedAt(replica); !at.IsZero() && d.NotifiedAt[name] == 0 {
 					d.NotifiedAt[name] = at.Sub(p.fleet.start)
 				}
 			}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -73,7 +73,7 @@
 		"410 without proof":  {func(x *standin.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
 		"reset":              {func(x *standin.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
 		"head, no event":     {func(x *standin.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
-		"no answer":          {func(x *standin.Exchange) { x.Gone() }, dispatch.Result{Outcome: logic.TimedOut}},
+		"no answer":          {func(x *standin.Exchange) { x.WaitClosed() }, dispatch.Result{Outcome: logic.TimedOut}},
 	} {
 		r := startReplica(t, c.act)
 		timeout := 5 * time.Second
@@ -106,7 +106,7 @@
 				return
 			}
 		}
-		x.Gone()
+		x.WaitClosed()
 	}
 }
 
@@ -251,7 +251,7 @@
 // say nothing about the replica.
 func TestCancel(t *testing.T) {
 	gone := make(chan bool, 1)
-	r := startReplica(t, func(x *standin.Exchange) { x.Gone(); gone <- true })
+	r := startReplica(t, func(x *standin.Exchange) { x.WaitClosed(); gone <- true })
 	rep, at := send(NewPool(4, 0, 0), r.Addr, 10*time.Second, "b")
 	for len(r.Calls("")) == 0 {
 		time.Sleep(time.Millisecond)
@@ -401,7 +401,7 @@
 // and silent. After an attempt without an answer for suspectAfter the idle ones must be closed.
 func TestIdleConnectionsToSilentReplicaAreClosed(t *testing.T) {
 	pool := NewPool(8, 0, 0)
-	silent := startReplica(t, func(x *standin.Exchange) { x.Gone() })
+	silent := startReplica(t, func(x *standin.Exchange) { x.WaitClosed() })
 	for range 2 { // two idle connections, besides the one of the attempt
 		c, err := pool.dial(context.Background(), silent.Addr, 0)
 		if err != nil {
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -54,7 +54,7 @@
 	for _, cut := range []int{1, 6, len(fullEvent) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
 			for name, end := range map[string]func(*standin.Exchange){
-				"reset": (*standin.Exchange).Break, "no answer": (*standin.Exchange).Gone,
+				"reset": (*standin.Exchange).Break, "no answer": (*standin.Exchange).WaitClosed,
 			} {
 				r := startReplica(t, func(x *standin.Exchange) {
 					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent[:cut], size)) // errors show in the result
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -161,13 +161,13 @@
 	case reloadSettings:
 		r.reload(f, d)
 	case muteDiscovery:
-		d.agent.Mute(true)
+		d.agent.SetUnresponsive(true)
 		time.Sleep(f.Duration)
-		d.agent.Mute(false)
+		d.agent.SetUnresponsive(false)
 	case overloadDiscovery:
-		d.agent.Overload(true)
+		d.agent.SetOverloaded(true)
 		time.Sleep(f.Duration)
-		d.agent.Overload(false)
+		d.agent.SetOverloaded(false)
 	case idleClients:
 		r.markIdleClients(d)
 		r.clients.open.Add(1)
