--- a/internal/bookkeeping/service_test.go
+++ b/internal/bookkeeping/service_test.go
@@ -30,87 +30,87 @@
 var names = []string{"a", "b", "c"}
 
 func newCluster(t *testing.T) *cluster {
-	r := &cluster{t: t, folder: t.TempDir(), services: map[string]*Service{}, cut: map[string]bool{}, disks: map[string]uint64{}}
+	c := &cluster{t: t, folder: t.TempDir(), services: map[string]*Service{}, cut: map[string]bool{}, disks: map[string]uint64{}}
 	for _, name := range names {
-		r.start(name)
+		c.start(name)
 	}
 	t.Cleanup(func() {
 		for _, name := range names {
-			r.end(name)
+			c.end(name)
 		}
 	})
-	return r
+	return c
 }
 
-func (r *cluster) Disk(name string) (uint64, bool, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	d, ok := r.disks[name]
+func (c *cluster) Disk(name string) (uint64, bool, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	d, ok := c.disks[name]
 	return d, ok, nil
 }
 
-func (r *cluster) SetDisk(name string, disk uint64) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.disks[name] = disk
+func (c *cluster) SetDisk(name string, disk uint64) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.disks[name] = disk
 	return nil
 }
 
-func (r *cluster) path(name string) string { return ledgerlog.Path(filepath.Join(r.folder, name)) }
+func (c *cluster) path(name string) string { return ledgerlog.Path(filepath.Join(c.folder, name)) }
 
-func (r *cluster) start(name string) {
-	r.t.Helper()
-	if err := os.MkdirAll(filepath.Join(r.folder, name), 0o700); err != nil {
-		r.t.Fatal(err)
-	}
-	r.boots++
-	boot := r.boots
-	k, err := Open(Options{Name: name, Boot: boot, Folder: filepath.Join(r.folder, name), Holders: names, Durability: DurabilitySite, FindTimeout: 2 * time.Second, DiskRecord: r,
+func (c *cluster) start(name string) {
+	c.t.Helper()
+	if err := os.MkdirAll(filepath.Join(c.folder, name), 0o700); err != nil {
+		c.t.Fatal(err)
+	}
+	c.boots++
+	boot := c.boots
+	svc, err := Open(Options{Name: name, Boot: boot, Folder: filepath.Join(c.folder, name), Holders: names, Durability: DurabilitySite, FindTimeout: 2 * time.Second, DiskRecord: c,
 		Limits: ledger.Limits{MaxEntries: 1000, Retention: time.Hour, Share: 2}, NewID: func() uint64 { return 100 + boot },
 		Call: func(to string, ask, answer any, _ time.Duration) error {
-			r.mu.Lock()
-			k, cut := r.services[to], r.cut[name] || r.cut[to]
-			r.mu.Unlock()
-			if cut || k == nil {
+			c.mu.Lock()
+			svc, cut := c.services[to], c.cut[name] || c.cut[to]
+			c.mu.Unlock()
+			if cut || svc == nil {
 				return errors.New("cut off")
 			}
-			a, err := k.Serve(ask.(Call))
+			a, err := svc.Serve(ask.(Call))
 			*answer.(*Answer) = a
 			return err
 		}})
 	if err != nil {
-		r.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	r.mu.Lock()
-	r.services[name] = k
-	r.mu.Unlock()
-	k.Run()
+	c.mu.Lock()
+	c.services[name] = svc
+	c.mu.Unlock()
+	svc.Run()
 }
 
-func (r *cluster) end(name string) {
-	r.mu.Lock()
-	k := r.services[name]
-	r.services[name] = nil
-	r.mu.Unlock()
-	if k != nil {
-		if err := k.Close(); err != nil {
-			r.t.Error(err)
+func (c *cluster) end(name string) {
+	c.mu.Lock()
+	svc := c.services[name]
+	c.services[name] = nil
+	c.mu.Unlock()
+	if svc != nil {
+		if err := svc.Close(); err != nil {
+			c.t.Error(err)
 		}
 	}
 }
 
-func (r *cluster) cutOff(name string, cut bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cut[name] = cut
+func (c *cluster) cutOff(name string, cut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cut[name] = cut
 }
 
 // waitComplete waits until a holder is complete.
-func (r *cluster) waitComplete(name string) {
-	r.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !r.services[name].holder.complete.Load(); time.Sleep(5 * time.Millisecond) {
+func (c *cluster) waitComplete(name string) {
+	c.t.Helper()
+	for end := time.Now().Add(20 * time.Second); !c.services[name].holder.complete.Load(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%s does not become complete", name)
+			c.t.Fatalf("%s does not become complete", name)
 		}
 	}
 }
@@ -124,36 +124,36 @@
 
 // begin records the intent for an attempt of an instruction and returns the function that takes its
 // outcome.
-func begin(k *Service, n int) (func(logic.Outcome), error) {
+func begin(svc *Service, n int) (func(logic.Outcome), error) {
 	type result struct {
 		end func(logic.Outcome)
 		err error
 	}
 	got := make(chan result, 1)
-	k.IntentRecorder(key(n), "c", true).Begin(in(5*time.Second), func(end func(logic.Outcome), err error) { got <- result{end, err} })
+	svc.IntentRecorder(key(n), "c", true).Begin(in(5*time.Second), func(end func(logic.Outcome), err error) { got <- result{end, err} })
 	x := <-got
 	return x.end, x.err
 }
 
 // waitStatus waits until a holder sees the given status of an instruction.
-func (r *cluster) waitStatus(name string, n int, want ledger.Status) {
-	r.t.Helper()
+func (c *cluster) waitStatus(name string, n int, want ledger.Status) {
+	c.t.Helper()
 	var is ledger.Status
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		row, err := r.services[name].Show(key(n))
+		row, err := c.services[name].Show(key(n))
 		if is = row.Entry.Status(); err == nil && is == want {
 			return
 		}
 	}
-	r.t.Errorf("instruction %d: status %v, want %v", n, is, want)
+	c.t.Errorf("instruction %d: status %v, want %v", n, is, want)
 }
 
 func TestRepeatsAndStatus(t *testing.T) {
-	r := newCluster(t)
+	c := newCluster(t)
 	for _, name := range names {
-		r.waitComplete(name)
+		c.waitComplete(name)
 	}
-	a, b := r.services["a"], r.services["b"]
+	a, b := c.services["a"], c.services["b"]
 	if err := b.CheckRepeat(key(1), in(time.Second)); err != nil {
 		t.Errorf("before any attempt: %v", err)
 	}
@@ -168,7 +168,7 @@
 		t.Errorf("a second attempt while one is in flight: %v", err)
 	}
 	end(logic.Full) // proven never to have run
-	r.waitStatus("b", 1, ledger.NotRun)
+	c.waitStatus("b", 1, ledger.NotRun)
 	if err := b.CheckRepeat(key(1), in(time.Second)); err != nil {
 		t.Errorf("after the attempt was proven never to have run: %v", err)
 	}
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	end(logic.Delivered)
-	r.waitStatus("c", 1, ledger.DidRun)
+	c.waitStatus("c", 1, ledger.DidRun)
 	if err := a.CheckRepeat(key(1), in(time.Second)); !MayHaveRun(err) { // either error is right: the first reply that forbids the repeat decides
 		t.Errorf("after an attempt ran: %v", err)
 	}
@@ -197,7 +197,7 @@
 	if err := b.Settle(key(2), ledger.Resolution{By: "op", Why: "again", Ran: true}); err == nil || !strings.Contains(err.Error(), "nothing to settle") {
 		t.Errorf("settled twice: %v", err)
 	}
-	if err := r.services["c"].CheckRepeat(key(2), in(time.Second)); err != nil {
+	if err := c.services["c"].CheckRepeat(key(2), in(time.Second)); err != nil {
 		t.Errorf("after an operator's resolution: %v", err)
 	}
 }
@@ -205,19 +205,19 @@
 // With one holder unreachable, intents and repeats still work. With two unreachable, repeats are
 // refused and intents are not recorded, each with the error that says so.
 func TestUnreachableHolders(t *testing.T) {
-	r := newCluster(t)
+	c := newCluster(t)
 	for _, name := range names {
-		r.waitComplete(name)
+		c.waitComplete(name)
 	}
-	r.cutOff("c", true)
-	a := r.services["a"]
+	c.cutOff("c", true)
+	a := c.services["a"]
 	if _, err := begin(a, 1); err != nil {
 		t.Errorf("one away: %v", err)
 	}
 	if err := a.CheckRepeat(key(2), in(time.Second)); err != nil {
 		t.Errorf("one away: %v", err)
 	}
-	r.cutOff("b", true)
+	c.cutOff("b", true)
 	if _, err := begin(a, 3); !errors.Is(err, ErrNotRecorded) || MayHaveRun(err) {
 		t.Errorf("two away: %v", err)
 	}
@@ -235,58 +235,58 @@
 // Guards against a holder that counts as complete although its file is new or an old copy, before
 // it was refilled from the other holders.
 func TestLostAndOldFiles(t *testing.T) {
-	r := newCluster(t)
+	c := newCluster(t)
 	for _, name := range names {
-		r.waitComplete(name)
+		c.waitComplete(name)
 	}
 	for n := range 5 {
-		if _, err := begin(r.services["a"], n); err != nil {
+		if _, err := begin(c.services["a"], n); err != nil {
 			t.Fatal(err)
 		}
 	}
-	old, err := os.ReadFile(r.path("b"))
+	old, err := os.ReadFile(c.path("b"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.cutOff("c", true) // only a and b record the following intents
+	c.cutOff("c", true) // only a and b record the following intents
 	for n := range 5 {
-		if _, err := begin(r.services["a"], 10+n); err != nil {
+		if _, err := begin(c.services["a"], 10+n); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.end("b")
-	if err := os.WriteFile(r.path("b"), old, 0o600); err != nil {
+	c.end("b")
+	if err := os.WriteFile(c.path("b"), old, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.start("b") // only a knows of its later commits, and refilling needs c as well
+	c.start("b") // only a knows of its later commits, and refilling needs c as well
 	time.Sleep(2 * checkInterval)
-	if r.services["b"].holder.complete.Load() {
+	if c.services["b"].holder.complete.Load() {
 		t.Error("a holder with an old copy counts as complete")
 	}
-	r.cutOff("c", false)
-	r.waitComplete("b")
-	r.waitStatus("b", 12, ledger.Unknown)
-	r.end("b")
-	if err := os.Remove(r.path("b")); err != nil {
+	c.cutOff("c", false)
+	c.waitComplete("b")
+	c.waitStatus("b", 12, ledger.Unknown)
+	c.end("b")
+	if err := os.Remove(c.path("b")); err != nil {
 		t.Fatal(err)
 	}
-	r.cutOff("a", true)
-	r.start("b")
+	c.cutOff("a", true)
+	c.start("b")
 	time.Sleep(2 * checkInterval)
-	if r.services["b"].holder.complete.Load() {
+	if c.services["b"].holder.complete.Load() {
 		t.Error("a holder with a new file counts as complete")
 	}
-	if err := r.services["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrUndetermined) {
+	if err := c.services["c"].CheckRepeat(key(20), in(time.Second)); !errors.Is(err, ErrUndetermined) {
 		t.Errorf("c and the new b are not a majority of complete holders: %v", err)
 	}
-	if err := r.services["b"].Accept("op", ""); err == nil {
+	if err := c.services["b"].Accept("op", ""); err == nil {
 		t.Error("Accept without a reason succeeded")
 	}
-	r.cutOff("a", false)
-	r.waitComplete("b")
-	r.end("a")
+	c.cutOff("a", false)
+	c.waitComplete("b")
+	c.end("a")
 	for _, n := range []int{0, 4, 10, 14} {
-		if err := r.services["b"].CheckRepeat(key(n), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
+		if err := c.services["b"].CheckRepeat(key(n), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
 			t.Errorf("instruction %d is forgotten: %v", n, err)
 		}
 	}
@@ -294,18 +294,18 @@
 
 // Guards against a flood by one customer that takes the room of the others.
 func TestFloodIsRefused(t *testing.T) {
-	r := newCluster(t)
+	c := newCluster(t)
 	for _, name := range names {
-		r.waitComplete(name)
+		c.waitComplete(name)
 	}
-	a := r.services["a"]
+	a := c.services["a"]
 	var refused *Refusal
 	taken := 0
 	for n := range 900 {
-		var k ledger.Key
-		copy(k[:], fmt.Sprint("flood", n))
+		var floodKey ledger.Key
+		copy(floodKey[:], fmt.Sprint("flood", n))
 		got := make(chan error, 1)
-		a.IntentRecorder(k, "flood", false).Begin(in(5*time.Second), func(_ func(logic.Outcome), err error) { got <- err })
+		a.IntentRecorder(floodKey, "flood", false).Begin(in(5*time.Second), func(_ func(logic.Outcome), err error) { got <- err })
 		if err := <-got; err == nil {
 			taken++
 		} else if !errors.As(err, &refused) {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -72,9 +72,9 @@
 
 func TestStatus(t *testing.T) {
 	for name, x := range map[string]struct {
-		outcomes []Outcome
-		words    []Resolution
-		want     Status
+		outcomes    []Outcome
+		resolutions []Resolution
+		want        Status
 	}{
 		"no attempt":            {nil, nil, NeverSent},
 		"in flight":             {[]Outcome{Intent}, nil, Unknown},
@@ -90,10 +90,10 @@
 		for i, o := range x.outcomes {
 			e.Record(attempt(i), o)
 		}
-		for _, w := range x.words {
+		for _, w := range x.resolutions {
 			e.Settle(w)
 		}
-		if len(x.words) > 0 { // a resolution does not apply to later attempts
+		if len(x.resolutions) > 0 { // a resolution does not apply to later attempts
 			later := e.Clone()
 			later.Record(attempt(9), Intent)
 			if later.MaySend() {
@@ -144,7 +144,7 @@
 	for i := range 2000 {
 		var e Entry
 		e.Record(attempt(1), Ran)
-		table.Merge(time.Hour, key(50000+i), "learned", e)
+		table.Merge(time.Hour, key(50000+i), "merged", e)
 	}
 	if table.Len() != 2101 || table.RecordIntent(time.Hour, key(99999), "new", attempt(1)) == nil {
 		t.Errorf("%d entries", table.Len())
@@ -158,13 +158,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "holders")
 		tables := make([]*Table, n)
-		whole := make([]bool, n)
+		complete := make([]bool, n)
 		for i := range tables {
-			tables[i], whole[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), true
+			tables[i], complete[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), true
 		}
 		do := func(op Op, lost string) *Tally {
 			c := NewTally(n, op.Exclusive)
-			for _, i := range rapid.Permutation(order(n)).Draw(t, "order") {
+			for _, i := range rapid.Permutation(indexes(n)).Draw(t, "order") {
 				if rapid.IntRange(0, 4).Draw(t, lost) == 0 {
 					if rapid.Bool().Draw(t, "executed") { // the operation is done, but the reply is lost
 						tables[i].Do(0, op)
@@ -173,7 +173,7 @@
 					continue
 				}
 				r, _ := tables[i].Do(0, op)
-				r.Complete = whole[i]
+				r.Complete = complete[i]
 				c.Add(&r)
 			}
 			return c
@@ -181,11 +181,11 @@
 		sent := 0
 		for owner := range 3 {
 			if rapid.IntRange(0, 3).Draw(t, "disk") == 0 { // a disk is lost and refilled from other holders
-				i := rapid.IntRange(0, n-1).Draw(t, "whose")
-				if !slices.Contains(whole, false) {
-					tables[i], whole[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), false
+				i := rapid.IntRange(0, n-1).Draw(t, "index")
+				if !slices.Contains(complete, false) {
+					tables[i], complete[i] = NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100}), false
 					left := RefillQuorum(n)
-					for _, j := range rapid.Permutation(order(n)).Draw(t, "from") {
+					for _, j := range rapid.Permutation(indexes(n)).Draw(t, "from") {
 						if j != i && left > 0 && rapid.IntRange(0, 5).Draw(t, "answers") > 0 {
 							for k, r := range tables[j].rows {
 								tables[i].Merge(0, k, r.customer, r.Clone())
@@ -193,14 +193,14 @@
 							left--
 						}
 					}
-					whole[i] = left == 0
+					complete[i] = left == 0
 				}
 			}
-			seen := do(Op{Kind: Lookup, Key: key(1)}, "look")
+			seen := do(Op{Kind: Lookup, Key: key(1)}, "lookup")
 			if sent > 0 && seen.Known() == Yes && seen.Entry.MaySend() {
 				t.Fatal("a majority of complete holders does not know an instruction that was allowed")
 			}
-			if do(Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(owner)}, "take").Granted() == Yes {
+			if do(Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(owner)}, "record").Granted() == Yes {
 				if sent++; sent > 1 {
 					t.Fatal("two dispatchers were allowed to send")
 				}
@@ -209,7 +209,7 @@
 	})
 }
 
-func order(n int) (all []int) {
+func indexes(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
@@ -220,7 +220,7 @@
 // was given up must not be granted late.
 func TestRecordIntentUsesCallersKnowledge(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
-	take := func(n int, own ...AttemptRecord) Reply {
+	record := func(n int, own ...AttemptRecord) Reply {
 		r, learned := table.Do(0, Op{Kind: RecordIntent, Key: key(1), Exclusive: true, Attempt: attempt(n), Entry: Entry{Attempts: own}})
 		if o, known := learned.OutcomeOf(attempt(n)); r.Granted != (known && o == Intent) {
 			t.Errorf("granted %v, but %+v is to be written", r.Granted, learned)
@@ -228,17 +228,17 @@
 		return r
 	}
 	for range 2 { // a repeated RecordIntent is granted again
-		if !take(1).Granted {
+		if !record(1).Granted {
 			t.Error("the first attempt was not granted")
 		}
 	}
-	if take(2).Granted || !take(2, AttemptRecord{attempt(1), NeverRan}).Granted {
+	if record(2).Granted || !record(2, AttemptRecord{attempt(1), NeverRan}).Granted {
 		t.Error("a second attempt must be granted only once the first is known never to have run")
 	}
 	if _, learned := table.Do(0, Op{Kind: Merge, Key: key(1), Entry: Entry{Attempts: []AttemptRecord{{attempt(3), NeverRan}}}}); len(learned.Attempts) != 1 {
 		t.Error("a Merge returned nothing to write")
 	}
-	if take(3, AttemptRecord{attempt(2), NeverRan}).Granted {
+	if record(3, AttemptRecord{attempt(2), NeverRan}).Granted {
 		t.Error("an attempt that was given up was granted late")
 	}
 }
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -101,12 +101,12 @@
 // damaged or truncated, all acknowledged records must be there, or opening it must fail.
 func TestDamageAtEachOffset(t *testing.T) {
 	path := filled(t, 3)
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	newest, page := 0, os.Getpagesize() // the meta page with the greater transaction id
-	if binary.LittleEndian.Uint64(whole[page+64:]) > binary.LittleEndian.Uint64(whole[64:]) {
+	if binary.LittleEndian.Uint64(intact[page+64:]) > binary.LittleEndian.Uint64(intact[64:]) {
 		newest = page
 	}
 	folder, tries := t.TempDir(), 0
@@ -131,11 +131,11 @@
 	}
 	log.SetOutput(io.Discard) // torn writes are logged
 	defer log.SetOutput(os.Stderr)
-	for at := range whole {
-		if whole[at] == 0 && at%64 != 0 {
+	for at := range intact {
+		if intact[at] == 0 && at%64 != 0 {
 			continue // most of a small file is empty
 		}
-		b := bytes.Clone(whole)
+		b := bytes.Clone(intact)
 		b[at] ^= 0x5a
 		least := 3
 		if at >= newest && at < newest+os.Getpagesize() {
@@ -143,8 +143,8 @@
 		}
 		try(fmt.Sprintf("byte %d", at), least, b)
 	}
-	for at := 512; at < len(whole); at += 512 {
-		try(fmt.Sprintf("cut at %d", at), 3, whole[:at])
+	for at := 512; at < len(intact); at += 512 {
+		try(fmt.Sprintf("truncated at %d", at), 3, intact[:at])
 	}
 	if _, _, err := opened(filepath.Join(t.TempDir(), "no", "folder")); err == nil {
 		t.Error("opened a file in a missing folder")
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -101,14 +101,14 @@
 // write is dropped.
 func TestDamage(t *testing.T) {
 	path := filled(t)
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	try := func(name, want string, change func(b []byte) []byte) {
 		t.Helper()
 		p := filepath.Join(t.TempDir(), "log.db")
-		if err := os.WriteFile(p, change(bytes.Clone(whole)), 0o600); err != nil {
+		if err := os.WriteFile(p, change(bytes.Clone(intact)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l, err := Open(p, newID)
@@ -132,7 +132,7 @@
 			}
 		}
 	}
-	try("whole", "", func(b []byte) []byte { return b })
+	try("intact", "", func(b []byte) []byte { return b })
 	try("another file", "not a log", func([]byte) []byte { return bytes.Repeat([]byte("nonsense "), 4000) })
 	try("a short file", "not a log", func([]byte) []byte { return []byte("x") })
 	try("truncated", "truncated", func(b []byte) []byte { return b[:3*os.Getpagesize()] })
@@ -140,7 +140,7 @@
 	try("the identity", "identity", all(string(identityKey), 8))
 	// If the newer meta page is torn, the older one is used, which has all but the last commit.
 	newest := 0
-	if page := os.Getpagesize(); bytes.Compare(whole[16+48:16+56], whole[page+16+48:page+16+56]) < 0 {
+	if page := os.Getpagesize(); bytes.Compare(intact[16+48:16+56], intact[page+16+48:page+16+56]) < 0 {
 		newest = page
 	}
 	try("the last write", "", flip(newest+16+20))
