--- a/internal/fleetmodel/batching.go
+++ b/internal/fleetmodel/batching.go
@@ -8,36 +8,36 @@
 
 // Batching is a day of a fleet of the newer kind: see BatchingSite. One zone has half of the traffic, and from a time on a part of it begins
 // with one opening that nobody has read before.
-func Batching(routers int, hot float64) Day {
-	d := Day{Name: "batching", Site: BatchingSite, Routers: routers, Readers: 94, Writers: 6, Zones: 3, Cell: 6, Rate: 71, Length: 30 * time.Second,
-		Lag: 1500 * time.Millisecond, Uneven: 0.5, ZoneTraffic: []float64{0.25, 0.27, 0.48}}
+func Batching(routers int, newPrefixShare float64) Day {
+	d := Day{Name: "batching", Site: BatchingSite, Routers: routers, Readers: 94, Writers: 6, Zones: 3, CellSize: 6, Rate: 71, Length: 30 * time.Second,
+		ListLag: 1500 * time.Millisecond, TrafficSkew: 0.5, ZoneTraffic: []float64{0.25, 0.27, 0.48}}
 	if routers <= 10 {
-		d.Readers, d.Writers, d.Rate, d.Cell = 12, 2, 9, 7
+		d.Readers, d.Writers, d.Rate, d.CellSize = 12, 2, 9, 7
 	}
-	if hot > 0 {
-		d.Events = append(d.Events, Change{8 * time.Second, func(m *Model) { m.addOpening(hot) }})
+	if newPrefixShare > 0 {
+		d.Events = append(d.Events, Change{8 * time.Second, func(m *Model) { m.addPrefix(newPrefixShare) }})
 	}
 	return d
 }
 
 // BatchingJoin is the same while six in ten replicas are replaced within seven seconds.
-func BatchingJoin(routers int) Day {
+func BatchingReplacement(routers int) Day {
 	d := Batching(routers, 0)
-	d.Name, d.Lag = "batching-join", 2500*time.Millisecond
-	d.Events = Join().Events
+	d.Name, d.ListLag = "batching-join", 2500*time.Millisecond
+	d.Events = Replacement().Events
 	return d
 }
 
 // addOpening has a part of all new sessions begin with an opening that was not there before.
-func (m *Model) addOpening(part float64) {
-	t := text{m.rnd.Uint64() | 1, m.between(m.classes[0].short, m.classes[0].long)}
-	for class, weights := range m.weights {
+func (m *Model) addPrefix(part float64) {
+	t := prefix{m.rnd.Uint64() | 1, m.uniform(m.classes[0].minPrefix, m.classes[0].maxPrefix)}
+	for class, weights := range m.prefixWeights {
 		sum := 0.0
 		for _, w := range weights {
 			sum += w
 		}
-		m.texts[class] = append(m.texts[class], t)
-		m.weights[class] = append(weights, sum*part/(1-part))
+		m.prefixes[class] = append(m.prefixes[class], t)
+		m.prefixWeights[class] = append(weights, sum*part/(1-part))
 	}
 }
 
@@ -47,15 +47,15 @@
 	d.Name = "writers-replaced"
 	d.Events = append(d.Events, Change{10 * time.Second, func(m *Model) {
 		var old []*replica
-		for _, s := range m.fleet {
+		for _, s := range m.replicas {
 			if s.role == logic.Writer {
 				old = append(old, s)
 			}
 		}
 		for _, s := range old {
-			m.tell(m.add(s.role, int(s.entry.Zone[1]-'0'), s.entry.Cell, false))
-			m.after(time.Second, func() { s.draining = true; m.tell(s) })
-			m.after(8*time.Second, func() { s.die(); m.tell(s) })
+			m.announce(m.add(s.role, int(s.entry.Zone[1]-'0'), s.entry.Cell, false))
+			m.after(time.Second, func() { s.draining = true; m.announce(s) })
+			m.after(8*time.Second, func() { s.kill(); m.announce(s) })
 		}
 	}})
 	return d
--- a/internal/fleetmodel/batching_test.go
+++ b/internal/fleetmodel/batching_test.go
@@ -12,11 +12,11 @@
 		day    Day
 		served float64
 	}{
-		{WritersReplaced(4), 0.70},  // 0.620, 0.773
-		{WritersReplaced(30), 0.62}, // 0.545, 0.695
-		{Batching(300, 0), 0.88},    // 0.847 without probes
-		{Batching(300, 0.15), 0.88}, // 0.855
-		{BatchingJoin(300), 0.72},   // 0.676 without probes, and with newcomers that take less of a text with several homes
+		{WritersReplaced(4), 0.70},       // 0.620, 0.773
+		{WritersReplaced(30), 0.62},      // 0.545, 0.695
+		{Batching(300, 0), 0.88},         // 0.847 without probes
+		{Batching(300, 0.15), 0.88},      // 0.855
+		{BatchingReplacement(300), 0.72}, // 0.676 without probes, and with newcomers that take less of a text with several homes
 	} {
 		t.Run(fmt.Sprintf("%s/%d", c.day.Name, c.day.Routers), func(t *testing.T) {
 			t.Parallel()
@@ -30,8 +30,8 @@
 				r := play(t, c.day, seed+1)
 				served += r.Served / float64(seeds)
 				text += r.String()
-				if r.Fall >= 1 {
-					t.Errorf("seed %d: a server in slow start was sent %.2f of its budget", seed+1, r.Fall)
+				if r.BudgetUseWithMargin >= 1 {
+					t.Errorf("seed %d: a server in slow start was sent %.2f of its budget", seed+1, r.BudgetUseWithMargin)
 				}
 			}
 			if served < c.served {
--- a/internal/fleetmodel/client.go
+++ b/internal/fleetmodel/client.go
@@ -10,8 +10,8 @@
 
 // The shares of their capacity at which readers and writers work on a quiet day.
 const (
-	readerLoad = 0.35
-	writerLoad = 0.55
+	quietReaderLoad = 0.35
+	quietWriterLoad = 0.55
 )
 
 // Site is a deployment: its settings, how the clients of each of its classes behave, and what its replicas can do.
@@ -24,31 +24,31 @@
 
 // readerEngine is what a site's readers can do.
 type readerEngine struct {
-	slowest, fastest float64 // tokens that a warm one reads in a second
-	pairs            float64 // seconds for a million pairs of a token and one before it
-	overhead         float64 // seconds a batch
-	batch            float64 // tokens of short prompts that are read together; 0: one prompt at a time
-	queue            int
-	memory           float64 // tokens
+	minRate, maxRate float64 // tokens that a warm one reads in a second
+	attentionCost    float64 // seconds for a million pairs of a token and one before it
+	batchOverhead    float64 // seconds a batch
+	maxBatch         float64 // tokens of short prompts that are read together; 0: one prompt at a time
+	maxQueue         int
+	memoryTokens     float64 // tokens
 }
 
 // writerEngine is what a site's writers can do.
 type writerEngine struct {
-	slots, queue               int
-	memory                     float64 // tokens
-	step, perAnswer, perKToken float64 // seconds a token takes each answer: by itself, for each answer that runs, for each 1,000 tokens held
+	slots, maxQueue                        int
+	memoryTokens                           float64 // tokens
+	baseStep, stepPerAnswer, stepPerKToken float64 // seconds a token takes each answer: by itself, for each answer that runs, for each 1,000 tokens held
 }
 
 // The engines of the first sites. Their readers are slower than those of real sites, as long prompts cost no more than their length.
 var (
-	plainReader = readerEngine{slowest: 7000, fastest: 8800, overhead: 0.004, queue: 40, memory: 215000}
-	plainWriter = writerEngine{slots: 80, queue: 25, memory: 150000, step: 0.014, perAnswer: 0.0002, perKToken: 0.00005}
+	plainReader = readerEngine{minRate: 7000, maxRate: 8800, batchOverhead: 0.004, maxQueue: 40, memoryTokens: 215000}
+	plainWriter = writerEngine{slots: 80, maxQueue: 25, memoryTokens: 150000, baseStep: 0.014, stepPerAnswer: 0.0002, stepPerKToken: 0.00005}
 )
 
 // site gives the day's deployment, the first one where it names none.
 func (d Day) site() Site {
 	if d.Site.settings == nil {
-		return firstSite
+		return defaultSite
 	}
 	return d.Site
 }
@@ -61,7 +61,7 @@
 }
 
 // firstSite has two classes: one that may be repeated and one that may not.
-var firstSite = Site{settings: func() logic.Settings {
+var defaultSite = Site{settings: func() logic.Settings {
 	return logic.Settings{
 		Kinds: []logic.Kind{{Name: "reader", Role: logic.Reader, MemoryTokens: 215000},
 			{Name: "writer", Role: logic.Writer, MemoryTokens: 150000}},
@@ -84,7 +84,7 @@
 // SecondSite has three: short questions, changes that replicas throw away when they are repeated, and claims that must not run twice. Its
 // deadlines are shorter, its replicas colder and sooner pushed over, its prompts longer.
 var SecondSite = Site{settings: func() logic.Settings {
-	set := firstSite.settings()
+	set := defaultSite.settings()
 	set.Classes = []logic.Class{
 		{Name: "question", Aim: 900 * time.Millisecond, AimPer1K: 50 * time.Millisecond, TokenAim: 55 * time.Millisecond,
 			Deadline: 3500 * time.Millisecond, LateWorth: 0.2, Worth: 1},
@@ -106,7 +106,7 @@
 // all before it. Sessions are short, nearly all begin with one of very many shared openings, and a few prompts are far longer than most. Few
 // writers serve many readers.
 var BatchingSite = Site{settings: func() logic.Settings {
-	set := firstSite.settings()
+	set := defaultSite.settings()
 	set.Kinds = []logic.Kind{{Name: "reader", Role: logic.Reader, MemoryTokens: 305000}, {Name: "writer", Role: logic.Writer, MemoryTokens: 765000}}
 	set.CanProbe, set.ProbePrice = true, 0.0032
 	for i := range set.Classes {
@@ -116,39 +116,39 @@
 }, classes: []class{
 	{0.56, 1.6, 2.5, 1300, 60, 542, 120, 3500, 6100, 0.95},
 	{0.44, 1.6, 2.5, 1300, 60, 542, 120, 3500, 6100, 0.95},
-}, reader: readerEngine{slowest: 12400, fastest: 13400, pairs: 0.00335, overhead: 0.015, batch: 8192, queue: 200, memory: 305000},
-	writer: writerEngine{slots: 128, queue: 200, memory: 765000, step: 0.009, perAnswer: 0.000035, perKToken: 0.00002}}
+}, reader: readerEngine{minRate: 12400, maxRate: 13400, attentionCost: 0.00335, batchOverhead: 0.015, maxBatch: 8192, maxQueue: 200, memoryTokens: 305000},
+	writer: writerEngine{slots: 128, maxQueue: 200, memoryTokens: 765000, baseStep: 0.009, stepPerAnswer: 0.000035, stepPerKToken: 0.00002}}
 
 // text is an opening that sessions share.
-type text struct {
+type prefix struct {
 	key    uint64
 	tokens float64
 }
 
 // class is how the clients of a class behave.
 type class struct {
-	share, turns, think          float64
-	newTokens, outTokens, maxOut float64
-	openings                     float64 // for ten replicas
-	short, long                  float64 // tokens of an opening
-	shared                       float64 // part of the sessions that begin with one
+	share, turns, thinkTime            float64
+	newTokens, outputTokens, maxOutput float64
+	prefixes                           float64 // for ten replicas
+	minPrefix, maxPrefix               float64 // tokens of an opening
+	prefixShare                        float64 // part of the sessions that begin with one
 }
 
-func (m *Model) drawTexts() {
+func (m *Model) drawPrefixes() {
 	for _, c := range m.classes {
-		n := int(c.openings * float64(m.day.Readers+m.day.Writers) / 10)
-		var all []text
+		n := int(c.prefixes * float64(m.day.Readers+m.day.Writers) / 10)
+		var prefixes []prefix
 		var weights []float64
 		for i := range max(n, 1) {
-			all = append(all, text{m.rnd.Uint64() | 1, m.between(c.short, c.long)})
+			prefixes = append(prefixes, prefix{m.rnd.Uint64() | 1, m.uniform(c.minPrefix, c.maxPrefix)})
 			weights = append(weights, 1/math.Pow(float64(i+1), 0.9))
 		}
-		m.texts, m.weights = append(m.texts, all), append(m.weights, weights)
+		m.prefixes, m.prefixWeights = append(m.prefixes, prefixes), append(m.prefixWeights, weights)
 	}
 }
 
 // pick draws an index by weight.
-func (m *Model) pick(weights []float64) int {
+func (m *Model) pickWeighted(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -163,67 +163,67 @@
 }
 
 // talk is a session: each turn's prompt holds all that went before.
-type talk struct {
-	class  int
-	key    uint64
-	text   text
-	prompt float64
-	left   int
-	zone   int
+type session struct {
+	class        int
+	key          uint64
+	prefix       prefix
+	promptTokens float64
+	turnsLeft    int
+	zone         int
 }
 
 // ask is one try of a request, from its arrival at a router to its answer.
-type ask struct {
-	id       string
-	talk     *talk
-	first    time.Duration // when its client first tried
-	tries    int
-	session  uint64
-	shared   uint64
-	opening  float64
-	prompt   float64
-	answer   float64
-	out      *call
-	sent     int
-	at       *replica // where its state waits
-	answered bool
+type request struct {
+	id           string
+	session      *session
+	firstSent    time.Duration // when its client first tried
+	retries      int
+	sessionKey   uint64
+	prefixKey    uint64
+	prefixTokens float64
+	promptTokens float64
+	outputTokens float64
+	outstanding  *attempt
+	attempts     int
+	stateAt      *replica // where its state waits
+	ended        bool
 }
 
 // arrivals has sessions begin so that requests come at the day's rate, from its first second on.
-func (m *Model) arrivals() {
-	turns := 0.0
+func (m *Model) startArrivals() {
+	sessionsPerRequest := 0.0
 	for _, c := range m.classes {
-		turns += c.share / c.turns
+		sessionsPerRequest += c.share / c.turns
 	}
 	var begin func()
 	begin = func() {
 		if m.now-start >= m.day.Length {
 			return
 		}
-		m.open()
-		risen := min(0.2+0.8*float64(m.now-start+prelude)/float64(prelude), 1)
-		m.after(seconds(m.rnd.ExpFloat64()/(m.day.Rate*risen*m.day.Burst.at(m.now-start)*turns)), begin)
+		m.startSession()
+		ramp := min(0.2+0.8*float64(m.now-start+warmUp)/float64(warmUp), 1)
+		m.after(seconds(m.rnd.ExpFloat64()/(m.day.Rate*ramp*m.day.Burst.factor(m.now-start)*sessionsPerRequest)), begin)
 	}
 	m.after(0, begin)
 }
 
-func (m *Model) open() {
+func (m *Model) startSession() {
 	var shares []float64
 	for _, c := range m.classes {
 		shares = append(shares, c.share/c.turns)
 	}
-	m.turn(m.begin(m.pick(shares)))
+	m.nextRequest(m.newSession(m.pickWeighted(shares)))
 }
 
-func (m *Model) begin(ci int) *talk {
+func (m *Model) newSession(ci int) *session {
 	c := m.classes[ci]
-	t := &talk{class: ci, key: m.rnd.Uint64() | 1, left: 1, zone: m.drawZone()}
+	t := &session{class: ci, key: m.rnd.Uint64() | 1, turnsLeft: 1, zone: m.drawZone()}
 	for m.rnd.Float64() > 1/c.turns {
-		t.left++
+		t.turnsLeft++
 	}
-	if m.rnd.Float64() < c.shared {
-		t.text = m.texts[ci][m.pick(m.weights[ci])]
-		t.prompt = t.text.tokens
+	if m.rnd.Float64() < c.prefixShare {
+		t.prefix = m.prefixes[ci][m.pickWeighted(m.prefixWeights[ci])]
+		t.promptTokens = t.prefix.tokens
 	}
 	return t
 }
@@ -231,107 +231,107 @@
 // drawZone gives the zone of a new session's client.
 func (m *Model) drawZone() int {
 	if len(m.day.ZoneTraffic) > 0 {
-		return m.pick(m.day.ZoneTraffic)
+		return m.pickWeighted(m.day.ZoneTraffic)
 	}
 	return m.rnd.IntN(m.day.Zones)
 }
 
 // turn is a session's next request.
-func (m *Model) turn(t *talk) {
+func (m *Model) nextRequest(t *session) {
 	if m.now-start >= m.day.Length {
 		return
 	}
 	c := m.classes[t.class]
-	t.left--
-	t.prompt += c.newTokens * m.newTokens()
-	q := &ask{talk: t, first: m.now, session: t.key, shared: t.text.key, opening: t.text.tokens, prompt: t.prompt,
-		answer: min(max(c.outTokens*(0.3+0.7*m.rnd.ExpFloat64()), 4), c.maxOut)}
+	t.turnsLeft--
+	t.promptTokens += c.newTokens * m.drawTurnFactor()
+	q := &request{session: t, firstSent: m.now, sessionKey: t.key, prefixKey: t.prefix.key, prefixTokens: t.prefix.tokens, promptTokens: t.promptTokens,
+		outputTokens: min(max(c.outputTokens*(0.3+0.7*m.rnd.ExpFloat64()), 4), c.maxOutput)}
 	m.report.offered(q)
-	m.try(q)
+	m.submit(q)
 }
 
 // try sends a request, or a repeat of it, to a router of its client's zone.
-func (m *Model) try(q *ask) {
+func (m *Model) submit(q *request) {
 	weights := make([]float64, len(m.routers))
 	for i, r := range m.routers {
-		if !r.away && r.zone == q.talk.zone {
+		if !r.unavailable && r.zone == q.session.zone {
 			weights[i] = r.weight
 		}
 	}
-	p := m.routers[m.pick(weights)].now
-	if p.dead { // nobody answers
+	p := m.routers[m.pickWeighted(weights)].process
+	if p.powerless { // nobody answers
 		m.refused(q, 0)
 		return
 	}
 	q.id = m.nextID()
-	p.open[q.id] = q
-	set := m.set.Classes[q.talk.class]
-	deadline := set.Deadline + seconds(2*set.AimPer1K.Seconds()*q.prompt/1000)
-	m.after(hop, func() {
-		if p.back != nil {
-			if pause, ok := p.back.admit(q); !ok {
-				p.close(q)
+	p.requests[q.id] = q
+	set := m.settings.Classes[q.session.class]
+	deadline := set.Deadline + seconds(2*set.AimPer1K.Seconds()*q.promptTokens/1000)
+	m.after(networkDelay, func() {
+		if p.recovery != nil {
+			if pause, ok := p.recovery.admit(q); !ok {
+				p.closeRequest(q)
 				m.refused(q, pause)
 				return
 			}
 		}
-		p.handle(&logic.Event{Kind: logic.Arrived, RequestID: q.id, Request: logic.Request{Class: set.Name, Session: q.session,
-			Prefix: q.shared, PrefixTokens: int64(q.opening), PromptTokens: int64(q.prompt),
-			MaxOutput: int64(m.classes[q.talk.class].maxOut), Remaining: deadline}})
+		p.handle(&logic.Event{Kind: logic.Arrived, RequestID: q.id, Request: logic.Request{Class: set.Name, Session: q.sessionKey,
+			Prefix: q.prefixKey, PrefixTokens: int64(q.prefixTokens), PromptTokens: int64(q.promptTokens),
+			MaxOutput: int64(m.classes[q.session.class].maxOutput), Remaining: deadline}})
 	})
 }
 
 const (
-	mostTries = 2
-	backoff   = 200 * time.Millisecond
+	maxRetries   = 2
+	retryBackoff = 200 * time.Millisecond
 )
 
 // refused and failed are answers that end a try; a client comes again where that is harmless.
-func (m *Model) refused(q *ask, pause time.Duration) {
-	if q.tries >= cmp.Or(m.day.Tries, mostTries) {
+func (m *Model) refused(q *request, pause time.Duration) {
+	if q.retries >= cmp.Or(m.day.MaxRetries, maxRetries) {
 		m.report.row(q).Refused++
-		m.report.end(q, false)
-		m.on(q.talk)
+		m.report.addResult(q, false)
+		m.continueSession(q.session)
 		return
 	}
-	again := *q
-	again.tries++
-	again.out, again.at, again.sent, again.answered = nil, nil, 0, false
-	m.after(max(pause, backoff<<min(again.tries, mostTries)), func() { m.try(&again) })
+	retry := *q
+	retry.retries++
+	retry.outstanding, retry.stateAt, retry.attempts, retry.ended = nil, nil, 0, false
+	m.after(max(pause, retryBackoff<<min(retry.retries, maxRetries)), func() { m.submit(&retry) })
 }
 
-func (m *Model) failed(q *ask) {
-	if m.set.Classes[q.talk.class].Repeat == logic.Safe {
+func (m *Model) failed(q *request) {
+	if m.settings.Classes[q.session.class].Repeat == logic.Safe {
 		m.refused(q, 0)
 		return
 	}
 	m.report.row(q).Failed++
-	m.report.end(q, false)
-	m.on(q.talk)
+	m.report.addResult(q, false)
+	m.continueSession(q.session)
 }
 
 // served books the first token. The session goes on when its client has read the answer.
-func (m *Model) served(q *ask) {
-	q.answered = true
-	m.report.served(q, m.now-q.first)
-	t := q.talk
-	t.prompt += q.answer
-	m.on(t)
+func (m *Model) served(q *request) {
+	q.ended = true
+	m.report.served(q, m.now-q.firstSent)
+	t := q.session
+	t.promptTokens += q.outputTokens
+	m.continueSession(t)
 }
 
 // newTokens draws what a turn adds, as a share of its class's usual. Where servers batch, some turns bring very long texts.
-func (m *Model) newTokens() float64 {
-	if m.day.site().reader.pairs == 0 {
+func (m *Model) drawTurnFactor() float64 {
+	if m.day.site().reader.attentionCost == 0 {
 		return 0.4 + 0.6*m.rnd.ExpFloat64()
 	}
-	return min(math.Exp(1.15*m.rnd.NormFloat64()), longestTurn)
+	return min(math.Exp(1.15*m.rnd.NormFloat64()), maxTurnFactor)
 }
 
 // longestTurn is the longest turn, as a multiple of the usual.
-const longestTurn = 25
+const maxTurnFactor = 25
 
-func (m *Model) on(t *talk) {
-	if t.left > 0 {
-		m.after(seconds(m.classes[t.class].think*m.rnd.ExpFloat64()), func() { m.turn(t) })
+func (m *Model) continueSession(t *session) {
+	if t.turnsLeft > 0 {
+		m.after(seconds(m.classes[t.class].thinkTime*m.rnd.ExpFloat64()), func() { m.nextRequest(t) })
 	}
 }
--- a/internal/fleetmodel/days.go
+++ b/internal/fleetmodel/days.go
@@ -7,27 +7,27 @@
 )
 
 // base is a fleet in which a router sees about one request in two seconds.
-func base(name string) Day {
-	return Day{Name: name, Routers: 300, Readers: 40, Writers: 60, Zones: 3, Cell: 6, Rate: 160, Length: 40 * time.Second,
-		Lag: 1500 * time.Millisecond, Uneven: 0.5}
+func baseDay(name string) Day {
+	return Day{Name: name, Routers: 300, Readers: 40, Writers: 60, Zones: 3, CellSize: 6, Rate: 160, Length: 40 * time.Second,
+		ListLag: 1500 * time.Millisecond, TrafficSkew: 0.5}
 }
 
 // Calm has no trouble.
-func Calm() Day { return base("calm") }
+func Calm() Day { return baseDay("calm") }
 
 // Roll replaces half of the fleet in steps while all routers restart, a tenth at a time.
-func Roll() Day {
-	d := base("roll")
+func RollingUpdate() Day {
+	d := baseDay("roll")
 	for i := range 5 {
 		d.Events = append(d.Events, Change{seconds(4 + 2.4*float64(i)), func(m *Model) { m.Replace(0.1, 6*time.Second) }})
 	}
-	return d.restarting(5, 1.6)
+	return d.withRestarts(5, 1.6)
 }
 
 // Join replaces six in ten within seven seconds, and lists come late.
-func Join() Day {
-	d := base("join")
-	d.Lag = 3 * time.Second
+func Replacement() Day {
+	d := baseDay("join")
+	d.ListLag = 3 * time.Second
 	for i := range 6 {
 		d.Events = append(d.Events, Change{seconds(5 + 1.2*float64(i)), func(m *Model) { m.Replace(0.1, 5*time.Second) }})
 	}
@@ -35,9 +35,9 @@
 }
 
 // restarting has all routers restart, a tenth at a time: the first at a time in seconds, the others each so much later.
-func (d Day) restarting(first, apart float64) Day {
+func (d Day) withRestarts(first, interval float64) Day {
 	for i := range 10 {
-		d.Events = append(d.Events, Change{seconds(first + apart*float64(i)), func(m *Model) {
+		d.Events = append(d.Events, Change{seconds(first + interval*float64(i)), func(m *Model) {
 			for n := i; n < len(m.routers); n += 10 {
 				m.Restart(n)
 			}
@@ -49,7 +49,7 @@
 // Replace drains a part of those replicas that were there from the start and adds as many new ones in their places.
 func (m *Model) Replace(part float64, drain time.Duration) {
 	var old []*replica
-	for _, s := range m.fleet {
+	for _, s := range m.replicas {
 		if s.up && !s.draining && s.started == 0 {
 			old = append(old, s)
 		}
@@ -59,26 +59,26 @@
 	old = old[:min(n, len(old))]
 	for _, s := range old {
 		s.draining = true
-		m.after(drain, func() { s.die(); m.tell(s) })
-		m.after(seconds(m.between(0.4, 2.5)), func() {
+		m.after(drain, func() { s.kill(); m.announce(s) })
+		m.after(seconds(m.uniform(0.4, 2.5)), func() {
 			zone := int(s.entry.Zone[1] - '0')
-			m.tell(m.add(s.role, zone, s.entry.Cell, false))
+			m.announce(m.add(s.role, zone, s.entry.Cell, false))
 		})
 	}
-	m.tell(old...)
+	m.announce(old...)
 }
 
 // Small is a day with half of everything: as thinly spread, and a quarter of the work to play it.
-func (d Day) Small() Day {
+func (d Day) Half() Day {
 	d.Routers, d.Readers, d.Writers, d.Rate = d.Routers/2, d.Readers/2, d.Writers/2, d.Rate/2
 	return d
 }
 
 // ZoneBack loses a zone for five seconds. It returns cold, under the names it had.
-func ZoneBack() Day {
-	d := base("zone-back")
+func ZoneOutage() Day {
+	d := baseDay("zone-back")
 	inZone := func(m *Model, up bool) (all []*replica) {
-		for _, s := range m.fleet {
+		for _, s := range m.replicas {
 			if s.entry.Zone == zoneName(0) && s.up == up {
 				all = append(all, s)
 			}
@@ -89,30 +89,30 @@
 		{8 * time.Second, func(m *Model) {
 			lost := inZone(m, true)
 			for _, s := range lost {
-				s.die()
+				s.kill()
 			}
-			m.tell(lost...)
+			m.announce(lost...)
 		}},
 		{13 * time.Second, func(m *Model) {
 			back := inZone(m, false)
 			for _, s := range back {
 				s.restart()
 			}
-			m.tell(back...)
+			m.announce(back...)
 		}},
 	}
 	return d
 }
 
 // Stillborn is a Join whose first newcomers die at once.
-func Stillborn() Day {
-	d := Join()
+func EarlyExit() Day {
+	d := Replacement()
 	d.Name = "stillborn"
 	d.Events = append(d.Events, Change{7 * time.Second, func(m *Model) {
-		for _, s := range m.fleet {
+		for _, s := range m.replicas {
 			if s.started > 0 && s.up {
-				s.die()
-				m.tell(s)
+				s.kill()
+				m.announce(s)
 			}
 		}
 	}})
@@ -121,11 +121,11 @@
 
 // WritersFull has every writer turn everything away for three seconds while readers idle.
 func WritersFull() Day {
-	d := base("writers-full")
+	d := baseDay("writers-full")
 	shut := func(is bool) func(*Model) {
 		return func(m *Model) {
-			for _, s := range m.fleet {
-				s.shut = is && s.role == logic.Writer
+			for _, s := range m.replicas {
+				s.refuseAll = is && s.role == logic.Writer
 			}
 		}
 	}
@@ -134,13 +134,13 @@
 }
 
 // Forgotten is a Join in the middle of which every router restarts, all within two seconds.
-func Forgotten() Day {
-	d := Join()
+func ReplacementAndRestarts() Day {
+	d := Replacement()
 	d.Name = "forgotten"
-	return d.restarting(11, 0.2)
+	return d.withRestarts(11, 0.2)
 }
 
 // Days are all of them, by name.
 func Days() []Day {
-	return []Day{Calm(), Roll(), Join(), ZoneBack(), Stillborn(), WritersFull(), Forgotten()}
+	return []Day{Calm(), RollingUpdate(), Replacement(), ZoneOutage(), EarlyExit(), WritersFull(), ReplacementAndRestarts()}
 }
--- a/internal/fleetmodel/fair_test.go
+++ b/internal/fleetmodel/fair_test.go
@@ -6,13 +6,13 @@
 )
 
 // busy is a quiet day's fleet with more traffic than it was made for.
-func busy(name string, times float64) Day {
-	d := Day{Name: name, Routers: 20, Readers: 6, Writers: 9, Zones: 3, Cell: 5, Rate: 24 * times, Length: 25e9, Lag: 1500e6, Uneven: 1}
+func overloaded(name string, load float64) Day {
+	d := Day{Name: name, Routers: 20, Readers: 6, Writers: 9, Zones: 3, CellSize: 5, Rate: 24 * load, Length: 25e9, ListLag: 1500e6, TrafficSkew: 1}
 	return d
 }
 
 // second plays a day at the second site.
-func second(d Day) Day {
+func atSecondSite(d Day) Day {
 	d.Name, d.Site = "second "+d.Name, SecondSite
 	return d
 }
@@ -24,29 +24,29 @@
 		day  Day
 		part float64 // of the class's share that the longest get at least
 	}{
-		{busy("quiet", 1), 2. / 3}, {busy("full", 3), 1. / 2}, {busy("too much", 5), 1. / 2}, {Throng(20), 1. / 2}, {JoinVast(80), 1. / 2},
-		{second(busy("quiet", 1)), 2. / 3}, {second(busy("too much", 5)), 1. / 2}, {second(Throng(20)), 1. / 2},
+		{overloaded("quiet", 1), 2. / 3}, {overloaded("full", 3), 1. / 2}, {overloaded("too much", 5), 1. / 2}, {Surge(20), 1. / 2}, {LargeReplacement(80), 1. / 2},
+		{atSecondSite(overloaded("quiet", 1)), 2. / 3}, {atSecondSite(overloaded("too much", 5)), 1. / 2}, {atSecondSite(Surge(20)), 1. / 2},
 	} {
 		t.Run(c.day.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
 				r := play(t, c.day, seed+1)
-				said := ""
-				for class := range r.set.Classes {
-					for _, of := range []float64{0.1, 0.25} {
-						longest, all := r.Answered(class, of)
+				summary := ""
+				for class := range r.settings.Classes {
+					for _, fraction := range []float64{0.1, 0.25} {
+						longest, all := r.Answered(class, fraction)
 						if longest < c.part*all {
-							t.Errorf("seed %d, class %d: %.3f of the longest %.2f are answered, %.3f of all", seed+1, class, longest, of, all)
+							t.Errorf("seed %d, class %d: %.3f of the longest %.2f are answered, %.3f of all", seed+1, class, longest, fraction, all)
 						}
-						said += fmt.Sprintf("  %.3f of %.3f", longest, all)
+						summary += fmt.Sprintf("  %.3f of %.3f", longest, all)
 					}
-					shunned, chance := r.Shunned(class)
-					if shunned > chance+0.12 {
-						t.Errorf("seed %d, class %d: %.3f of the sessions get no answer, %.3f by chance", seed+1, class, shunned, chance)
+					unanswered, chance := r.UnansweredSessions(class)
+					if unanswered > chance+0.12 {
+						t.Errorf("seed %d, class %d: %.3f of the sessions get no answer, %.3f by chance", seed+1, class, unanswered, chance)
 					}
-					said += fmt.Sprintf("  shunned %.3f (%.3f)", shunned, chance)
+					summary += fmt.Sprintf("  shunned %.3f (%.3f)", unanswered, chance)
 				}
-				t.Logf("seed %d:%s", seed+1, said)
+				t.Logf("seed %d:%s", seed+1, summary)
 			}
 		})
 	}
--- a/internal/fleetmodel/fleetmodel_test.go
+++ b/internal/fleetmodel/fleetmodel_test.go
@@ -28,18 +28,18 @@
 	for _, d := range Days() {
 		t.Run(d.Name, func(t *testing.T) {
 			t.Parallel()
-			var served, tail, pressure float64
+			var served, tail, budgetUse float64
 			var text string
 			for _, seed := range []uint64{2, 3} {
-				r := play(t, d.Small(), seed)
-				served, tail, pressure = served+r.Served/2, tail+r.InTime(d.Length-10*time.Second, d.Length)/2, max(pressure, r.Pressure)
+				r := play(t, d.Half(), seed)
+				served, tail, budgetUse = served+r.Served/2, tail+r.InTime(d.Length-10*time.Second, d.Length)/2, max(budgetUse, r.BudgetUse)
 				text += r.String()
 			}
-			if b := bounds[d.Name]; served < b.served || tail < b.tail || pressure > 0.8 {
+			if b := bounds[d.Name]; served < b.served || tail < b.tail || budgetUse > 0.8 {
 				t.Errorf("%.3f served and %.3f in time in the end, pressure %.2f; want %.2f, %.2f and no more than 0.8:\n%s",
-					served, tail, pressure, b.served, b.tail, text)
+					served, tail, budgetUse, b.served, b.tail, text)
 			}
-			t.Logf("%.3f served, %.3f in time in the end, pressure %.2f", served, tail, pressure)
+			t.Logf("%.3f served, %.3f in time in the end, pressure %.2f", served, tail, budgetUse)
 		})
 	}
 }
@@ -47,7 +47,7 @@
 // The same day and seed are the same run; another seed is another.
 func TestRunsRepeat(t *testing.T) {
 	t.Parallel()
-	d := Roll().Small()
+	d := RollingUpdate().Half()
 	d.Length = 12 * time.Second
 	a, b, c := play(t, d, 5), play(t, d, 5), play(t, d, 6)
 	if a.String() != b.String() {
@@ -59,24 +59,24 @@
 }
 
 // The model itself: a reader reads what it has not kept, first come first, and forgets the oldest text.
-func TestReaderKeepsTexts(t *testing.T) {
+func TestReaderCache(t *testing.T) {
 	m := &Model{day: Calm(), now: start, byID: map[string]*replica{}}
-	s := &replica{m: m, role: logic.Reader, kept: map[textKey]*keep{}, memory: 10000}
-	prompt := func(session, shared uint64, opening, prompt float64) *ask {
-		return &ask{session: session, shared: shared, opening: opening, prompt: prompt}
+	s := &replica{m: m, role: logic.Reader, cache: map[cacheKey]*cacheEntry{}, memoryTokens: 10000}
+	prompt := func(session, shared uint64, opening, prompt float64) *request {
+		return &request{sessionKey: session, prefixKey: shared, prefixTokens: opening, promptTokens: prompt}
 	}
-	s.remember(prompt(1, 9, 2000, 3000))
+	s.store(prompt(1, 9, 2000, 3000))
 	for i, c := range []struct {
-		q    *ask
+		q    *request
 		want float64
 	}{{prompt(1, 9, 2000, 3500), 3000}, {prompt(2, 9, 2000, 2600), 2000}, {prompt(3, 0, 0, 500), 0}, {prompt(1, 9, 2000, 3000), 2999}} {
-		if got := s.find(c.q); got != c.want {
+		if got := s.lookup(c.q); got != c.want {
 			t.Errorf("case %d: %v tokens found, want %v", i, got, c.want)
 		}
 	}
 	m.now += time.Second
-	s.remember(prompt(4, 8, 4000, 6000))
-	if got := s.find(prompt(1, 0, 0, 3000)); got != 0 {
+	s.store(prompt(4, 8, 4000, 6000))
+	if got := s.lookup(prompt(1, 0, 0, 3000)); got != 0 {
 		t.Errorf("the oldest text is still kept after others took its room: %v", got)
 	}
 }
--- a/internal/fleetmodel/vast_test.go
+++ b/internal/fleetmodel/large_test.go
@@ -9,18 +9,18 @@
 // The days of a far larger fleet at three sizes, the mean of four seeds, at 300 of two. At 80 routers each bound on the end of the day, and
 // at 300 that of join, lie between the decisions that let settled sessions move to newcomers and those of now. At 3 routers
 // decisions are the same, and the bounds hold them; at 300 herd and zone are held too, herd at less than it was.
-func TestVastDays(t *testing.T) {
+func TestLargeFleetDays(t *testing.T) {
 	for _, c := range []struct {
 		day          Day
 		served, tail float64
 	}{
-		{HerdVast(3), 0.97, 0.97}, {ZoneVast(3), 0.96, 0.97}, {JoinVast(3), 0.93, 0.97},
-		{HerdVast(80), 0.92, 0.95}, {ZoneVast(80), 0.90, 0.88}, {JoinVast(80), 0.86, 0.80},
-		{HerdVast(300), 0.85, 0.78}, {ZoneVast(300), 0.88, 0.84}, {JoinVast(300), 0.70, 0.55},
+		{LargeRestart(3), 0.97, 0.97}, {LargeZoneOutage(3), 0.96, 0.97}, {LargeReplacement(3), 0.93, 0.97},
+		{LargeRestart(80), 0.92, 0.95}, {LargeZoneOutage(80), 0.90, 0.88}, {LargeReplacement(80), 0.86, 0.80},
+		{LargeRestart(300), 0.85, 0.78}, {LargeZoneOutage(300), 0.88, 0.84}, {LargeReplacement(300), 0.70, 0.55},
 	} {
 		t.Run(fmt.Sprintf("%s/%d", c.day.Name, c.day.Routers), func(t *testing.T) {
 			t.Parallel()
-			var served, tail, pressure float64
+			var served, tail, budgetUse float64
 			var text string
 			seeds := []uint64{3, 4, 1, 2}
 			if c.day.Routers > 100 {
@@ -30,14 +30,14 @@
 				r := play(t, c.day, seed)
 				n := float64(len(seeds))
 				served, tail = served+r.Served/n, tail+r.InTime(c.day.Length-10*time.Second, c.day.Length)/n
-				pressure = max(pressure, r.Pressure)
+				budgetUse = max(budgetUse, r.BudgetUse)
 				text += r.String()
 			}
-			if served < c.served || tail < c.tail || pressure > 1 {
+			if served < c.served || tail < c.tail || budgetUse > 1 {
 				t.Errorf("%.3f served and %.3f in time in the end, pressure %.2f; want %.2f, %.2f and no more than 1:\n%s",
-					served, tail, pressure, c.served, c.tail, text)
+					served, tail, budgetUse, c.served, c.tail, text)
 			}
-			t.Logf("%.3f served, %.3f in time in the end, pressure %.2f", served, tail, pressure)
+			t.Logf("%.3f served, %.3f in time in the end, pressure %.2f", served, tail, budgetUse)
 		})
 	}
 }
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -22,31 +22,31 @@
 	Readers     int
 	Writers     int
 	Zones       int
-	Cell        int           // replicas to a cell
+	CellSize    int           // replicas to a cell
 	Rate        float64       // requests a second over the fleet
 	Length      time.Duration // during which requests arrive
-	Lag         time.Duration // from a change of the list until routers hear of it, on average
+	ListLag     time.Duration // from a change of the list until routers hear of it, on average
 	Events      []Change
-	Uneven      float64 // how unevenly the front spreads clients: 0 evenly
+	TrafficSkew float64 // how unevenly the front spreads clients: 0 evenly
 	Burst       Burst
 	ZoneTraffic []float64 // shares of the sessions that begin in each zone; none: even ones
 
-	Places    int           // connections that a replica holds; 0 = any number
-	Tries     int           // that a client makes again; 0 = mostTries
-	Ordered   bool          // after a loss of power routers come back as package recovery says
-	Handshake time.Duration // work that a new connection costs a replica
+	MaxConns      int           // connections that a replica holds; 0 = any number
+	MaxRetries    int           // that a client makes again; 0 = mostTries
+	UseRecovery   bool          // after a loss of power routers come back as package recovery says
+	HandshakeWork time.Duration // work that a new connection costs a replica
 }
 
 // Burst is a time in which requests come more often.
 type Burst struct {
 	From, To time.Duration
-	Times    float64 // as often
+	Factor   float64 // as often
 }
 
 // at tells how much more often requests come at a time.
-func (b Burst) at(t time.Duration) float64 {
+func (b Burst) factor(t time.Duration) float64 {
 	if t >= b.From && t < b.To {
-		return b.Times
+		return b.Factor
 	}
 	return 1
 }
@@ -59,41 +59,41 @@
 
 // Model is one run of a day.
 type Model struct {
-	day     Day
-	rnd     *rand.Rand
-	now     time.Duration
-	queue   events
-	order   uint64
-	set     logic.Settings
-	classes []class
-	fleet   []*replica
-	byID    map[string]*replica
-	routers []*router
-	texts   [][]text
-	weights [][]float64
-	asked   uint64
-	report  Report
+	day           Day
+	rnd           *rand.Rand
+	now           time.Duration
+	queue         events
+	seq           uint64
+	settings      logic.Settings
+	classes       []class
+	replicas      []*replica
+	byID          map[string]*replica
+	routers       []*router
+	prefixes      [][]prefix
+	prefixWeights [][]float64
+	requestCount  uint64
+	report        Report
 }
 
 const (
 	// start is the model's clock at the start of a day: times of zero mean "long ago" to the decisions.
 	start = time.Hour
 	// prelude is the time before it in which traffic rises and replicas come to know their texts. It is not counted.
-	prelude = 25 * time.Second
+	warmUp = 25 * time.Second
 )
 
 // event is something due.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -107,38 +107,38 @@
 
 // after has something done later; what is due at one instant is done in the order in which it was asked for.
 func (m *Model) after(d time.Duration, do func()) {
-	m.order++
-	heap.Push(&m.queue, event{m.now + max(d, 0), m.order, do})
+	m.seq++
+	heap.Push(&m.queue, event{m.now + max(d, 0), m.seq, do})
 }
 
 // between draws from a range.
-func (m *Model) between(low, high float64) float64 { return low + (high-low)*m.rnd.Float64() }
+func (m *Model) uniform(low, high float64) float64 { return low + (high-low)*m.rnd.Float64() }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Run plays a day and reports on it.
 func Run(day Day, seed uint64) (Report, error) {
-	m := &Model{day: day, rnd: rand.New(rand.NewPCG(seed, 0x5eed)), now: start - prelude, byID: map[string]*replica{}}
-	m.set, m.classes = settings(day), day.site().classes
+	m := &Model{day: day, rnd: rand.New(rand.NewPCG(seed, 0x5eed)), now: start - warmUp, byID: map[string]*replica{}}
+	m.settings, m.classes = settings(day), day.site().classes
 	m.report = newReport(m)
 	for i := range day.Readers + day.Writers {
 		role := logic.Writer
 		if i*day.Readers/(day.Readers+day.Writers) != (i+1)*day.Readers/(day.Readers+day.Writers) {
 			role = logic.Reader
 		}
-		m.add(role, i/day.Cell%day.Zones, int64(i/day.Cell), true)
+		m.add(role, i/day.CellSize%day.Zones, int64(i/day.CellSize), true)
 	}
 	for i := range day.Routers {
-		r := &router{m: m, n: i, zone: i % day.Zones, weight: 1 + day.Uneven*m.rnd.ExpFloat64()}
-		if err := r.boot(); err != nil {
+		r := &router{m: m, index: i, zone: i % day.Zones, weight: 1 + day.TrafficSkew*m.rnd.ExpFloat64()}
+		if err := r.startProcess(); err != nil {
 			return Report{}, err
 		}
 		m.routers = append(m.routers, r)
 	}
-	m.drawTexts()
-	m.arrivals()
+	m.drawPrefixes()
+	m.startArrivals()
 	for _, c := range day.Events {
-		m.after(prelude+c.At, func() { c.Do(m) })
+		m.after(warmUp+c.At, func() { c.Do(m) })
 	}
 	for len(m.queue) > 0 {
 		e := heap.Pop(&m.queue).(event)
--- a/internal/fleetmodel/throng.go
+++ b/internal/fleetmodel/surge.go
@@ -4,9 +4,9 @@
 
 // Throng is a small fleet under a few or some tens of routers, of which some get several times the mean. A zone returns cold and a fifth of
 // the replicas are replaced, both under a burst of twice the traffic.
-func Throng(routers int) Day {
-	d := Day{Name: "throng", Routers: routers, Readers: 6, Writers: 9, Zones: 3, Cell: 5, Rate: 24, Length: 26 * time.Second,
-		Lag: 1500 * time.Millisecond, Uneven: 2, Burst: Burst{12 * time.Second, 18 * time.Second, 2}}
-	d.Events = append(ZoneBack().Events, Change{11 * time.Second, func(m *Model) { m.Replace(0.2, 4*time.Second) }})
+func Surge(routers int) Day {
+	d := Day{Name: "throng", Routers: routers, Readers: 6, Writers: 9, Zones: 3, CellSize: 5, Rate: 24, Length: 26 * time.Second,
+		ListLag: 1500 * time.Millisecond, TrafficSkew: 2, Burst: Burst{12 * time.Second, 18 * time.Second, 2}}
+	d.Events = append(ZoneOutage().Events, Change{11 * time.Second, func(m *Model) { m.Replace(0.2, 4*time.Second) }})
 	return d
 }
