--- a/internal/fleetmodel/batching.go
+++ b/internal/fleetmodel/batching.go
@@ -6,8 +6,8 @@
 	"standpulley/logic"
 )
 
-// Batching is a day of a fleet of the newer kind: see BatchingSite. One zone has half of the traffic, and from a time on a part of it begins
-// with one opening that nobody has read before.
+// Batching is a day of BatchingSite. One zone has half of the traffic. If newPrefixShare is not 0, that
+// share of the new sessions begins, from 8 s on, with one shared prefix that no reader has cached.
 func Batching(routers int, newPrefixShare float64) Day {
 	d := Day{Name: "batching", Site: BatchingSite, Routers: routers, Readers: 94, Writers: 6, Zones: 3, CellSize: 6, Rate: 71, Length: 30 * time.Second,
 		ListLag: 1500 * time.Millisecond, TrafficSkew: 0.5, ZoneTraffic: []float64{0.25, 0.27, 0.48}}
@@ -20,7 +20,7 @@
 	return d
 }
 
-// BatchingJoin is the same while six in ten replicas are replaced within seven seconds.
+// BatchingReplacement is Batching with 60% of the replicas replaced within seven seconds.
 func BatchingReplacement(routers int) Day {
 	d := Batching(routers, 0)
 	d.Name, d.ListLag = "batching-join", 2500*time.Millisecond
@@ -28,7 +28,8 @@
 	return d
 }
 
-// addOpening has a part of all new sessions begin with an opening that was not there before.
+// addPrefix adds a new shared prefix, with which the given share of the new sessions that have a
+// shared prefix begins.
 func (m *Model) addPrefix(part float64) {
 	t := prefix{m.rnd.Uint64() | 1, m.uniform(m.classes[0].minPrefix, m.classes[0].maxPrefix)}
 	for class, weights := range m.prefixWeights {
@@ -41,7 +42,8 @@
 	}
 }
 
-// WritersReplaced has every warm writer drain as its successors, which are cold, have just come: for a while none of a kind is warm.
+// WritersReplaced makes every warm writer drain when its cold replacement has just started, so that no
+// writer is warm for a while.
 func WritersReplaced(routers int) Day {
 	d := Batching(routers, 0)
 	d.Name = "writers-replaced"
--- a/internal/fleetmodel/client.go
+++ b/internal/fleetmodel/client.go
@@ -8,13 +8,14 @@
 	"standpulley/logic"
 )
 
-// The shares of their capacity at which readers and writers work on a quiet day.
+// The utilization of readers and writers on a quiet day.
 const (
 	quietReaderLoad = 0.35
 	quietWriterLoad = 0.55
 )
 
-// Site is a deployment: its settings, how the clients of each of its classes behave, and what its replicas can do.
+// Site is a deployment: its settings, the behaviour of the clients of each class, and the performance
+// of its replicas.
 type Site struct {
 	settings func() logic.Settings
 	classes  []class
@@ -22,30 +23,31 @@
 	writer   writerEngine
 }
 
-// readerEngine is what a site's readers can do.
+// readerEngine is the performance of a site's readers.
 type readerEngine struct {
-	minRate, maxRate float64 // tokens that a warm one reads in a second
-	attentionCost    float64 // seconds for a million pairs of a token and one before it
-	batchOverhead    float64 // seconds a batch
-	maxBatch         float64 // tokens of short prompts that are read together; 0: one prompt at a time
+	minRate, maxRate float64 // tokens per second that a warm reader reads; each reader's rate is drawn from the range
+	attentionCost    float64 // seconds per million pairs of a token and an earlier token
+	batchOverhead    float64 // seconds per batch
+	maxBatch         float64 // maximum number of tokens that are read together; 0 if prompts are read one at a time
 	maxQueue         int
 	memoryTokens     float64 // tokens
 }
 
-// writerEngine is what a site's writers can do.
+// writerEngine is the performance of a site's writers.
 type writerEngine struct {
 	slots, maxQueue                        int
 	memoryTokens                           float64 // tokens
-	baseStep, stepPerAnswer, stepPerKToken float64 // seconds a token takes each answer: by itself, for each answer that runs, for each 1,000 tokens held
+	baseStep, stepPerAnswer, stepPerKToken float64 // seconds that each running answer takes per token: fixed part, per running answer, per 1,000 tokens held
 }
 
-// The engines of the first sites. Their readers are slower than those of real sites, as long prompts cost no more than their length.
+// The engines of the default and the second site. Their readers are slower than those of real sites,
+// as the cost of a long prompt is only linear in its length.
 var (
 	plainReader = readerEngine{minRate: 7000, maxRate: 8800, batchOverhead: 0.004, maxQueue: 40, memoryTokens: 215000}
 	plainWriter = writerEngine{slots: 80, maxQueue: 25, memoryTokens: 150000, baseStep: 0.014, stepPerAnswer: 0.0002, stepPerKToken: 0.00005}
 )
 
-// site gives the day's deployment, the first one where it names none.
+// site returns the day's deployment, or the default one if the day names none.
 func (d Day) site() Site {
 	if d.Site.settings == nil {
 		return defaultSite
@@ -53,14 +55,14 @@
 	return d.Site
 }
 
-// settings are those of the day's deployment with its number of routers.
+// settings returns the settings of the day's deployment, with the day's number of routers.
 func settings(day Day) logic.Settings {
 	set := day.site().settings()
 	set.Siblings = day.Routers
 	return set
 }
 
-// firstSite has two classes: one that may be repeated and one that may not.
+// defaultSite has two classes: one whose requests may be repeated and one whose requests may not.
 var defaultSite = Site{settings: func() logic.Settings {
 	return logic.Settings{
 		Kinds: []logic.Kind{{Name: "reader", Role: logic.Reader, MemoryTokens: 215000},
@@ -81,8 +83,9 @@
 	{0.44, 5.5, 2.8, 500, 100, 400, 4, 2600, 7700, 0.79},
 }, reader: plainReader, writer: plainWriter}
 
-// SecondSite has three: short questions, changes that replicas throw away when they are repeated, and claims that must not run twice. Its
-// deadlines are shorter, its replicas colder and sooner pushed over, its prompts longer.
+// SecondSite has three classes: short questions, changes, which replicas deduplicate when they are
+// repeated, and claims, which must not run twice. Its deadlines are shorter than those of the default
+// site, its replicas are overloaded earlier, and the prompts of its claims are longer.
 var SecondSite = Site{settings: func() logic.Settings {
 	set := defaultSite.settings()
 	set.Classes = []logic.Class{
@@ -102,9 +105,10 @@
 	{0.18, 4.5, 3, 900, 110, 400, 3, 3000, 9000, 0.9},
 }, reader: plainReader, writer: plainWriter}
 
-// BatchingSite has servers that batch: short prompts are read together, and a long one costs more than its length, as each token attends to
-// all before it. Sessions are short, nearly all begin with one of very many shared openings, and a few prompts are far longer than most. Few
-// writers serve many readers.
+// BatchingSite has readers that batch: short prompts are read together, and the cost of a long prompt
+// grows faster than its length, as each token attends to all tokens before it. Sessions are short,
+// nearly all begin with one of very many shared prefixes, and a few prompts are far longer than most.
+// Few writers serve many readers.
 var BatchingSite = Site{settings: func() logic.Settings {
 	set := defaultSite.settings()
 	set.Kinds = []logic.Kind{{Name: "reader", Role: logic.Reader, MemoryTokens: 305000}, {Name: "writer", Role: logic.Writer, MemoryTokens: 765000}}
@@ -119,21 +123,22 @@
 }, reader: readerEngine{minRate: 12400, maxRate: 13400, attentionCost: 0.00335, batchOverhead: 0.015, maxBatch: 8192, maxQueue: 200, memoryTokens: 305000},
 	writer: writerEngine{slots: 128, maxQueue: 200, memoryTokens: 765000, baseStep: 0.009, stepPerAnswer: 0.000035, stepPerKToken: 0.00002}}
 
-// text is an opening that sessions share.
+// prefix is a beginning of the prompt that several sessions share.
 type prefix struct {
 	key    uint64
 	tokens float64
 }
 
-// class is how the clients of a class behave.
+// class is the behaviour of the clients of a class.
 type class struct {
-	share, turns, thinkTime            float64
+	share, turns, thinkTime            float64 // share of the requests, mean turns of a session, mean seconds between turns
 	newTokens, outputTokens, maxOutput float64
-	prefixes                           float64 // for ten replicas
-	minPrefix, maxPrefix               float64 // tokens of an opening
-	prefixShare                        float64 // part of the sessions that begin with one
+	prefixes                           float64 // number of shared prefixes per ten replicas
+	minPrefix, maxPrefix               float64 // tokens of a shared prefix, drawn from the range
+	prefixShare                        float64 // share of the sessions that begin with a shared prefix
 }
 
+// drawPrefixes draws the shared prefixes of each class. Their popularity follows a Zipf-like law.
 func (m *Model) drawPrefixes() {
 	for _, c := range m.classes {
 		n := int(c.prefixes * float64(m.day.Readers+m.day.Writers) / 10)
@@ -147,7 +152,7 @@
 	}
 }
 
-// pick draws an index by weight.
+// pickWeighted draws an index with a probability proportional to its weight.
 func (m *Model) pickWeighted(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -162,7 +167,7 @@
 	return len(weights) - 1
 }
 
-// talk is a session: each turn's prompt holds all that went before.
+// session is a conversation. The prompt of each turn contains all earlier prompts and answers.
 type session struct {
 	class        int
 	key          uint64
@@ -172,11 +177,12 @@
 	zone         int
 }
 
-// ask is one try of a request, from its arrival at a router to its answer.
+// request is one try of a client's request, from its arrival at a router to its answer. A retry is a
+// request of its own.
 type request struct {
 	id           string
 	session      *session
-	firstSent    time.Duration // when its client first tried
+	firstSent    time.Duration // when the client first sent it
 	retries      int
 	sessionKey   uint64
 	prefixKey    uint64
@@ -185,11 +191,12 @@
 	outputTokens float64
 	outstanding  *attempt
 	attempts     int
-	stateAt      *replica // where its state waits
+	stateAt      *replica // reader that holds its prefill state
 	ended        bool
 }
 
-// arrivals has sessions begin so that requests come at the day's rate, from its first second on.
+// startArrivals makes sessions start at a rate that gives the day's rate of requests. The rate rises
+// during the warm-up, so that it is reached when the day begins.
 func (m *Model) startArrivals() {
 	sessionsPerRequest := 0.0
 	for _, c := range m.classes {
@@ -207,6 +214,7 @@
 	m.after(0, begin)
 }
 
+// startSession starts a session of a class drawn by the classes' shares.
 func (m *Model) startSession() {
 	var shares []float64
 	for _, c := range m.classes {
@@ -215,6 +223,7 @@
 	m.nextRequest(m.newSession(m.pickWeighted(shares)))
 }
 
+// newSession draws the turns, prefix and zone of a session of class ci.
 func (m *Model) newSession(ci int) *session {
 	c := m.classes[ci]
 	t := &session{class: ci, key: m.rnd.Uint64() | 1, turnsLeft: 1, zone: m.drawZone()}
@@ -228,7 +237,7 @@
 	return t
 }
 
-// drawZone gives the zone of a new session's client.
+// drawZone draws the zone of a new session's client.
 func (m *Model) drawZone() int {
 	if len(m.day.ZoneTraffic) > 0 {
 		return m.pickWeighted(m.day.ZoneTraffic)
@@ -236,7 +245,7 @@
 	return m.rnd.IntN(m.day.Zones)
 }
 
-// turn is a session's next request.
+// nextRequest sends the next request of a session, unless the day is over.
 func (m *Model) nextRequest(t *session) {
 	if m.now-start >= m.day.Length {
 		return
@@ -250,7 +259,7 @@
 	m.submit(q)
 }
 
-// try sends a request, or a repeat of it, to a router of its client's zone.
+// submit sends a request or a retry to a router in the client's zone.
 func (m *Model) submit(q *request) {
 	weights := make([]float64, len(m.routers))
 	for i, r := range m.routers {
@@ -259,7 +268,7 @@
 		}
 	}
 	p := m.routers[m.pickWeighted(weights)].process
-	if p.powerless { // nobody answers
+	if p.powerless { // nothing answers
 		m.refused(q, 0)
 		return
 	}
@@ -286,7 +295,8 @@
 	retryBackoff = 200 * time.Millisecond
 )
 
-// refused and failed are answers that end a try; a client comes again where that is harmless.
+// refused handles a refusal: the client retries after the pause or its own backoff, whichever is
+// longer, unless its retries are used up.
 func (m *Model) refused(q *request, pause time.Duration) {
 	if q.retries >= cmp.Or(m.day.MaxRetries, maxRetries) {
 		m.report.row(q).Refused++
@@ -300,6 +310,8 @@
 	m.after(max(pause, retryBackoff<<min(retry.retries, maxRetries)), func() { m.submit(&retry) })
 }
 
+// failed handles an error whose request may have run. The client retries only if the class allows
+// requests to run again.
 func (m *Model) failed(q *request) {
 	if m.settings.Classes[q.session.class].Repeat == logic.Safe {
 		m.refused(q, 0)
@@ -310,7 +322,7 @@
 	m.continueSession(q.session)
 }
 
-// served books the first token. The session goes on when its client has read the answer.
+// served records the first token of an answer, and schedules the next turn of the session.
 func (m *Model) served(q *request) {
 	q.ended = true
 	m.report.served(q, m.now-q.firstSent)
@@ -319,7 +331,8 @@
 	m.continueSession(t)
 }
 
-// newTokens draws what a turn adds, as a share of its class's usual. Where servers batch, some turns bring very long texts.
+// drawTurnFactor draws the length of a turn's new text as a multiple of the class's mean. On sites
+// with batching readers some turns are very long.
 func (m *Model) drawTurnFactor() float64 {
 	if m.day.site().reader.attentionCost == 0 {
 		return 0.4 + 0.6*m.rnd.ExpFloat64()
@@ -327,9 +340,10 @@
 	return min(math.Exp(1.15*m.rnd.NormFloat64()), maxTurnFactor)
 }
 
-// longestTurn is the longest turn, as a multiple of the usual.
+// maxTurnFactor is the largest result of drawTurnFactor on sites with batching readers.
 const maxTurnFactor = 25
 
+// continueSession schedules the next turn of a session, if it has one.
 func (m *Model) continueSession(t *session) {
 	if t.turnsLeft > 0 {
 		m.after(seconds(m.classes[t.class].thinkTime*m.rnd.ExpFloat64()), func() { m.nextRequest(t) })
--- a/internal/fleetmodel/conns.go
+++ b/internal/fleetmodel/conns.go
@@ -2,14 +2,15 @@
 
 import "standpulley/logic"
 
-// idleMost is how many connections to a replica a router keeps, as package replica does.
+// maxIdle is the number of idle connections to a replica that a router keeps, as in package replica.
 const maxIdle = 8
 
-// idleConns are a router's unused connections to one process of a replica.
+// idleConns counts a router's idle connections to one process of a replica.
 type idleConns struct{ generation, count int }
 
-// connect gets a connection for a call: one that idles, or a new one, which costs the replica work and may find no place.
-// As in package replica, what must not run twice goes to a writer on a new one.
+// connect gets a connection for an attempt: an idle one, or a new one, which costs the replica work
+// and fails if the replica is at its maximum number of connections. As in package replica, a write
+// that must not run twice uses a new connection.
 func (c *attempt) connect() {
 	m, s := c.p.r.m, c.replica
 	ownConn := s.role == logic.Writer && m.settings.Classes[c.q.session.class].Repeat == logic.Unsafe
@@ -35,13 +36,15 @@
 	})
 }
 
+// arrive hands the attempt to the replica, unless the router has given it up.
 func (c *attempt) arrive() {
 	if !c.ended {
 		c.replica.receive(c)
 	}
 }
 
-// disconnect keeps the connection of a call that has ended where it can be used again, and closes it elsewhere.
+// disconnect returns the connection of an ended attempt to the idle ones if it can be reused, and
+// closes it otherwise.
 func (c *attempt) disconnect(as logic.Outcome) {
 	s := c.replica
 	if !c.connected || c.generation != s.generation {
@@ -61,9 +64,9 @@
 	s.conns--
 }
 
-// hangUp closes the idle connections of a process that ends.
+// closeIdle closes the idle connections of a process that ends.
 func (p *process) closeIdle() {
-	for s, k := range p.idle { // only counts, so the order does not matter
+	for s, k := range p.idle { // the order does not matter for counts
 		if k.generation == s.generation {
 			s.conns -= k.count
 		}
--- a/internal/fleetmodel/days.go
+++ b/internal/fleetmodel/days.go
@@ -6,16 +6,16 @@
 	"standpulley/logic"
 )
 
-// base is a fleet in which a router sees about one request in two seconds.
+// baseDay is a fleet in which each router receives about one request every two seconds.
 func baseDay(name string) Day {
 	return Day{Name: name, Routers: 300, Readers: 40, Writers: 60, Zones: 3, CellSize: 6, Rate: 160, Length: 40 * time.Second,
 		ListLag: 1500 * time.Millisecond, TrafficSkew: 0.5}
 }
 
-// Calm has no trouble.
+// Calm has no disturbance.
 func Calm() Day { return baseDay("calm") }
 
-// Roll replaces half of the fleet in steps while all routers restart, a tenth at a time.
+// RollingUpdate replaces half of the replicas in steps while all routers restart, a tenth at a time.
 func RollingUpdate() Day {
 	d := baseDay("roll")
 	for i := range 5 {
@@ -24,7 +24,7 @@
 	return d.withRestarts(5, 1.6)
 }
 
-// Join replaces six in ten within seven seconds, and lists come late.
+// Replacement replaces 60% of the replicas within seven seconds, while lists reach routers late.
 func Replacement() Day {
 	d := baseDay("join")
 	d.ListLag = 3 * time.Second
@@ -34,7 +34,8 @@
 	return d
 }
 
-// restarting has all routers restart, a tenth at a time: the first at a time in seconds, the others each so much later.
+// withRestarts adds restarts of all routers to the day, a tenth at a time: the first tenth at the time
+// first, each of the others interval later, both in seconds.
 func (d Day) withRestarts(first, interval float64) Day {
 	for i := range 10 {
 		d.Events = append(d.Events, Change{seconds(first + interval*float64(i)), func(m *Model) {
@@ -46,7 +47,8 @@
 	return d
 }
 
-// Replace drains a part of those replicas that were there from the start and adds as many new ones in their places.
+// Replace drains a share of the fleet, chosen from the replicas that were there from the start, and
+// adds as many new replicas in the same zones and cells.
 func (m *Model) Replace(part float64, drain time.Duration) {
 	var old []*replica
 	for _, s := range m.replicas {
@@ -68,13 +70,14 @@
 	m.announce(old...)
 }
 
-// Small is a day with half of everything: as thinly spread, and a quarter of the work to play it.
+// Half returns the day with half of the routers, replicas and requests. Each router receives as few
+// requests as before, and the run costs a quarter of the work.
 func (d Day) Half() Day {
 	d.Routers, d.Readers, d.Writers, d.Rate = d.Routers/2, d.Readers/2, d.Writers/2, d.Rate/2
 	return d
 }
 
-// ZoneBack loses a zone for five seconds. It returns cold, under the names it had.
+// ZoneOutage loses all replicas of a zone for five seconds. They restart cold, under their old IDs.
 func ZoneOutage() Day {
 	d := baseDay("zone-back")
 	inZone := func(m *Model, up bool) (all []*replica) {
@@ -104,7 +107,7 @@
 	return d
 }
 
-// Stillborn is a Join whose first newcomers die at once.
+// EarlyExit is a Replacement whose first new replicas exit shortly after their start.
 func EarlyExit() Day {
 	d := Replacement()
 	d.Name = "stillborn"
@@ -119,7 +122,8 @@
 	return d
 }
 
-// WritersFull has every writer turn everything away for three seconds while readers idle.
+// WritersFull makes every writer refuse all requests as full for three seconds while readers have
+// spare capacity.
 func WritersFull() Day {
 	d := baseDay("writers-full")
 	shut := func(is bool) func(*Model) {
@@ -133,14 +137,15 @@
 	return d
 }
 
-// Forgotten is a Join in the middle of which every router restarts, all within two seconds.
+// ReplacementAndRestarts is a Replacement in the middle of which every router restarts, all within two
+// seconds.
 func ReplacementAndRestarts() Day {
 	d := Replacement()
 	d.Name = "forgotten"
 	return d.withRestarts(11, 0.2)
 }
 
-// Days are all of them, by name.
+// Days returns all days of this file.
 func Days() []Day {
 	return []Day{Calm(), RollingUpdate(), Replacement(), ZoneOutage(), EarlyExit(), WritersFull(), ReplacementAndRestarts()}
 }
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -1,9 +1,10 @@
-// Package fleetmodel is a small deterministic model of a large fleet: hundreds of routers of package logic that share
-// nothing, tens of readers and writers, a register that lags, and clients that come again. It drives the decisions
-// alone, without sockets, on a clock of its own; the same day and seed give the same result everywhere.
+// Package fleetmodel is a small deterministic model of a large fleet: hundreds of routers of package
+// logic that share nothing, tens of readers and writers, a registry whose changes arrive late, and
+// clients that retry. It drives the decisions of package logic alone, without sockets, on a virtual
+// clock; the same day and seed give the same result everywhere.
 //
-// It is no measurement of real machines. It has what a jam of re-read prompts needs: queues, kept texts, cold starts,
-// memory that running answers hold, and time-outs.
+// It does not measure real machines. It models what a congestion collapse by repeated prefills needs:
+// queues, prefix caches, cold starts, memory held by running answers, and timeouts.
 package fleetmodel
 
 import (
@@ -14,36 +15,37 @@
 	"standpulley/logic"
 )
 
-// Day is what a run plays. Times are from its start.
+// Day is the scenario of a run: the fleet, its traffic and the changes to it. Times count from its
+// start.
 type Day struct {
 	Name        string
-	Site        Site // none: the first
+	Site        Site // zero value: the default site
 	Routers     int
 	Readers     int
 	Writers     int
 	Zones       int
-	CellSize    int           // replicas to a cell
-	Rate        float64       // requests a second over the fleet
-	Length      time.Duration // during which requests arrive
-	ListLag     time.Duration // from a change of the list until routers hear of it, on average
+	CellSize    int           // replicas per cell
+	Rate        float64       // requests per second to the whole fleet
+	Length      time.Duration // requests arrive for this long
+	ListLag     time.Duration // mean time from a change of the list until routers receive it
 	Events      []Change
-	TrafficSkew float64 // how unevenly the front spreads clients: 0 evenly
+	TrafficSkew float64 // how unevenly the load balancer spreads clients over routers; 0 if evenly
 	Burst       Burst
-	ZoneTraffic []float64 // shares of the sessions that begin in each zone; none: even ones
+	ZoneTraffic []float64 // share of the sessions of each zone; empty if all have the same share
 
-	MaxConns      int           // connections that a replica holds; 0 = any number
-	MaxRetries    int           // that a client makes again; 0 = mostTries
-	UseRecovery   bool          // after a loss of power routers come back as package recovery says
-	HandshakeWork time.Duration // work that a new connection costs a replica
+	MaxConns      int           // maximum number of connections of a replica; 0 if there is no limit
+	MaxRetries    int           // maximum number of retries by a client; 0 means maxRetries
+	UseRecovery   bool          // after a power loss, routers limit admission as package recovery decides
+	HandshakeWork time.Duration // work of a replica per new connection
 }
 
-// Burst is a time in which requests come more often.
+// Burst is a period with a higher rate of requests.
 type Burst struct {
 	From, To time.Duration
-	Factor   float64 // as often
+	Factor   float64 // multiple of the day's rate
 }
 
-// at tells how much more often requests come at a time.
+// factor returns the multiple of the day's rate at a time.
 func (b Burst) factor(t time.Duration) float64 {
 	if t >= b.From && t < b.To {
 		return b.Factor
@@ -51,7 +53,7 @@
 	return 1
 }
 
-// Change is something that happens to the fleet.
+// Change is a scheduled change to the fleet.
 type Change struct {
 	At time.Duration
 	Do func(m *Model)
@@ -76,19 +78,22 @@
 }
 
 const (
-	// start is the model's clock at the start of a day: times of zero mean "long ago" to the decisions.
+	// start is the virtual time at which a day starts. It is not 0, as package logic takes a time of 0
+	// as long ago.
 	start = time.Hour
-	// prelude is the time before it in which traffic rises and replicas come to know their texts. It is not counted.
+	// warmUp is the period before start in which traffic rises and replicas fill their caches. Reports
+	// leave it out.
 	warmUp = 25 * time.Second
 )
 
-// event is something due.
+// event is a function to be run at a time.
 type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
+// events is a heap of events, ordered by time and, at the same time, by the order of scheduling.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -105,18 +110,19 @@
 	return x
 }
 
-// after has something done later; what is due at one instant is done in the order in which it was asked for.
+// after schedules do to run after d. Functions due at the same time run in the order in which they
+// were scheduled.
 func (m *Model) after(d time.Duration, do func()) {
 	m.seq++
 	heap.Push(&m.queue, event{m.now + max(d, 0), m.seq, do})
 }
 
-// between draws from a range.
+// uniform draws a number from a range.
 func (m *Model) uniform(low, high float64) float64 { return low + (high-low)*m.rnd.Float64() }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Run plays a day and reports on it.
+// Run simulates a day and returns its report.
 func Run(day Day, seed uint64) (Report, error) {
 	m := &Model{day: day, rnd: rand.New(rand.NewPCG(seed, 0x5eed)), now: start - warmUp, byID: map[string]*replica{}}
 	m.settings, m.classes = settings(day), day.site().classes
--- a/internal/fleetmodel/power.go
+++ b/internal/fleetmodel/power.go
@@ -6,8 +6,9 @@
 	"standpulley/internal/recovery"
 )
 
-// PowerBack loses all power for two seconds and a bit: replicas return cold, routers knowing what they remember, each in its time, and
-// clients go on trying. Ordered is whether routers come back as package recovery says.
+// PowerLoss cuts the power of all routers and replicas for two seconds or more. Each returns at a time
+// of its own, replicas cold, and clients keep retrying. If useRecovery is set, routers have kept the
+// warm rates of replicas and limit admission as package recovery decides.
 func PowerLoss(routers int, useRecovery bool) Day {
 	d := sizedDay("power-back", routers)
 	d.Length, d.UseRecovery, d.MaxRetries = 45*time.Second, useRecovery, 12
@@ -24,7 +25,8 @@
 	return d
 }
 
-// loses ends a router's process at once. Its clients hear nothing; those whose request may be repeated come again.
+// powerOff kills a router's process. Its clients get no answer, and retry requests that may be
+// repeated.
 func (r *router) powerOff() {
 	r.unavailable = true
 	p := r.process
@@ -39,16 +41,17 @@
 	for _, other := range r.m.routers {
 		sum += other.weight
 	}
-	rate := r.m.day.Rate * r.weight / sum // that it has served for long
+	rate := r.m.day.Rate * r.weight / sum // long-term rate of requests of this router
 	r.warmRates = recovery.MeasureWarmRates(warmRateRequests, seconds(warmRateRequests/rate), r.m.kindWeights(), r.m.settings.Kinds)
 }
 
-const warmRateRequests = 100 // requests tell what replicas bear
+// warmRateRequests is the number of requests from which the warm rates of replicas are measured.
+const warmRateRequests = 100
 
-// returns starts a router again, with what it remembers where that is kept.
+// powerOn starts a router again, with the warm rates it has kept if the day uses recovery.
 func (r *router) powerOn() {
 	if err := r.startProcess(); err != nil {
-		return // the settings were good before
+		return // unexpected, as the same settings were accepted before
 	}
 	r.unavailable = false
 	if !r.m.day.UseRecovery {
@@ -64,7 +67,8 @@
 	}
 }
 
-// kindWeights gives what the fleet holds of each kind, up or not: all of it comes back.
+// kindWeights returns the total weight of replicas of each kind, running or not, as all of them
+// return.
 func (m *Model) kindWeights() map[string]float64 {
 	sums := map[string]float64{}
 	for _, s := range m.replicas {
@@ -73,7 +77,7 @@
 	return sums
 }
 
-// comeback is a process's way back to serving as usual.
+// routerRecovery limits what a restarted process admits until it serves normally again.
 type routerRecovery struct {
 	router    *router
 	limiter   *recovery.AdmissionLimiter
@@ -82,9 +86,11 @@
 	rateSetAt time.Duration
 }
 
+// rateInterval is the time between updates of the admission rate, and rateWindow the period over which
+// the rate of answers is measured.
 const rateInterval, rateWindow = 50 * time.Millisecond, 2 * time.Second
 
-// admit tells whether a request is let in, and when its client should come back if not.
+// admit reports whether a request is admitted, and if not, after which pause its client should retry.
 func (b *routerRecovery) admit(q *request) (pause time.Duration, ok bool) {
 	m := b.router.m
 	warm := true
@@ -105,7 +111,7 @@
 	return min(recovery.RetryAfter(b.limiter.RefusedRate(m.now), b.limiter.Rate(), m.rnd.Float64()), m.settings.MaxRetryAfter), false
 }
 
-// lately is how many a second there were of late.
+// recentRate returns the rate per second of the given times over the last rateWindow.
 func recentRate(times []time.Duration, now time.Duration) float64 {
 	n := 0
 	for i := len(times) - 1; i >= 0 && now-times[i] < rateWindow; i-- {
