--- a/internal/fleetmodel/batching.go
+++ b/internal/fleetmodel/batching.go
@@ -31,7 +31,7 @@
 
 // addPrefix adds a new shared prefix, with which the given share of the new sessions that have a
 // shared prefix begins.
-func (m *Model) addPrefix(part float64) {
+func (m *Model) addPrefix(share float64) {
 	t := prefix{m.rnd.Uint64() | 1, m.uniform(m.classes[0].minPrefix, m.classes[0].maxPrefix)}
 	for class, weights := range m.prefixWeights {
 		sum := 0.0
@@ -39,7 +39,7 @@
 			sum += w
 		}
 		m.prefixes[class] = append(m.prefixes[class], t)
-		m.prefixWeights[class] = append(weights, sum*part/(1-part))
+		m.prefixWeights[class] = append(weights, sum*share/(1-share))
 	}
 }
 
--- a/internal/fleetmodel/client.go
+++ b/internal/fleetmodel/client.go
@@ -30,13 +30,13 @@
 	batchOverhead    float64 // seconds per batch
 	maxBatch         float64 // maximum uncached tokens of a batch of several prompts; 0: one prompt at a time
 	maxQueue         int
-	memoryTokens     float64 // tokens
+	memoryTokens     float64
 }
 
 // writerEngine is the performance of a site's writers.
 type writerEngine struct {
 	slots, maxQueue int
-	memoryTokens    float64 // tokens
+	memoryTokens    float64
 	// Seconds that each running answer takes per token: a fixed part, a part per running answer and a
 	// part per 1,000 tokens held.
 	baseStep, stepPerAnswer, stepPerKToken float64
--- a/internal/fleetmodel/conns.go
+++ b/internal/fleetmodel/conns.go
@@ -12,9 +12,9 @@
 // and fails if the replica is at its maximum number of connections. As in package replica, a write
 // that must not run twice uses a new connection.
 func (c *attempt) connect() {
-	m, s := c.p.r.m, c.replica
-	ownConn := s.role == logic.Writer && m.settings.Classes[c.q.session.class].Repeat == logic.Unsafe
-	if k := c.p.idle[s]; !ownConn && k != nil && k.generation == s.generation && k.count > 0 {
+	m, s := c.process.router.m, c.replica
+	ownConn := s.role == logic.Writer && m.settings.Classes[c.request.session.class].Repeat == logic.Unsafe
+	if k := c.process.idle[s]; !ownConn && k != nil && k.generation == s.generation && k.count > 0 {
 		k.count--
 		c.generation, c.connected = s.generation, true
 		m.after(networkDelay, c.arrive)
@@ -51,13 +51,13 @@
 		return
 	}
 	c.connected = false
-	k := c.p.idle[s]
+	k := c.process.idle[s]
 	if k == nil || k.generation != s.generation {
 		k = &idleConns{generation: s.generation}
-		c.p.idle[s] = k
+		c.process.idle[s] = k
 	}
 	if reusable := as == logic.ReadDone || as == logic.Delivered || as == logic.Full || as == logic.ServerError; reusable &&
-		k.count < maxIdle && c.p == c.p.r.process {
+		k.count < maxIdle && c.process == c.process.router.process {
 		k.count++
 		return
 	}
--- a/internal/fleetmodel/days.go
+++ b/internal/fleetmodel/days.go
@@ -49,7 +49,7 @@
 
 // Replace drains a share of the fleet, chosen from the replicas that were there from the start, and
 // adds as many new replicas in the same zones and cells.
-func (m *Model) Replace(part float64, drain time.Duration) {
+func (m *Model) Replace(share float64, drain time.Duration) {
 	var old []*replica
 	for _, s := range m.replicas {
 		if s.up && !s.draining && s.started == 0 {
@@ -57,7 +57,7 @@
 		}
 	}
 	m.rnd.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
-	n := int(part * float64(m.day.Readers+m.day.Writers))
+	n := int(share * float64(m.day.Readers+m.day.Writers))
 	old = old[:min(n, len(old))]
 	for _, s := range old {
 		s.draining = true
@@ -126,14 +126,14 @@
 // spare capacity.
 func WritersFull() Day {
 	d := baseDay("writers-full")
-	shut := func(is bool) func(*Model) {
+	refuse := func(enabled bool) func(*Model) {
 		return func(m *Model) {
 			for _, s := range m.replicas {
-				s.refuseAll = is && s.role == logic.Writer
+				s.refuseAll = enabled && s.role == logic.Writer
 			}
 		}
 	}
-	d.Events = []Change{{10 * time.Second, shut(true)}, {13 * time.Second, shut(false)}}
+	d.Events = []Change{{10 * time.Second, refuse(true)}, {13 * time.Second, refuse(false)}}
 	return d
 }
 
--- a/internal/fleetmodel/fleetmodel_test.go
+++ b/internal/fleetmodel/fleetmodel_test.go
@@ -8,6 +8,7 @@
 	"standpulley/logic"
 )
 
+// play runs a day, and fails the test if the run returns an error.
 func play(t testing.TB, d Day, seed uint64) Report {
 	t.Helper()
 	r, err := Run(d, seed)
@@ -64,21 +65,21 @@
 func TestReaderCache(t *testing.T) {
 	m := &Model{day: Calm(), now: start, byID: map[string]*replica{}}
 	s := &replica{m: m, role: logic.Reader, cache: map[cacheKey]*cacheEntry{}, memoryTokens: 10000}
-	prompt := func(session, shared uint64, opening, prompt float64) *request {
-		return &request{sessionKey: session, prefixKey: shared, prefixTokens: opening, promptTokens: prompt}
+	newRequest := func(sessionKey, prefixKey uint64, prefixTokens, tokens float64) *request {
+		return &request{sessionKey: sessionKey, prefixKey: prefixKey, prefixTokens: prefixTokens, promptTokens: tokens}
 	}
-	s.store(prompt(1, 9, 2000, 3000))
+	s.store(newRequest(1, 9, 2000, 3000))
 	for i, c := range []struct {
 		q    *request
 		want float64
-	}{{prompt(1, 9, 2000, 3500), 3000}, {prompt(2, 9, 2000, 2600), 2000}, {prompt(3, 0, 0, 500), 0}, {prompt(1, 9, 2000, 3000), 2999}} {
+	}{{newRequest(1, 9, 2000, 3500), 3000}, {newRequest(2, 9, 2000, 2600), 2000}, {newRequest(3, 0, 0, 500), 0}, {newRequest(1, 9, 2000, 3000), 2999}} {
 		if got := s.lookup(c.q); got != c.want {
 			t.Errorf("case %d: %v tokens cached, want %v", i, got, c.want)
 		}
 	}
 	m.now += time.Second
-	s.store(prompt(4, 8, 4000, 6000))
-	if got := s.lookup(prompt(1, 0, 0, 3000)); got != 0 {
+	s.store(newRequest(4, 8, 4000, 6000))
+	if got := s.lookup(newRequest(1, 0, 0, 3000)); got != 0 {
 		t.Errorf("%v tokens of the oldest prompt are still cached after newer ones filled the memory", got)
 	}
 }
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -78,8 +78,8 @@
 }
 
 const (
-	// start is the virtual time at which a day starts. It is not 0, as package logic takes a time of 0
-	// as long ago.
+	// start is the virtual time at which a day starts. It is not 0, because package logic
+	// takes a time of 0 to mean long ago.
 	start = time.Hour
 	// warmUp is the period before start in which traffic rises and replicas fill their caches. Reports
 	// leave it out.
--- a/internal/fleetmodel/power.go
+++ b/internal/fleetmodel/power.go
@@ -62,7 +62,7 @@
 	r.process.recovery = b
 	set := r.m.settings
 	set.Zone, set.WarmRates = zoneName(r.zone), r.warmRates
-	if err := r.process.router.UpdateSettings(set); err != nil {
+	if err := r.process.logic.UpdateSettings(set); err != nil {
 		return
 	}
 }
--- a/internal/fleetmodel/replica.go
+++ b/internal/fleetmodel/replica.go
@@ -20,7 +20,7 @@
 	coldFrom         float64       // capacity at its start, as a share of its full capacity
 	warmUpTime       time.Duration // from its start until full capacity
 	maxQueue         int
-	memoryTokens     float64 // tokens
+	memoryTokens     float64
 	refuseAll        bool    // refuses all attempts as full
 	slowdown         float64 // factor on its service times; 0 for normal speed
 	failHalf         bool    // fails every second attempt with an error
@@ -29,7 +29,7 @@
 	generation       int     // number of its process: connections to an earlier process are closed
 	handshakeSeconds float64 // work for handshakes not yet done, in seconds
 
-	// Fields of readers.
+	// Fields of readers; writers use queued, too.
 	readRate     float64 // tokens per second when warm
 	queued       []*attempt
 	reading      []*attempt // the batch being read
@@ -84,6 +84,7 @@
 	return s
 }
 
+// zoneName returns the name of the zone with index i.
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
 // restart starts a new process of the replica, cold and with an empty cache.
@@ -130,7 +131,7 @@
 		c.reply(logic.ConnectFailed, 0, false)
 	case s.draining:
 		c.reply(logic.Full, 0, false)
-	case s.role == logic.Writer && !c.q.stateHeld():
+	case s.role == logic.Writer && !c.request.stateHeld():
 		c.reply(logic.Full, 0, true)
 	case s.failHalf && s.attemptCount%2 == 0:
 		c.reply(logic.ServerError, 0, false)
@@ -144,8 +145,8 @@
 }
 
 // recordLoad records, for a cold replica, the attempts it has been sent within FallTime as a share of
-// its budget, the number that FallMultiple allows. The margin of two standard deviations and two attempts
-// allows for chance.
+// its budget, the number that FallMultiple allows. The margin of two standard deviations and two
+// attempts allows for chance.
 func (s *replica) recordLoad() {
 	m := s.m
 	if s.started == 0 || m.now-s.started > s.warmUpTime {
@@ -178,6 +179,7 @@
 // probeTimeout is how long a replica lets a probe wait before it answers that it is full.
 const probeTimeout = 250 * time.Millisecond
 
+// end answers a probe once; later answers are ignored.
 func (p *probe) end(out logic.Outcome) {
 	if !p.ended {
 		p.ended = true
@@ -187,16 +189,16 @@
 
 // receiveProbe answers a probe at once or queues it behind the attempts that are there.
 func (s *replica) receiveProbe(p *probe) {
-	busy := append(slices.Clone(s.reading), s.queued...)
+	ahead := append(slices.Clone(s.reading), s.queued...)
 	switch {
 	case !s.up:
 		p.end(logic.ConnectFailed)
 	case s.draining:
 		p.end(logic.Full)
-	case len(busy) == 0:
+	case len(ahead) == 0:
 		p.end(logic.Delivered)
 	default:
-		p.behind = busy[len(busy)-1]
+		p.behind = ahead[len(ahead)-1]
 		s.probes = append(s.probes, p)
 		s.m.after(probeTimeout, func() { p.end(logic.Full) })
 	}
@@ -246,30 +248,30 @@
 	var cached []float64
 	for len(s.queued) > 0 {
 		c := s.queued[0]
-		hit := s.lookup(c.q)
-		uncached := c.q.promptTokens - hit
+		hit := s.lookup(c.request)
+		uncached := c.request.promptTokens - hit
 		if len(batch) > 0 && tokens+uncached > engine.maxBatch {
 			break
 		}
 		s.queued = s.queued[1:]
 		batch, cached, tokens = append(batch, c), append(cached, hit), tokens+uncached
-		duration += (uncached/s.readRate + engine.attentionCost*uncached*(c.q.promptTokens+hit)/2e6) / s.capacity()
-		s.m.report.addRead(uncached, c.q.promptTokens)
+		duration += (uncached/s.readRate + engine.attentionCost*uncached*(c.request.promptTokens+hit)/2e6) / s.capacity()
+		s.m.report.addRead(uncached, c.request.promptTokens)
 	}
 	s.reading = batch
-	life := s.generation
+	generation := s.generation
 	s.m.after(seconds(duration), func() {
-		if s.generation != life {
+		if s.generation != generation {
 			return // the process has been killed since
 		}
 		s.reading = nil
 		s.answerProbes(batch)
 		for i, c := range batch {
-			s.store(c.q)
+			s.store(c.request)
 			if c.ended {
 				s.m.report.WastedReads++
 			} else {
-				c.q.stateAt = s
+				c.request.stateAt = s
 				c.reply(logic.ReadDone, int64(cached[i]), false)
 			}
 		}
@@ -303,10 +305,10 @@
 	}
 	for s.cachedTokens > s.memoryTokens*0.8 {
 		var oldest cacheKey
-		at := time.Duration(math.MaxInt64)
+		oldestUse := time.Duration(math.MaxInt64)
 		for k, t := range s.cache {
-			if t.usedAt < at || t.usedAt == at && k.key < oldest.key {
-				oldest, at = k, t.usedAt
+			if t.usedAt < oldestUse || t.usedAt == oldestUse && k.key < oldest.key {
+				oldest, oldestUse = k, t.usedAt
 			}
 		}
 		s.cachedTokens -= s.cache[oldest].ownTokens
@@ -344,7 +346,7 @@
 
 // removeRunning removes the running answer at index i and frees its memory.
 func (s *replica) removeRunning(i int) {
-	s.heldTokens -= s.running[i].q.promptTokens + s.running[i].q.outputTokens
+	s.heldTokens -= s.running[i].request.promptTokens + s.running[i].request.outputTokens
 	s.running = slices.Delete(s.running, i, i+1)
 }
 
@@ -352,28 +354,28 @@
 // of the running answer that ends first.
 func (s *replica) startWrites() {
 	s.advance()
-	for len(s.queued) > 0 && len(s.running) < s.slots && s.heldTokens+s.queued[0].q.promptTokens+s.queued[0].q.outputTokens <= s.memoryTokens {
+	for len(s.queued) > 0 && len(s.running) < s.slots && s.heldTokens+s.queued[0].request.promptTokens+s.queued[0].request.outputTokens <= s.memoryTokens {
 		c := s.queued[0]
 		s.queued = s.queued[1:]
-		c.tokensLeft = c.q.outputTokens
+		c.tokensLeft = c.request.outputTokens
 		s.running = append(s.running, c)
-		s.heldTokens += c.q.promptTokens + c.q.outputTokens
-		fetch := c.q.promptTokens / 280000
-		if c.q.stateAt.entry.Zone != s.entry.Zone {
+		s.heldTokens += c.request.promptTokens + c.request.outputTokens
+		fetch := c.request.promptTokens / 280000
+		if c.request.stateAt.entry.Zone != s.entry.Zone {
 			fetch *= 2
 		}
-		c.q.stateAt = nil
+		c.request.stateAt = nil
 		s.m.after(seconds(fetch+s.tokenTime()), func() { c.startStream() })
 	}
 	s.scheduleSeq++
-	scheduled, least := s.scheduleSeq, math.Inf(1)
+	scheduled, fewest := s.scheduleSeq, math.Inf(1)
 	for _, c := range s.running {
-		least = min(least, c.tokensLeft)
+		fewest = min(fewest, c.tokensLeft)
 	}
 	if len(s.running) == 0 {
 		return
 	}
-	s.m.after(seconds(max(least, 0)*s.tokenTime())+time.Microsecond, func() {
+	s.m.after(seconds(max(fewest, 0)*s.tokenTime())+time.Microsecond, func() {
 		if s.scheduleSeq != scheduled {
 			return
 		}
--- a/internal/fleetmodel/router.go
+++ b/internal/fleetmodel/router.go
@@ -30,8 +30,8 @@
 // process executes the actions of a logic.Router. It finishes the requests that it accepted, even after
 // its successor has started.
 type process struct {
-	r         *router
-	router    *logic.Router
+	router    *router
+	logic     *logic.Router
 	powerless bool            // its power has failed
 	recovery  *routerRecovery // nil if admission is not limited
 	requests  map[string]*request
@@ -51,7 +51,7 @@
 	if r.process != nil {
 		r.process.closeIdle()
 	}
-	r.process = &process{r: r, router: l, requests: map[string]*request{}, idle: map[*replica]*idleConns{}}
+	r.process = &process{router: r, logic: l, requests: map[string]*request{}, idle: map[*replica]*idleConns{}}
 	var list []logic.ServerEntry
 	for _, s := range r.m.replicas {
 		if s.up {
@@ -103,14 +103,14 @@
 	if p.powerless {
 		return
 	}
-	for _, a := range p.router.Handle(p.r.m.now, ev, nil) {
+	for _, a := range p.logic.Handle(p.router.m.now, ev, nil) {
 		p.execute(a)
 	}
 }
 
 // execute executes one action.
 func (p *process) execute(a logic.Action) {
-	m := p.r.m
+	m := p.router.m
 	if a.Kind == logic.Wake {
 		m.after(a.After, func() { p.handle(&logic.Event{Kind: logic.TimerFired, Tag: a.Tag}) })
 		return
@@ -125,14 +125,14 @@
 	}
 	switch a.Kind {
 	case logic.Send:
-		c := &attempt{p: p, q: q, n: q.attempts, replica: m.byID[a.Server], sentAt: m.now}
+		c := &attempt{process: p, request: q, index: q.attempts, replica: m.byID[a.Server], sentAt: m.now}
 		q.attempts++
 		m.report.row(q).Sends++
 		q.outstanding = c
 		m.after(a.Until-m.now, func() { c.abort(logic.TimedOut) })
 		c.connect()
 	case logic.Cancel:
-		if q.outstanding != nil && q.outstanding.n == a.Attempt {
+		if q.outstanding != nil && q.outstanding.index == a.Attempt {
 			c := q.outstanding
 			m.report.Cancelled++
 			m.after(0, func() { c.abort(logic.Cancelled) })
@@ -149,7 +149,7 @@
 // probe sends a probe to a replica over a new connection. The answer arrives after the network delay of
 // both ways.
 func (p *process) probe(s *replica) {
-	m := p.r.m
+	m := p.router.m
 	m.report.Probes++
 	m.after(dialTime+networkDelay, func() {
 		s.receiveProbe(&probe{done: func(out logic.Outcome) {
@@ -168,9 +168,9 @@
 
 // attempt is one attempt of a request at a replica.
 type attempt struct {
-	p          *process
-	q          *request
-	n          int
+	process    *process
+	request    *request
+	index      int
 	replica    *replica
 	sentAt     time.Duration
 	tokensLeft float64 // tokens that the writer still has to generate
@@ -189,17 +189,17 @@
 		return
 	}
 	c.started = true
-	m := c.p.r.m
+	m := c.process.router.m
 	m.after(networkDelay, func() {
 		if c.ended {
 			return
 		}
-		if c.p.powerless {
+		if c.process.powerless {
 			return
 		}
-		m.served(c.q)
-		c.p.r.servedAt = append(c.p.r.servedAt, m.now)
-		c.p.handle(&logic.Event{Kind: logic.StreamStarted, RequestID: c.q.id, Server: c.replica.entry.ID, Attempt: c.n,
+		m.served(c.request)
+		c.process.router.servedAt = append(c.process.router.servedAt, m.now)
+		c.process.handle(&logic.Event{Kind: logic.StreamStarted, RequestID: c.request.id, Server: c.replica.entry.ID, Attempt: c.index,
 			Took: m.now - c.sentAt})
 	})
 }
@@ -215,29 +215,29 @@
 
 // reply ends an attempt from the replica's side. The router receives the outcome after the network
 // delay.
-func (c *attempt) reply(as logic.Outcome, found int64, noState bool) {
+func (c *attempt) reply(as logic.Outcome, cachedTokens int64, noState bool) {
 	if !c.ended {
-		c.p.r.m.after(networkDelay, func() { c.finish(as, found, noState) })
+		c.process.router.m.after(networkDelay, func() { c.finish(as, cachedTokens, noState) })
 	}
 }
 
 // finish ends an attempt and passes its outcome to the logic.
-func (c *attempt) finish(as logic.Outcome, found int64, noState bool) {
+func (c *attempt) finish(as logic.Outcome, cachedTokens int64, noState bool) {
 	if c.ended {
 		return
 	}
 	c.ended = true
 	c.disconnect(as)
-	q, p := c.q, c.p
+	q, p := c.request, c.process
 	if q.outstanding == c {
 		q.outstanding = nil
 	}
 	if as == logic.ConnectionLost && c.started {
-		p.r.m.report.BrokenStreams++
+		p.router.m.report.BrokenStreams++
 	}
 	over := q.ended || as == logic.Delivered || c.started
-	p.handle(&logic.Event{Kind: logic.Ended, RequestID: q.id, Server: c.replica.entry.ID, Attempt: c.n, Outcome: as,
-		Took: p.r.m.now - c.sentAt, RequestEnded: over, Tokens: found, NoState: noState})
+	p.handle(&logic.Event{Kind: logic.Ended, RequestID: q.id, Server: c.replica.entry.ID, Attempt: c.index, Outcome: as,
+		Took: p.router.m.now - c.sentAt, RequestEnded: over, Tokens: cachedTokens, NoState: noState})
 	if over && q.outstanding == nil {
 		delete(p.requests, q.id)
 	}
