--- a/internal/fleetmodel/client.go
+++ b/internal/fleetmodel/client.go
@@ -8,13 +8,14 @@
 	"standpulley/logic"
 )
 
-// The shares of their capacity at which readers and writers work on a quiet day.
+// The utilization of readers and writers on a quiet day.
 const (
-	readerLoad = 0.35
-	writerLoad = 0.55
+	quietReaderLoad = 0.35
+	quietWriterLoad = 0.55
 )
 
-// Site is a deployment: its settings, how the clients of each of its classes behave, and what its replicas can do.
+// Site is a deployment: its settings, the behaviour of the clients of each class, and the performance
+// of its replicas.
 type Site struct {
 	settings func() logic.Settings
 	classes  []class
@@ -22,46 +23,49 @@
 	writer   writerEngine
 }
 
-// readerEngine is what a site's readers can do.
+// readerEngine is the performance of a site's readers.
 type readerEngine struct {
-	slowest, fastest float64 // tokens that a warm one reads in a second
-	pairs            float64 // seconds for a million pairs of a token and one before it
-	overhead         float64 // seconds a batch
-	batch            float64 // tokens of short prompts that are read together; 0: one prompt at a time
-	queue            int
-	memory           float64 // tokens
+	minRate, maxRate float64 // range of the tokens per second that a warm reader reads
+	attentionCost    float64 // seconds per million pairs of a token and an earlier token
+	batchOverhead    float64 // seconds per batch
+	maxBatch         float64 // maximum uncached tokens of a batch of several prompts; 0: one prompt at a time
+	maxQueue         int
+	memoryTokens     float64
 }
 
-// writerEngine is what a site's writers can do.
+// writerEngine is the performance of a site's writers.
 type writerEngine struct {
-	slots, queue               int
-	memory                     float64 // tokens
-	step, perAnswer, perKToken float64 // seconds a token takes each answer: by itself, for each answer that runs, for each 1,000 tokens held
+	slots, maxQueue int
+	memoryTokens    float64
+	// Seconds that each running answer takes per token: a fixed part, a part per running answer and a
+	// part per 1,000 tokens held.
+	baseStep, stepPerAnswer, stepPerKToken float64
 }
 
-// The engines of the first sites. Their readers are slower than those of real sites, as long prompts cost no more than their length.
+// The engines of the default and the second site. Their readers are slower than those of real sites,
+// as the cost of a long prompt is only linear in its length.
 var (
-	plainReader = readerEngine{slowest: 7000, fastest: 8800, overhead: 0.004, queue: 40, memory: 215000}
-	plainWriter = writerEngine{slots: 80, queue: 25, memory: 150000, step: 0.014, perAnswer: 0.0002, perKToken: 0.00005}
+	plainReader = readerEngine{minRate: 7000, maxRate: 8800, batchOverhead: 0.004, maxQueue: 40, memoryTokens: 215000}
+	plainWriter = writerEngine{slots: 80, maxQueue: 25, memoryTokens: 150000, baseStep: 0.014, stepPerAnswer: 0.0002, stepPerKToken: 0.00005}
 )
 
-// site gives the day's deployment, the first one where it names none.
+// site returns the day's deployment, or the default one if the day names none.
 func (d Day) site() Site {
 	if d.Site.settings == nil {
-		return firstSite
+		return defaultSite
 	}
 	return d.Site
 }
 
-// settings are those of the day's deployment with its number of routers.
+// settings returns the settings of the day's deployment, with the day's number of routers.
 func settings(day Day) logic.Settings {
 	set := day.site().settings()
 	set.Siblings = day.Routers
 	return set
 }
 
-// firstSite has two classes: one that may be repeated and one that may not.
-var firstSite = Site{settings: func() logic.Settings {
+// defaultSite has two classes: one whose requests may be repeated and one whose requests may not.
+var defaultSite = Site{settings: func() logic.Settings {
 	return logic.Settings{
 		Kinds: []logic.Kind{{Name: "reader", Role: logic.Reader, MemoryTokens: 215000},
 			{Name: "writer", Role: logic.Writer, MemoryTokens: 150000}},
@@ -81,10 +85,11 @@
 	{0.44, 5.5, 2.8, 500, 100, 400, 4, 2600, 7700, 0.79},
 }, reader: plainReader, writer: plainWriter}
 
-// SecondSite has three: short questions, changes that replicas throw away when they are repeated, and claims that must not run twice. Its
-// deadlines are shorter, its replicas colder and sooner pushed over, its prompts longer.
+// SecondSite has three classes: short questions, changes, which replicas deduplicate when they are
+// repeated, and claims, which must not run twice. Its deadlines are shorter than those of the default
+// site, its replicas are overloaded earlier, and the prompts of its claims are longer.
 var SecondSite = Site{settings: func() logic.Settings {
-	set := firstSite.settings()
+	set := defaultSite.settings()
 	set.Classes = []logic.Class{
 		{Name: "question", Aim: 900 * time.Millisecond, AimPer1K: 50 * time.Millisecond, TokenAim: 55 * time.Millisecond,
 			Deadline: 3500 * time.Millisecond, LateWorth: 0.2, Worth: 1},
@@ -102,11 +107,12 @@
 	{0.18, 4.5, 3, 900, 110, 400, 3, 3000, 9000, 0.9},
 }, reader: plainReader, writer: plainWriter}
 
-// BatchingSite has servers that batch: short prompts are read together, and a long one costs more than its length, as each token attends to
-// all before it. Sessions are short, nearly all begin with one of very many shared openings, and a few prompts are far longer than most. Few
-// writers serve many readers.
+// BatchingSite has readers that batch: short prompts are read together, and the cost of a long prompt
+// grows faster than its length, as each token attends to all tokens before it. Sessions are short,
+// nearly all begin with one of very many shared prefixes, and a few prompts are far longer than most.
+// Few writers serve many readers.
 var BatchingSite = Site{settings: func() logic.Settings {
-	set := firstSite.settings()
+	set := defaultSite.settings()
 	set.Kinds = []logic.Kind{{Name: "reader", Role: logic.Reader, MemoryTokens: 305000}, {Name: "writer", Role: logic.Writer, MemoryTokens: 765000}}
 	set.CanProbe, set.ProbePrice = true, 0.0032
 	for i := range set.Classes {
@@ -116,39 +122,41 @@
 }, classes: []class{
 	{0.56, 1.6, 2.5, 1300, 60, 542, 120, 3500, 6100, 0.95},
 	{0.44, 1.6, 2.5, 1300, 60, 542, 120, 3500, 6100, 0.95},
-}, reader: readerEngine{slowest: 12400, fastest: 13400, pairs: 0.00335, overhead: 0.015, batch: 8192, queue: 200, memory: 305000},
-	writer: writerEngine{slots: 128, queue: 200, memory: 765000, step: 0.009, perAnswer: 0.000035, perKToken: 0.00002}}
+}, reader: readerEngine{minRate: 12400, maxRate: 13400, attentionCost: 0.00335, batchOverhead: 0.015, maxBatch: 8192, maxQueue: 200, memoryTokens: 305000},
+	writer: writerEngine{slots: 128, maxQueue: 200, memoryTokens: 765000, baseStep: 0.009, stepPerAnswer: 0.000035, stepPerKToken: 0.00002}}
 
-// text is an opening that sessions share.
-type text struct {
+// prefix is a beginning of the prompt that several sessions share.
+type prefix struct {
 	key    uint64
 	tokens float64
 }
 
-// class is how the clients of a class behave.
+// class is the behaviour of the clients of a class.
 type class struct {
-	share, turns, think          float64
-	newTokens, outTokens, maxOut float64
-	openings                     float64 // for ten replicas
-	short, long                  float64 // tokens of an opening
-	shared                       float64 // part of the sessions that begin with one
+	// Share of all requests, mean turns of a session and mean seconds between turns.
+	share, turns, thinkTime            float64
+	newTokens, outputTokens, maxOutput float64
+	prefixes                           float64 // number of shared prefixes per ten replicas
+	minPrefix, maxPrefix               float64 // tokens of a shared prefix, drawn from the range
+	prefixShare                        float64 // share of the sessions that begin with a shared prefix
 }
 
-func (m *Model) drawTexts() {
+// drawPrefixes draws the shared prefixes of each class. Their popularity follows a Zipf-like law.
+func (m *Model) drawPrefixes() {
 	for _, c := range m.classes {
-		n := int(c.openings * float64(m.day.Readers+m.day.Writers) / 10)
-		var all []text
+		n := int(c.prefixes * float64(m.day.Readers+m.day.Writers) / 10)
+		var prefixes []prefix
 		var weights []float64
 		for i := range max(n, 1) {
-			all = append(all, text{m.rnd.Uint64() | 1, m.between(c.short, c.long)})
+			prefixes = append(prefixes, prefix{m.rnd.Uint64() | 1, m.uniform(c.minPrefix, c.maxPrefix)})
 			weights = append(weights, 1/math.Pow(float64(i+1), 0.9))
 		}
-		m.texts, m.weights = append(m.texts, all), append(m.weights, weights)
+		m.prefixes, m.prefixWeights = append(m.prefixes, prefixes), append(m.prefixWeights, weights)
 	}
 }
 
-// pick draws an index by weight.
-func (m *Model) pick(weights []float64) int {
+// pickWeighted draws an index with a probability proportional to its weight.
+func (m *Model) pickWeighted(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -162,176 +170,185 @@
 	return len(weights) - 1
 }
 
-// talk is a session: each turn's prompt holds all that went before.
-type talk struct {
-	class  int
-	key    uint64
-	text   text
-	prompt float64
-	left   int
-	zone   int
+// session is a conversation. The prompt of each turn contains all earlier prompts and answers.
+type session struct {
+	class        int
+	key          uint64
+	prefix       prefix
+	promptTokens float64
+	turnsLeft    int
+	zone         int
 }
 
-// ask is one try of a request, from its arrival at a router to its answer.
-type ask struct {
-	id       string
-	talk     *talk
-	first    time.Duration // when its client first tried
-	tries    int
-	session  uint64
-	shared   uint64
-	opening  float64
-	prompt   float64
-	answer   float64
-	out      *call
-	sent     int
-	at       *replica // where its state waits
-	answered bool
+// request is one try of a client's request, from its arrival at a router to its answer. A retry is a
+// request of its own.
+type request struct {
+	id           string
+	session      *session
+	firstSent    time.Duration // when the client first sent it
+	retries      int
+	sessionKey   uint64
+	prefixKey    uint64
+	prefixTokens float64
+	promptTokens float64
+	outputTokens float64
+	outstanding  *attempt
+	attempts     int
+	stateAt      *replica // reader that holds its prefill state
+	ended        bool
 }
 
-// arrivals has sessions begin so that requests come at the day's rate, from its first second on.
-func (m *Model) arrivals() {
-	turns := 0.0
+// startArrivals makes sessions start at a rate that gives the day's rate of requests. The rate rises
+// during the warm-up, so that it is reached when the day begins.
+func (m *Model) startArrivals() {
+	sessionsPerRequest := 0.0
 	for _, c := range m.classes {
-		turns += c.share / c.turns
+		sessionsPerRequest += c.share / c.turns
 	}
 	var begin func()
 	begin = func() {
 		if m.now-start >= m.day.Length {
 			return
 		}
-		m.open()
-		risen := min(0.2+0.8*float64(m.now-start+prelude)/float64(prelude), 1)
-		m.after(seconds(m.rnd.ExpFloat64()/(m.day.Rate*risen*m.day.Burst.at(m.now-start)*turns)), begin)
+		m.startSession()
+		ramp := min(0.2+0.8*float64(m.now-start+warmUp)/float64(warmUp), 1)
+		m.after(seconds(m.rnd.ExpFloat64()/(m.day.Rate*ramp*m.day.Burst.factor(m.now-start)*sessionsPerRequest)), begin)
 	}
 	m.after(0, begin)
 }
 
-func (m *Model) open() {
+// startSession starts a session of a class drawn by the classes' shares.
+func (m *Model) startSession() {
 	var shares []float64
 	for _, c := range m.classes {
 		shares = append(shares, c.share/c.turns)
 	}
-	m.turn(m.begin(m.pick(shares)))
+	m.nextRequest(m.newSession(m.pickWeighted(shares)))
 }
 
-func (m *Model) begin(ci int) *talk {
+// newSession draws the turns, prefix and zone of a session of class ci.
+func (m *Model) newSession(ci int) *session {
 	c := m.classes[ci]
-	t := &talk{class: ci, key: m.rnd.Uint64() | 1, left: 1, zone: m.drawZone()}
+	t := &session{class: ci, key: m.rnd.Uint64() | 1, turnsLeft: 1, zone: m.drawZone()}
 	for m.rnd.Float64() > 1/c.turns {
-		t.left++
+		t.turnsLeft++
 	}
-	if m.rnd.Float64() < c.shared {
-		t.text = m.texts[ci][m.pick(m.weights[ci])]
-		t.prompt = t.text.tokens
+	if m.rnd.Float64() < c.prefixShare {
+		t.prefix = m.prefixes[ci][m.pickWeighted(m.prefixWeights[ci])]
+		t.promptTokens = t.prefix.tokens
 	}
 	return t
 }
 
-// drawZone gives the zone of a new session's client.
+// drawZone draws the zone of a new session's client.
 func (m *Model) drawZone() int {
 	if len(m.day.ZoneTraffic) > 0 {
-		return m.pick(m.day.ZoneTraffic)
+		return m.pickWeighted(m.day.ZoneTraffic)
 	}
 	return m.rnd.IntN(m.day.Zones)
 }
 
-// turn is a session's next request.
-func (m *Model) turn(t *talk) {
+// nextRequest sends the next request of a session, unless the day is over.
+func (m *Model) nextRequest(t *session) {
 	if m.now-start >= m.day.Length {
 		return
 	}
 	c := m.classes[t.class]
-	t.left--
-	t.prompt += c.newTokens * m.newTokens()
-	q := &ask{talk: t, first: m.now, session: t.key, shared: t.text.key, opening: t.text.tokens, prompt: t.prompt,
-		answer: min(max(c.outTokens*(0.3+0.7*m.rnd.ExpFloat64()), 4), c.maxOut)}
+	t.turnsLeft--
+	t.promptTokens += c.newTokens * m.drawTurnFactor()
+	q := &request{session: t, firstSent: m.now, sessionKey: t.key, prefixKey: t.prefix.key, prefixTokens: t.prefix.tokens, promptTokens: t.promptTokens,
+		outputTokens: min(max(c.outputTokens*(0.3+0.7*m.rnd.ExpFloat64()), 4), c.maxOutput)}
 	m.report.offered(q)
-	m.try(q)
+	m.submit(q)
 }
 
-// try sends a request, or a repeat of it, to a router of its client's zone.
-func (m *Model) try(q *ask) {
+// submit sends a request or a retry to a router in the client's zone.
+func (m *Model) submit(q *request) {
 	weights := make([]float64, len(m.routers))
 	for i, r := range m.routers {
-		if !r.away && r.zone == q.talk.zone {
+		if !r.unavailable && r.zone == q.session.zone {
 			weights[i] = r.weight
 		}
 	}
-	p := m.routers[m.pick(weights)].now
-	if p.dead { // nobody answers
+	p := m.routers[m.pickWeighted(weights)].process
+	if p.powerless { // nothing answers
 		m.refused(q, 0)
 		return
 	}
 	q.id = m.nextID()
-	p.open[q.id] = q
-	set := m.set.Classes[q.talk.class]
-	deadline := set.Deadline + seconds(2*set.AimPer1K.Seconds()*q.prompt/1000)
-	m.after(hop, func() {
-		if p.back != nil {
-			if pause, ok := p.back.admit(q); !ok {
-				p.close(q)
+	p.requests[q.id] = q
+	set := m.settings.Classes[q.session.class]
+	deadline := set.Deadline + seconds(2*set.AimPer1K.Seconds()*q.promptTokens/1000)
+	m.after(networkDelay, func() {
+		if p.recovery != nil {
+			if pause, ok := p.recovery.admit(q); !ok {
+				p.closeRequest(q)
 				m.refused(q, pause)
 				return
 			}
 		}
-		p.handle(&logic.Event{Kind: logic.Arrived, RequestID: q.id, Request: logic.Request{Class: set.Name, Session: q.session,
-			Prefix: q.shared, PrefixTokens: int64(q.opening), PromptTokens: int64(q.prompt),
-			MaxOutput: int64(m.classes[q.talk.class].maxOut), Remaining: deadline}})
+		p.handle(&logic.Event{Kind: logic.Arrived, RequestID: q.id, Request: logic.Request{Class: set.Name, Session: q.sessionKey,
+			Prefix: q.prefixKey, PrefixTokens: int64(q.prefixTokens), PromptTokens: int64(q.promptTokens),
+			MaxOutput: int64(m.classes[q.session.class].maxOutput), Remaining: deadline}})
 	})
 }
 
 const (
-	mostTries = 2
-	backoff   = 200 * time.Millisecond
+	maxRetries   = 2
+	retryBackoff = 200 * time.Millisecond
 )
 
-// refused and failed are answers that end a try; a client comes again where that is harmless.
-func (m *Model) refused(q *ask, pause time.Duration) {
-	if q.tries >= cmp.Or(m.day.Tries, mostTries) {
+// refused handles a refusal: the client retries after the pause or its own backoff, whichever is
+// longer, unless its retries are used up.
+func (m *Model) refused(q *request, pause time.Duration) {
+	if q.retries >= cmp.Or(m.day.MaxRetries, maxRetries) {
 		m.report.row(q).Refused++
-		m.report.end(q, false)
-		m.on(q.talk)
+		m.report.addResult(q, false)
+		m.continueSession(q.session)
 		return
 	}
-	again := *q
-	again.tries++
-	again.out, again.at, again.sent, again.answered = nil, nil, 0, false
-	m.after(max(pause, backoff<<min(again.tries, mostTries)), func() { m.try(&again) })
+	retry := *q
+	retry.retries++
+	retry.outstanding, retry.stateAt, retry.attempts, retry.ended = nil, nil, 0, false
+	m.after(max(pause, retryBackoff<<min(retry.retries, maxRetries)), func() { m.submit(&retry) })
 }
 
-func (m *Model) failed(q *ask) {
-	if m.set.Classes[q.talk.class].Repeat == logic.Safe {
+// failed handles an error whose request may have run. The client retries only if the class allows
+// requests to run again.
+func (m *Model) failed(q *request) {
+	if m.settings.Classes[q.session.class].Repeat == logic.Safe {
 		m.refused(q, 0)
 		return
 	}
 	m.report.row(q).Failed++
-	m.report.end(q, false)
-	m.on(q.talk)
+	m.report.addResult(q, false)
+	m.continueSession(q.session)
 }
 
-// served books the first token. The session goes on when its client has read the answer.
-func (m *Model) served(q *ask) {
-	q.answered = true
-	m.report.served(q, m.now-q.first)
-	t := q.talk
-	t.prompt += q.answer
-	m.on(t)
+// served records the first token of an answer, and schedules the next turn of the session.
+func (m *Model) served(q *request) {
+	q.ended = true
+	m.report.served(q, m.now-q.firstSent)
+	t := q.session
+	t.promptTokens += q.outputTokens
+	m.continueSession(t)
 }
 
-// newTokens draws what a turn adds, as a share of its class's usual. Where servers batch, some turns bring very long texts.
-func (m *Model) newTokens() float64 {
-	if m.day.site().reader.pairs == 0 {
+// drawTurnFactor draws the length of a turn's new text as a multiple of the class's mean. On sites
+// with batching readers some turns are very long.
+func (m *Model) drawTurnFactor() float64 {
+	if m.day.site().reader.attentionCost == 0 {
 		return 0.4 + 0.6*m.rnd.ExpFloat64()
 	}
-	return min(math.Exp(1.15*m.rnd.NormFloat64()), longestTurn)
+	return min(math.Exp(1.15*m.rnd.NormFloat64()), maxTurnFactor)
 }
 
-// longestTurn is the longest turn, as a multiple of the usual.
-const longestTurn = 25
+// maxTurnFactor is the largest result of drawTurnFactor on sites with batching readers.
+const maxTurnFactor = 25
 
-func (m *Model) on(t *talk) {
-	if t.left > 0 {
-		m.after(seconds(m.classes[t.class].think*m.rnd.ExpFloat64()), func() { m.turn(t) })
+// continueSession schedules the next turn of a session, if it has one.
+func (m *Model) continueSession(t *session) {
+	if t.turnsLeft > 0 {
+		m.after(seconds(m.classes[t.class].thinkTime*m.rnd.ExpFloat64()), func() { m.nextRequest(t) })
 	}
 }
--- a/internal/fleetmodel/conns.go
+++ b/internal/fleetmodel/conns.go
@@ -2,70 +2,73 @@
 
 import "standpulley/logic"
 
-// idleMost is how many connections to a replica a router keeps, as package replica does.
-const idleMost = 8
+// maxIdle is the number of idle connections to a replica that a router keeps, as in package replica.
+const maxIdle = 8
 
-// idleConns are a router's unused connections to one process of a replica.
-type idleConns struct{ life, n int }
+// idleConns counts a router's idle connections to one process of a replica.
+type idleConns struct{ generation, count int }
 
-// connect gets a connection for a call: one that idles, or a new one, which costs the replica work and may find no place.
-// As in package replica, what must not run twice goes to a writer on a new one.
-func (c *call) connect() {
-	m, s := c.p.r.m, c.to
-	once := s.role == logic.Writer && m.set.Classes[c.q.talk.class].Repeat == logic.Unsafe
-	if k := c.p.idle[s]; !once && k != nil && k.life == s.life && k.n > 0 {
-		k.n--
-		c.life, c.linked = s.life, true
-		m.after(hop, c.arrive)
+// connect gets a connection for an attempt: an idle one, or a new one, which costs the replica work
+// and fails if the replica is at its maximum number of connections. As in package replica, a write
+// that must not run twice uses a new connection.
+func (c *attempt) connect() {
+	m, s := c.process.router.m, c.replica
+	ownConn := s.role == logic.Writer && m.settings.Classes[c.request.session.class].Repeat == logic.Unsafe
+	if k := c.process.idle[s]; !ownConn && k != nil && k.generation == s.generation && k.count > 0 {
+		k.count--
+		c.generation, c.connected = s.generation, true
+		m.after(networkDelay, c.arrive)
 		return
 	}
 	m.report.Dials++
-	m.after(hop+dialTime, func() {
+	m.after(networkDelay+dialTime, func() {
 		switch {
-		case c.over:
-		case !s.up || m.day.Places > 0 && s.conns >= m.day.Places:
-			m.report.Unplaced++
-			c.end(logic.ConnectFailed, 0, false)
+		case c.ended:
+		case !s.up || m.day.MaxConns > 0 && s.conns >= m.day.MaxConns:
+			m.report.FailedDials++
+			c.reply(logic.ConnectFailed, 0, false)
 		default:
 			s.conns++
-			s.owed += m.day.Handshake.Seconds()
-			c.life, c.linked = s.life, true
+			s.handshakeSeconds += m.day.HandshakeWork.Seconds()
+			c.generation, c.connected = s.generation, true
 			c.arrive()
 		}
 	})
 }
 
-func (c *call) arrive() {
-	if !c.over {
-		c.to.take(c)
+// arrive hands the attempt to the replica, unless the router has given it up.
+func (c *attempt) arrive() {
+	if !c.ended {
+		c.replica.receive(c)
 	}
 }
 
-// disconnect keeps the connection of a call that has ended where it can be used again, and closes it elsewhere.
-func (c *call) disconnect(as logic.Outcome) {
-	s := c.to
-	if !c.linked || c.life != s.life {
+// disconnect returns the connection of an ended attempt to the idle ones if it can be reused, and
+// closes it otherwise.
+func (c *attempt) disconnect(as logic.Outcome) {
+	s := c.replica
+	if !c.connected || c.generation != s.generation {
 		return
 	}
-	c.linked = false
-	k := c.p.idle[s]
-	if k == nil || k.life != s.life {
-		k = &idleConns{life: s.life}
-		c.p.idle[s] = k
+	c.connected = false
+	k := c.process.idle[s]
+	if k == nil || k.generation != s.generation {
+		k = &idleConns{generation: s.generation}
+		c.process.idle[s] = k
 	}
-	if good := as == logic.ReadDone || as == logic.Delivered || as == logic.Full || as == logic.ServerError; good &&
-		k.n < idleMost && c.p == c.p.r.now {
-		k.n++
+	if reusable := as == logic.ReadDone || as == logic.Delivered || as == logic.Full || as == logic.ServerError; reusable &&
+		k.count < maxIdle && c.process == c.process.router.process {
+		k.count++
 		return
 	}
 	s.conns--
 }
 
-// hangUp closes the idle connections of a process that ends.
-func (p *process) hangUp() {
-	for s, k := range p.idle { // only counts, so the order does not matter
-		if k.life == s.life {
-			s.conns -= k.n
+// closeIdle closes the idle connections of a process that ends.
+func (p *process) closeIdle() {
+	for s, k := range p.idle { // the order does not matter for counts
+		if k.generation == s.generation {
+			s.conns -= k.count
 		}
 	}
 	p.idle = map[*replica]*idleConns{}
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -1,9 +1,10 @@
-// Package fleetmodel is a small deterministic model of a large fleet: hundreds of routers of package logic that share
-// nothing, tens of readers and writers, a register that lags, and clients that come again. It drives the decisions
-// alone, without sockets, on a clock of its own; the same day and seed give the same result everywhere.
+// Package fleetmodel is a small deterministic model of a large fleet: hundreds of routers of package
+// logic that share nothing, tens of readers and writers, a registry whose changes arrive late, and
+// clients that retry. It drives the decisions of package logic alone, without sockets, on a virtual
+// clock; the same day and seed give the same result everywhere.
 //
-// It is no measurement of real machines. It has what a jam of re-read prompts needs: queues, kept texts, cold starts,
-// memory that running answers hold, and time-outs.
+// It does not measure real machines. It models what a congestion collapse by repeated prefills needs:
+// queues, prefix caches, cold starts, memory held by running answers, and timeouts.
 package fleetmodel
 
 import (
@@ -14,44 +15,45 @@
 	"standpulley/logic"
 )
 
-// Day is what a run plays. Times are from its start.
+// Day is the scenario of a run: the fleet, its traffic and the changes to it. Times count from its
+// start.
 type Day struct {
 	Name        string
-	Site        Site // none: the first
+	Site        Site // zero value: the default site
 	Routers     int
 	Readers     int
 	Writers     int
 	Zones       int
-	Cell        int           // replicas to a cell
-	Rate        float64       // requests a second over the fleet
-	Length      time.Duration // during which requests arrive
-	Lag         time.Duration // from a change of the list until routers hear of it, on average
+	CellSize    int           // replicas per cell
+	Rate        float64       // requests per second to the whole fleet
+	Length      time.Duration // requests arrive for this long
+	ListLag     time.Duration // mean time from a change of the list until routers receive it
 	Events      []Change
-	Uneven      float64 // how unevenly the front spreads clients: 0 evenly
+	TrafficSkew float64 // how unevenly the load balancer spreads clients over routers; 0 if evenly
 	Burst       Burst
-	ZoneTraffic []float64 // shares of the sessions that begin in each zone; none: even ones
+	ZoneTraffic []float64 // share of the sessions of each zone; empty if all have the same share
 
-	Places    int           // connections that a replica holds; 0 = any number
-	Tries     int           // that a client makes again; 0 = mostTries
-	Ordered   bool          // after a loss of power routers come back as package recovery says
-	Handshake time.Duration // work that a new connection costs a replica
+	MaxConns      int           // maximum number of connections of a replica; 0 if there is no limit
+	MaxRetries    int           // maximum number of retries by a client; 0 means maxRetries
+	UseRecovery   bool          // after a power loss, routers limit admission as package recovery decides
+	HandshakeWork time.Duration // work of a replica per new connection
 }
 
-// Burst is a time in which requests come more often.
+// Burst is a period with a higher rate of requests.
 type Burst struct {
 	From, To time.Duration
-	Times    float64 // as often
+	Factor   float64 // multiple of the day's rate
 }
 
-// at tells how much more often requests come at a time.
-func (b Burst) at(t time.Duration) float64 {
+// factor returns the multiple of the day's rate at a time.
+func (b Burst) factor(t time.Duration) float64 {
 	if t >= b.From && t < b.To {
-		return b.Times
+		return b.Factor
 	}
 	return 1
 }
 
-// Change is something that happens to the fleet.
+// Change is a scheduled change to the fleet.
 type Change struct {
 	At time.Duration
 	Do func(m *Model)
@@ -59,41 +61,44 @@
 
 // Model is one run of a day.
 type Model struct {
-	day     Day
-	rnd     *rand.Rand
-	now     time.Duration
-	queue   events
-	order   uint64
-	set     logic.Settings
-	classes []class
-	fleet   []*replica
-	byID    map[string]*replica
-	routers []*router
-	texts   [][]text
-	weights [][]float64
-	asked   uint64
-	report  Report
+	day           Day
+	rnd           *rand.Rand
+	now           time.Duration
+	queue         events
+	seq           uint64
+	settings      logic.Settings
+	classes       []class
+	replicas      []*replica
+	byID          map[string]*replica
+	routers       []*router
+	prefixes      [][]prefix
+	prefixWeights [][]float64
+	requestCount  uint64
+	report        Report
 }
 
 const (
-	// start is the model's clock at the start of a day: times of zero mean "long ago" to the decisions.
+	// start is the virtual time at which a day starts. It is not 0, because package logic
+	// takes a time of 0 to mean long ago.
 	start = time.Hour
-	// prelude is the time before it in which traffic rises and replicas come to know their texts. It is not counted.
-	prelude = 25 * time.Second
+	// warmUp is the period before start in which traffic rises and replicas fill their caches. Reports
+	// leave it out.
+	warmUp = 25 * time.Second
 )
 
-// event is something due.
+// event is a function to be run at a time.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
+// events is a heap of events, ordered by time and, at the same time, by the order of scheduling.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -105,40 +110,41 @@
 	return x
 }
 
-// after has something done later; what is due at one instant is done in the order in which it was asked for.
+// after schedules do to run after d. Functions due at the same time run in the order in which they
+// were scheduled.
 func (m *Model) after(d time.Duration, do func()) {
-	m.order++
-	heap.Push(&m.queue, event{m.now + max(d, 0), m.order, do})
+	m.seq++
+	heap.Push(&m.queue, event{m.now + max(d, 0), m.seq, do})
 }
 
-// between draws from a range.
-func (m *Model) between(low, high float64) float64 { return low + (high-low)*m.rnd.Float64() }
+// uniform draws a number from a range.
+func (m *Model) uniform(low, high float64) float64 { return low + (high-low)*m.rnd.Float64() }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Run plays a day and reports on it.
+// Run simulates a day and returns its report.
 func Run(day Day, seed uint64) (Report, error) {
-	m := &Model{day: day, rnd: rand.New(rand.NewPCG(seed, 0x5eed)), now: start - prelude, byID: map[string]*replica{}}
-	m.set, m.classes = settings(day), day.site().classes
+	m := &Model{day: day, rnd: rand.New(rand.NewPCG(seed, 0x5eed)), now: start - warmUp, byID: map[string]*replica{}}
+	m.settings, m.classes = settings(day), day.site().classes
 	m.report = newReport(m)
 	for i := range day.Readers + day.Writers {
 		role := logic.Writer
 		if i*day.Readers/(day.Readers+day.Writers) != (i+1)*day.Readers/(day.Readers+day.Writers) {
 			role = logic.Reader
 		}
-		m.add(role, i/day.Cell%day.Zones, int64(i/day.Cell), true)
+		m.add(role, i/day.CellSize%day.Zones, int64(i/day.CellSize), true)
 	}
 	for i := range day.Routers {
-		r := &router{m: m, n: i, zone: i % day.Zones, weight: 1 + day.Uneven*m.rnd.ExpFloat64()}
-		if err := r.boot(); err != nil {
+		r := &router{m: m, index: i, zone: i % day.Zones, weight: 1 + day.TrafficSkew*m.rnd.ExpFloat64()}
+		if err := r.startProcess(); err != nil {
 			return Report{}, err
 		}
 		m.routers = append(m.routers, r)
 	}
-	m.drawTexts()
-	m.arrivals()
+	m.drawPrefixes()
+	m.startArrivals()
 	for _, c := range day.Events {
-		m.after(prelude+c.At, func() { c.Do(m) })
+		m.after(warmUp+c.At, func() { c.Do(m) })
 	}
 	for len(m.queue) > 0 {
 		e := heap.Pop(&m.queue).(event)
