--- a/cmd/standpulley/settings.go
+++ b/cmd/standpulley/settings.go
@@ -12,8 +12,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/agreement"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 	"standpulley/internal/program"
 )
@@ -132,16 +132,16 @@
 			return fmt.Errorf("version %d is no longer in the history", r.Number)
 		}
 		switch v.State {
-		case agree.InForce, agree.Superseded:
+		case clusterstate.InForce, clusterstate.Superseded:
 			if c.asJSON {
 				return c.printJSON(v)
 			}
 			fmt.Fprintf(c.out, "Version %d is in force.\n", v.Number)
 			return nil
-		case agree.TurnedDown:
+		case clusterstate.TurnedDown:
 			c.code = exitRefused
 			return fmt.Errorf("version %d was turned down by %s: %w", v.Number, v.Member, v.Fault)
-		case agree.Withdrawn:
+		case clusterstate.Withdrawn:
 			c.code = exitRefused
 			return fmt.Errorf("version %d was withdrawn: %s", v.Number, v.Member)
 		}
@@ -206,10 +206,10 @@
 		return fmt.Errorf("versions %d and %d are not both in the history", d.A, d.B)
 	}
 	all := []difference{}
-	for _, key := range agree.DifferingKeys(a.Keys, b.Keys) {
-		effect, why := agree.EffectOf(key)
+	for _, key := range clusterstate.DifferingKeys(a.Keys, b.Keys) {
+		effect, why := clusterstate.EffectOf(key)
 		word := "may differ: " + why
-		if effect == agree.Harmful {
+		if effect == clusterstate.Harmful {
 			word = "contradicts: " + why
 		}
 		all = append(all, difference{key, a.Keys[key], b.Keys[key], word})
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -9,7 +9,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 	"standpulley/internal/peers"
 )
@@ -33,7 +33,7 @@
 	Keys        map[string]string `json:"keys,omitempty"`
 }
 
-func versionInfoOf(v *agree.Version, cached bool) *versionInfo {
+func versionInfoOf(v *clusterstate.Version, cached bool) *versionInfo {
 	if v == nil {
 		return nil
 	}
@@ -105,7 +105,7 @@
 )
 
 // copyFrom returns a copy of the selected parts.
-func (filter ViewFilter) copyFrom(rec *agree.Record) agree.Record {
+func (filter ViewFilter) copyFrom(rec *clusterstate.Record) clusterstate.Record {
 	c := *rec
 	c.Versions, c.Seats, c.RetiredDisks, c.Results, c.Changes = slices.Clone(rec.Versions), slices.Clone(rec.Seats), slices.Clone(rec.RetiredDisks), nil, slices.Clone(rec.Changes)
 	// other parts are replaced as a whole when they change
@@ -136,10 +136,10 @@
 
 // View is the leader's state as shown to operators.
 type View struct {
-	Record  agree.Record `json:"book"`
-	Leader  string       `json:"leader"`
-	Term    uint64       `json:"term"`
-	Members []MemberView `json:"members"`
+	Record  clusterstate.Record `json:"book"`
+	Leader  string              `json:"leader"`
+	Term    uint64              `json:"term"`
+	Members []MemberView        `json:"members"`
 	// dispatchers that have not checked the version in progress
 	WaitingFor      []string `json:"blocks,omitempty"`
 	RegistryReaders []string `json:"readers,omitempty"`
@@ -151,7 +151,7 @@
 
 // MemberView is the leader's view of one dispatcher. Times are in milliseconds.
 type MemberView struct {
-	agree.Renewal
+	clusterstate.Renewal
 	LeaseMS int64 `json:"lease_ms"` // upper bound of the remaining lease; 0 once it has expired
 	HeardMS int64 `json:"heard_ms"` // since the last renewal
 }
@@ -190,7 +190,7 @@
 	var err error
 	switch path {
 	case renewCall:
-		var r agree.Renewal
+		var r clusterstate.Renewal
 		if err = n.decode(from, body, &r); err == nil && r.Name != from.Name {
 			n.counts.RecordDrop(peers.NotMember, from.Name, "renewal in the name of "+r.Name)
 			err = errors.New("a renewal for another")
@@ -204,7 +204,7 @@
 			answer = changeNotice{v.waitForChange(q.Revision, changeTimeout)}
 		}
 	case proposeCall:
-		var e agree.Entry
+		var e clusterstate.Entry
 		if err = n.decode(from, body, &e); err == nil {
 			answer, err = v.propose(e)
 		}
--- a/internal/agreement/lists.go
+++ b/internal/agreement/lists.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 	"standpulley/internal/peers"
 )
@@ -20,7 +20,7 @@
 // report and tracks how long orders have been in force.
 type listLeader struct {
 	merger        *membership.Merger
-	picker        agree.RegistryReaders
+	picker        clusterstate.RegistryReaders
 	activeReaders map[string]bool // the picked readers of the registry
 	nextProposal  time.Duration
 	ordersSince   map[string]time.Duration // by replica, when this leader first saw its order in the record
@@ -63,9 +63,9 @@
 	e := l.expiredOrder(v, now)
 	if e == nil {
 		if c := l.merger.Next(now, &v.record.List, v.record.Orders); c != nil {
-			e = &agree.Entry{Change: c}
+			e = &clusterstate.Entry{Change: c}
 		} else if c := v.leases.NextCensus(now, &v.record); c != nil {
-			e = &agree.Entry{Census: c}
+			e = &clusterstate.Entry{Census: c}
 		}
 	}
 	if e == nil {
@@ -79,7 +79,7 @@
 
 // expiredOrder returns an entry that lifts an expired order, nil if there is none. The time of orders
 // is measured by the leader's monotonic clock.
-func (l *listLeader) expiredOrder(v *voter, now time.Duration) *agree.Entry {
+func (l *listLeader) expiredOrder(v *voter, now time.Duration) *clusterstate.Entry {
 	maps.DeleteFunc(l.ordersSince, func(id string, _ time.Duration) bool { _, there := v.record.Orders[id]; return !there })
 	for id, o := range v.record.Orders {
 		since, ok := l.ordersSince[id]
@@ -87,14 +87,14 @@
 			l.ordersSince[id] = now
 		} else if now-since > time.Duration(o.ForMS)*time.Millisecond {
 			slog.Info("agreement: an order has run out", "replica", id, "do", o.Do, "owner", o.Owner, "why", o.Why)
-			return &agree.Entry{Lift: &agree.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id}}
+			return &clusterstate.Entry{Lift: &clusterstate.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id}}
 		}
 	}
 	return nil
 }
 
 // update returns the part about the list for the answer to a renewal.
-func (l *listLeader) update(v *voter, r agree.Renewal) *listUpdate {
+func (l *listLeader) update(v *voter, r clusterstate.Renewal) *listUpdate {
 	previous := l.activeReaders
 	l.activeReaders = l.picker.Pick(v.n.now(), v.leases, v.n.opt.Lists.MaxReaders)
 	for name := range previous {
@@ -320,13 +320,13 @@
 
 // PlaceOrder sets an operator's override of a replica.
 func (n *Node) PlaceOrder(o membership.Order) error {
-	_, err := n.propose(agree.Entry{Order: &agree.PlaceOrder{Request: strconv.FormatUint(NewID(), 16), Order: o}})
+	_, err := n.propose(clusterstate.Entry{Order: &clusterstate.PlaceOrder{Request: strconv.FormatUint(NewID(), 16), Order: o}})
 	return err
 }
 
 // LiftOrder ends the override of a replica.
 func (n *Node) LiftOrder(id, owner string, seen uint64) error {
-	_, err := n.propose(agree.Entry{Lift: &agree.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id, Owner: owner, Version: seen}})
+	_, err := n.propose(clusterstate.Entry{Lift: &clusterstate.LiftOrder{Request: strconv.FormatUint(NewID(), 16), ID: id, Owner: owner, Version: seen}})
 	return err
 }
 
--- a/internal/agreement/member.go
+++ b/internal/agreement/member.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 )
 
@@ -20,21 +20,21 @@
 	n *Node
 
 	mu         sync.Mutex
-	lease      *agree.Lease
-	active     agree.Version // the version that the program acts on
+	lease      *clusterstate.Lease
+	active     clusterstate.Version // the version that the program acts on
 	leader     string
 	lastGrant  time.Duration // time of the last granted renewal
 	lostAt     time.Duration // when the lease expired; 0 while it is valid
 	reason     string        // why there is no lease; empty while there is one
 	lastLogged string        // the last reason that was logged
-	unfit      *agree.Fault
+	unfit      *clusterstate.Fault
 
 	activatedAt time.Duration // when the program activated its version
 
 	// The fields below belong to the goroutine of run, which holds mu to change those that others read.
 	checked     uint64
-	fault       *agree.Fault
-	lastChecked agree.Version // the version that was checked last, with its content
+	fault       *clusterstate.Fault
+	lastChecked clusterstate.Version // the version that was checked last, with its content
 	saved       savedState
 	listCopy    membership.Copy // changed with mu held
 	list        membership.List // the list that the program acts on; changed with mu held
@@ -105,7 +105,7 @@
 	if justExpired {
 		m.lostAt = now
 	}
-	if m.saved.Unproven && m.lastGrant != 0 && !expired && m.lostAt == 0 && now-m.activatedAt > agree.TrialTime {
+	if m.saved.Unproven && m.lastGrant != 0 && !expired && m.lostAt == 0 && now-m.activatedAt > clusterstate.TrialTime {
 		m.saved.Unproven, m.saved.Crashes, m.saved.LastGood = false, 0, m.saved.ActsOn
 		m.mu.Unlock()
 		m.save()
@@ -139,10 +139,10 @@
 	return m.handleResponse(sent, a)
 }
 
-func (m *member) renewal() agree.Renewal {
+func (m *member) renewal() clusterstate.Renewal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := agree.Renewal{Name: m.n.opt.Name, Boot: m.n.boot, ActsOn: m.active.Number, CachedVersion: m.active.Number, Checked: m.checked, Fault: m.fault,
+	r := clusterstate.Renewal{Name: m.n.opt.Name, Boot: m.n.boot, ActsOn: m.active.Number, CachedVersion: m.active.Number, Checked: m.checked, Fault: m.fault,
 		Unfit: m.unfit, Crashes: m.saved.Crashes, Phase: m.n.program.Phase(), ServingMS: m.n.program.ServingTime().Milliseconds(), WarmRates: m.n.program.WarmRates(), LateActs: m.lease.LateActs()}
 	r.WantsWarmRates = r.WarmRates != nil && len(r.WarmRates) == 0
 	if m.lostAt != 0 {
@@ -158,7 +158,7 @@
 }
 
 // askLeader finds the leader and sends it the renewal.
-func (m *member) askLeader(r agree.Renewal) (a renewResponse, err error) {
+func (m *member) askLeader(r clusterstate.Renewal) (a renewResponse, err error) {
 	n, timeout := m.n, 2*m.n.opt.Timing.Renew+m.n.opt.Hooks.ExtraRenewTimeout
 	leader := m.knownLeader()
 	if n.voter != nil {
@@ -222,7 +222,7 @@
 	fault := m.n.program.Check(info.Content)
 	m.mu.Lock()
 	m.checked, m.fault = info.Number, fault
-	m.lastChecked = agree.Version{Number: info.Number, Fingerprint: info.Fingerprint, Content: info.Content, Keys: info.Keys}
+	m.lastChecked = clusterstate.Version{Number: info.Number, Fingerprint: info.Fingerprint, Content: info.Content, Keys: info.Keys}
 	m.mu.Unlock()
 	if fault != nil {
 		m.n.turnedDown.Add(1)
@@ -235,7 +235,7 @@
 	m.mu.Lock()
 	active, lease := m.active, m.lease
 	m.mu.Unlock()
-	inForce := agree.Version{Number: a.InForce.Number, Fingerprint: a.InForce.Fingerprint, Content: a.InForce.Content, Keys: a.InForce.Keys}
+	inForce := clusterstate.Version{Number: a.InForce.Number, Fingerprint: a.InForce.Fingerprint, Content: a.InForce.Content, Keys: a.InForce.Keys}
 	stale := active.Number != inForce.Number
 	if m.n.opt.Hooks.Stale != nil {
 		stale = m.n.opt.Hooks.Stale(stale)
@@ -251,8 +251,8 @@
 		sent = m.n.opt.Hooks.RenewedAt(sent, m.n.now())
 	}
 	if stale && m.crashedTwiceOn(inForce.Number) {
-		if keys := agree.ConflictingKeys(active.Keys, inForce.Keys); len(keys) > 0 {
-			m.setUnfit(&agree.Fault{Key: keys[0], Reason: fmt.Sprintf("version %d brought this dispatcher down twice, and the last good one, %d, contradicts it in %s",
+		if keys := clusterstate.ConflictingKeys(active.Keys, inForce.Keys); len(keys) > 0 {
+			m.setUnfit(&clusterstate.Fault{Key: keys[0], Reason: fmt.Sprintf("version %d brought this dispatcher down twice, and the last good one, %d, contradicts it in %s",
 				inForce.Number, active.Number, strings.Join(keys, ", "))})
 			return false
 		}
@@ -263,7 +263,7 @@
 			m.forgetChecked() // so that the next answer brings the content
 			return true
 		}
-		lease = &agree.Lease{Number: inForce.Number, Fingerprint: inForce.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
+		lease = &clusterstate.Lease{Number: inForce.Number, Fingerprint: inForce.Fingerprint, OnLeaseLoss: m.n.opt.OnLeaseLoss}
 		if a.Lease && listErr == nil {
 			lease.Extend(sent, m.n.opt.Timing)
 		}
@@ -295,7 +295,7 @@
 	return renewNow
 }
 
-func (m *member) setUnfit(f *agree.Fault) {
+func (m *member) setUnfit(f *clusterstate.Fault) {
 	m.mu.Lock()
 	m.unfit = f
 	m.mu.Unlock()
@@ -308,13 +308,13 @@
 // in force, so the leader must send the content again.
 func (m *member) forgetChecked() {
 	m.mu.Lock()
-	m.lastChecked, m.checked, m.fault = agree.Version{}, 0, nil
+	m.lastChecked, m.checked, m.fault = clusterstate.Version{}, 0, nil
 	m.mu.Unlock()
 }
 
 // activate makes the program act on a version. If the program can't, this dispatcher gets no lease
 // until another version is in force.
-func (m *member) activate(v agree.Version, lease *agree.Lease) bool {
+func (m *member) activate(v clusterstate.Version, lease *clusterstate.Lease) bool {
 	fault := m.n.program.Check(v.Content)
 	if fault == nil {
 		m.mu.Lock()
@@ -329,11 +329,11 @@
 		m.mu.Unlock()
 		m.save()
 		if err := m.n.program.Activate(v, lease); err != nil {
-			fault = &agree.Fault{Reason: err.Error()}
+			fault = &clusterstate.Fault{Reason: err.Error()}
 		}
 	}
 	if fault != nil {
-		m.setUnfit(&agree.Fault{Key: fault.Key, Reason: fmt.Sprintf("version %d is in force and this dispatcher can't act on it: %s", v.Number, fault.Reason)})
+		m.setUnfit(&clusterstate.Fault{Key: fault.Key, Reason: fmt.Sprintf("version %d is in force and this dispatcher can't act on it: %s", v.Number, fault.Reason)})
 		return false
 	}
 	m.mu.Lock()
--- a/internal/agreement/node.go
+++ b/internal/agreement/node.go
@@ -33,7 +33,7 @@
 	jsoniter "github.com/json-iterator/go"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 	"standpulley/internal/peers"
 	"standpulley/internal/raftlog"
@@ -43,9 +43,9 @@
 type Program interface {
 	// Check returns why this dispatcher can't act on a content, nil if it can. It must not block for
 	// long.
-	Check(content string) *agree.Fault
+	Check(content string) *clusterstate.Fault
 	// Activate makes the program act on a version, as long as the lease permits.
-	Activate(v agree.Version, lease *agree.Lease) error
+	Activate(v clusterstate.Version, lease *clusterstate.Lease) error
 	// ApplyList makes the program act on a list of replicas. It returns once nothing uses the
 	// previous list any more. dispatchers is their number, and counted is set if this one may use
 	// its share of the limits that are summed over them.
@@ -73,8 +73,8 @@
 	Listen      string            // address for calls of other dispatchers; empty if it is no voter
 	Voters      map[string]string // addresses of the voters, by name
 	IsMember    func(name string) bool
-	Timing      agree.Timing
-	OnLeaseLoss agree.LeaseLossPolicy
+	Timing      clusterstate.Timing
+	OnLeaseLoss clusterstate.LeaseLossPolicy
 	MaxConns    int                // maximum of connections from other dispatchers
 	Folder      string             // the state folder, which holds the log
 	Handlers    map[string]Handler // handlers of further calls, by path
@@ -102,15 +102,15 @@
 	LogWriter func(*raftlog.Log) LogWriter
 	// changes the time from which a renewal counts
 	RenewedAt func(sent, now time.Duration) time.Duration
-	Leases    func(*agree.LeaseTable)           // called before each use
-	Entry     func(*agree.Record, *agree.Entry) // called before the entry is applied
-	Lease     func(*agree.Lease)                // called with each new lease
+	Leases    func(*clusterstate.LeaseTable)                  // called before each use
+	Entry     func(*clusterstate.Record, *clusterstate.Entry) // called before the entry is applied
+	Lease     func(*clusterstate.Lease)                       // called with each new lease
 	// changes whether the active version counts as outdated
 	Stale             func(bool) bool
 	WallClock         func() time.Time
 	Limits            func(*membership.Limits)
 	ExtraRenewTimeout time.Duration // added to the timeout of renewals
-	Rebootstrap       func(before, next *agree.Record)
+	Rebootstrap       func(before, next *clusterstate.Record)
 	SkipLeaderCheck   bool // the leader answers reads without confirming that it still leads
 }
 
@@ -172,7 +172,9 @@
 
 // RestoreVersion returns the version to start on, with a lease that has not been granted yet. The
 // version is nil if there is none.
-func (n *Node) RestoreVersion() (*agree.Version, *agree.Lease) { return n.member.restore(n) }
+func (n *Node) RestoreVersion() (*clusterstate.Version, *clusterstate.Lease) {
+	return n.member.restore(n)
+}
 
 // Run starts the node: it listens for calls if this dispatcher is a voter, and renews the lease from
 // now on.
@@ -297,20 +299,20 @@
 	if l.Identity().Cluster != 0 {
 		return fmt.Errorf("%s belongs to a cluster already", LogPath(opt.Folder))
 	}
-	if fault := agree.CheckKeys(keys); fault != nil {
+	if fault := clusterstate.CheckKeys(keys); fault != nil {
 		return fault
 	}
-	var record agree.Record
+	var record clusterstate.Record
 	cluster, disk := NewID(), l.Identity().Disk
-	if _, err := record.Apply(agree.Entry{Bootstrap: &agree.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: agree.Seat{Name: opt.Name, Disk: disk},
-		First: agree.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wallTime()}}}); err != nil {
+	if _, err := record.Apply(clusterstate.Entry{Bootstrap: &clusterstate.Bootstrap{Cluster: cluster, RequiredSeats: len(opt.Voters), Seat: clusterstate.Seat{Name: opt.Name, Disk: disk},
+		First: clusterstate.Propose{Content: content, Keys: keys, Fingerprint: print, By: opt.Name, Why: "the cluster was founded", At: opt.wallTime()}}}); err != nil {
 		return err
 	}
 	return writeInitialLog(l, &record)
 }
 
 // writeInitialLog writes a cluster's record as a snapshot into the empty log of its first voter.
-func writeInitialLog(l *raftlog.Log, record *agree.Record) error {
+func writeInitialLog(l *raftlog.Log, record *clusterstate.Record) error {
 	data, err := jsoniter.Marshal(record)
 	if err != nil {
 		return err
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 	"standpulley/internal/peers"
 )
@@ -16,28 +16,28 @@
 
 // Status is the state of one dispatcher as it knows it itself. Times are in milliseconds.
 type Status struct {
-	Name        string                `json:"name"`
-	Voter       bool                  `json:"voter"`
-	Version     uint64                `json:"version"`
-	LeaseMS     int64                 `json:"lease_ms"` // remaining time for accepting new requests
-	HeardMS     int64                 `json:"heard_ms"` // since the last granted renewal
-	LostMS      int64                 `json:"lost_ms"`  // since the lease expired; 0 while it is valid
-	Why         string                `json:"why,omitempty"`
-	Leader      string                `json:"leader"`
-	OnLeaseLoss agree.LeaseLossPolicy `json:"alone"`
+	Name        string                       `json:"name"`
+	Voter       bool                         `json:"voter"`
+	Version     uint64                       `json:"version"`
+	LeaseMS     int64                        `json:"lease_ms"` // remaining time for accepting new requests
+	HeardMS     int64                        `json:"heard_ms"` // since the last granted renewal
+	LostMS      int64                        `json:"lost_ms"`  // since the lease expired; 0 while it is valid
+	Why         string                       `json:"why,omitempty"`
+	Leader      string                       `json:"leader"`
+	OnLeaseLoss clusterstate.LeaseLossPolicy `json:"alone"`
 	// requests and attempts after the end of a lease, permitted by OnLeaseLoss
-	LateActs    int64            `json:"late"`
-	Unfit       *agree.Fault     `json:"unfit,omitempty"`
-	Crashes     int              `json:"crashes,omitempty"`
-	TurnedDown  int64            `json:"turned_down"` // versions turned down by this dispatcher
-	Elected     int64            `json:"elected"`     // how often this voter became leader
-	Dropped     map[string]int64 `json:"dropped"`     // dropped calls and frames, by cause
-	Calls       [2]int64         `json:"calls"`       // in, out
-	Bytes       [2]int64         `json:"bytes"`       // in, out
-	Disk        string           `json:"disk"`
-	Cluster     string           `json:"cluster"`
-	ListVersion uint64           `json:"list,omitempty"`   // of replicas
-	Dispatchers int              `json:"living,omitempty"` // number of dispatchers, by the last census
+	LateActs    int64               `json:"late"`
+	Unfit       *clusterstate.Fault `json:"unfit,omitempty"`
+	Crashes     int                 `json:"crashes,omitempty"`
+	TurnedDown  int64               `json:"turned_down"` // versions turned down by this dispatcher
+	Elected     int64               `json:"elected"`     // how often this voter became leader
+	Dropped     map[string]int64    `json:"dropped"`     // dropped calls and frames, by cause
+	Calls       [2]int64            `json:"calls"`       // in, out
+	Bytes       [2]int64            `json:"bytes"`       // in, out
+	Disk        string              `json:"disk"`
+	Cluster     string              `json:"cluster"`
+	ListVersion uint64              `json:"list,omitempty"`   // of replicas
+	Dispatchers int                 `json:"living,omitempty"` // number of dispatchers, by the last census
 }
 
 // Status returns the state of this dispatcher.
@@ -76,9 +76,9 @@
 
 // Propose proposes a version to the voters. It sets p.ID, so that a repeated proposal counts once.
 // A returned number means that the proposal is in the record; it is not in force yet.
-func (n *Node) Propose(p agree.Propose) (uint64, error) {
+func (n *Node) Propose(p clusterstate.Propose) (uint64, error) {
 	p.ID, p.At = strconv.FormatUint(NewID(), 16), n.opt.wallTime()
-	return n.propose(agree.Entry{Propose: &p})
+	return n.propose(clusterstate.Entry{Propose: &p})
 }
 
 // LedgerDisk returns the ledger file that a voter last used, by the record.
@@ -93,7 +93,7 @@
 
 // SetLedgerDisk records the ledger file that a voter uses from now on.
 func (n *Node) SetLedgerDisk(name string, disk uint64) error {
-	_, err := n.propose(agree.Entry{Ledger: &agree.SetLedger{Request: strconv.FormatUint(NewID(), 16), Name: name, Disk: disk}})
+	_, err := n.propose(clusterstate.Entry{Ledger: &clusterstate.SetLedger{Request: strconv.FormatUint(NewID(), 16), Name: name, Disk: disk}})
 	return err
 }
 
@@ -144,14 +144,14 @@
 
 // Withdraw takes back a version that is not yet in force.
 func (n *Node) Withdraw(number uint64, by string) error {
-	_, err := n.propose(agree.Entry{Withdraw: &agree.Withdraw{ID: strconv.FormatUint(NewID(), 16), Number: number, By: by}})
+	_, err := n.propose(clusterstate.Entry{Withdraw: &clusterstate.Withdraw{ID: strconv.FormatUint(NewID(), 16), Number: number, By: by}})
 	return err
 }
 
 // ErrOutcomeUnknown is returned if a proposal may or may not have been decided.
 var ErrOutcomeUnknown = errors.New("no voter that leads answered in time: whether it was decided shows in the history")
 
-func (n *Node) propose(e agree.Entry) (uint64, error) {
+func (n *Node) propose(e clusterstate.Entry) (uint64, error) {
 	var p proposeResponse
 	err := n.atLeader(func(local *voter, link *peers.Link) (notLeader bool, err error) {
 		p = proposeResponse{}
@@ -263,7 +263,7 @@
 	case "propose":
 		var flattened map[string]string
 		if flattened, err = keys(c.Content); err == nil {
-			r.Number, err = n.Propose(agree.Propose{Base: c.Base, Content: c.Content, Keys: flattened, Fingerprint: print(c.Content), By: c.By, Why: c.Why,
+			r.Number, err = n.Propose(clusterstate.Propose{Base: c.Base, Content: c.Content, Keys: flattened, Fingerprint: print(c.Content), By: c.By, Why: c.Why,
 				CanaryMember: c.CanaryMember, RollbackTo: c.RollbackTo})
 		}
 	case "withdraw":
--- a/internal/agreement/recover.go
+++ b/internal/agreement/recover.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/raftlog"
 )
 
@@ -26,8 +26,8 @@
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 	// after all entries of the log, also those that may not have been committed
-	Record    agree.Record  `json:"book"`
-	ActsOn    agree.Version `json:"acts"` // the version that the dispatcher acted on last
+	Record    clusterstate.Record  `json:"book"`
+	ActsOn    clusterstate.Version `json:"acts"` // the version that the dispatcher acted on last
 	warmRates []byte
 }
 
@@ -105,7 +105,7 @@
 
 // decodeEntry returns the change of the record and the change of the raft configuration that an entry
 // holds; each is nil if there is none.
-func decodeEntry(e *raftpb.Entry) (change *agree.Entry, conf *raftpb.ConfChangeV2, err error) {
+func decodeEntry(e *raftpb.Entry) (change *clusterstate.Entry, conf *raftpb.ConfChangeV2, err error) {
 	data := e.GetData()
 	switch e.GetType() {
 	case raftpb.EntryConfChangeV2:
@@ -121,7 +121,7 @@
 	if len(data) == 0 {
 		return nil, conf, nil
 	}
-	change = &agree.Entry{}
+	change = &clusterstate.Entry{}
 	if err := jsoniter.Unmarshal(data, change); err != nil {
 		return nil, nil, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
@@ -135,33 +135,33 @@
 // Rebootstrap creates a new cluster from what is left of a lost one, of which most voters' logs are
 // gone, with the voter of this folder as the first. folders are those of all other dispatchers that
 // are left; none may hold a newer log than this one. The old log is kept next to the new one.
-func Rebootstrap(opt Options, lostCluster uint64, folders []string, by string) (agree.Record, error) {
+func Rebootstrap(opt Options, lostCluster uint64, folders []string, by string) (clusterstate.Record, error) {
 	own, err := Survey(opt.Folder)
 	if err != nil {
-		return agree.Record{}, err
+		return clusterstate.Record{}, err
 	}
 	if !own.HasVoterLog {
-		return agree.Record{}, fmt.Errorf("%s holds no voter's log", LogPath(opt.Folder))
+		return clusterstate.Record{}, fmt.Errorf("%s holds no voter's log", LogPath(opt.Folder))
 	}
 	if own.Cluster != lostCluster {
-		return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lostCluster)
+		return clusterstate.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", LogPath(opt.Folder), own.Cluster, lostCluster)
 	}
-	actedOn := []agree.Version{own.ActsOn}
+	actedOn := []clusterstate.Version{own.ActsOn}
 	for _, folder := range folders {
 		r, err := Survey(folder)
 		switch {
 		case err != nil:
-			return agree.Record{}, err
+			return clusterstate.Record{}, err
 		case r.Cluster != 0 && r.Cluster != lostCluster:
-			return agree.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lostCluster)
+			return clusterstate.Record{}, fmt.Errorf("%s belongs to cluster %x, not to %x", folder, r.Cluster, lostCluster)
 		case r.HasVoterLog && r.Newer(&own):
-			return agree.Record{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
+			return clusterstate.Record{}, fmt.Errorf("the log in %s is newer than this one (term %d, entry %d; here term %d, entry %d): make the new cluster there",
 				folder, r.Term, r.Index, own.Term, own.Index)
 		}
 		actedOn = append(actedOn, r.ActsOn)
 	}
 	cluster, disk := NewID(), NewID()
-	record, err := own.Record.Rebootstrap(cluster, len(opt.Voters), agree.Seat{Name: opt.Name, Disk: disk}, actedOn, by)
+	record, err := own.Record.Rebootstrap(cluster, len(opt.Voters), clusterstate.Seat{Name: opt.Name, Disk: disk}, actedOn, by)
 	if err != nil {
 		return record, err
 	}
--- a/internal/agreement/recover_test.go
+++ b/internal/agreement/recover_test.go
@@ -11,7 +11,7 @@
 	jsoniter "github.com/json-iterator/go"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/raftlog"
 )
 
@@ -21,7 +21,7 @@
 }
 
 // bootstrapped returns options with a folder whose log holds version 1 in force, followed by the entries.
-func bootstrapped(t *testing.T, entries ...agree.Entry) Options {
+func bootstrapped(t *testing.T, entries ...clusterstate.Entry) Options {
 	t.Helper()
 	opt := newStateFolder(t)
 	if err := Bootstrap(opt, `{"limits":{"try_limit":1}}`, map[string]string{"limits.try_limit": "1"}, "p1"); err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-var proposeAndActivate = []agree.Entry{{Propose: &agree.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
-	{Activate: &agree.Activate{Number: 2}}}
+var proposeAndActivate = []clusterstate.Entry{{Propose: &clusterstate.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
+	{Activate: &clusterstate.Activate{Number: 2}}}
 
 // A rebootstrapped cluster holds all entries of the newest log, also those not known to be committed,
 // the version that a dispatcher acted on and that no log has, and a new cluster ID and disk. The old
@@ -68,7 +68,7 @@
 	}
 	member := newStateFolder(t) // no voter, acted on a version that no remaining log holds
 	writeLog(t, member.Folder, func(l *raftlog.Log) error {
-		data, err := jsoniter.Marshal(&savedState{ActsOn: agree.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
+		data, err := jsoniter.Marshal(&savedState{ActsOn: clusterstate.Version{Number: 5, Fingerprint: "p5", Content: `{"limits":{"try_limit":5}}`, Keys: map[string]string{"limits.try_limit": "5"}}})
 		return errors.Join(err, l.SetValue(savedStateKey, data), l.SetCluster(before.Cluster))
 	})
 	foreign := bootstrapped(t)
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	after, err := Survey(opt.Folder)
-	if err != nil || after.Cluster == before.Cluster || after.Disk == before.Disk || after.Record.InForceNumber != 5 || after.Record.Version(2).State != agree.Superseded || after.Record.Complete {
+	if err != nil || after.Cluster == before.Cluster || after.Disk == before.Disk || after.Record.InForceNumber != 5 || after.Record.Version(2).State != clusterstate.Superseded || after.Record.Complete {
 		t.Errorf("%+v, %v", after, err)
 	}
 	kept, err := filepath.Glob(LogPath(opt.Folder) + ".*")
--- a/internal/agreement/requests.go
+++ b/internal/agreement/requests.go
@@ -8,12 +8,12 @@
 	jsoniter "github.com/json-iterator/go"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 )
 
 // renew records a renewal and answers it. The dispatcher counts its lease from when it sent the
 // renewal, and everything in the answer was still true after the renewal had arrived.
-func (v *voter) renew(r agree.Renewal) (renewResponse, error) {
+func (v *voter) renew(r clusterstate.Renewal) (renewResponse, error) {
 	answer := make(chan renewResponse, 1)
 	err := v.asLeader(v.n.opt.Timing.AcceptFor, func(confirmed bool) {
 		a := renewResponse{Leader: v.leaderName(), Confirmed: confirmed && v.record.InForce() != nil, Cluster: v.record.Cluster, Revision: v.record.Revision}
@@ -50,13 +50,13 @@
 }
 
 // propose proposes an entry of a dispatcher to the voters and waits until it is applied.
-func (v *voter) propose(e agree.Entry) (proposeResponse, error) {
+func (v *voter) propose(e clusterstate.Entry) (proposeResponse, error) {
 	id := e.Request()
 	if p := e.Propose; p != nil {
-		if len(p.Content) > agree.MaxContent {
-			return proposeResponse{Error: fmt.Sprintf("%d bytes are too many: a version holds %d at most", len(p.Content), agree.MaxContent)}, nil
+		if len(p.Content) > clusterstate.MaxContent {
+			return proposeResponse{Error: fmt.Sprintf("%d bytes are too many: a version holds %d at most", len(p.Content), clusterstate.MaxContent)}, nil
 		}
-		if fault := agree.CheckKeys(p.Keys); fault != nil {
+		if fault := clusterstate.CheckKeys(p.Keys); fault != nil {
 			return proposeResponse{Error: fault.Error()}, nil
 		}
 	}
@@ -140,7 +140,7 @@
 			changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, disk))
 		}
 		changes = append(changes, confChange(raftpb.ConfChangeAddNode, s.Disk))
-		data, err := jsoniter.Marshal(agree.Entry{TakeSeat: &agree.Seat{Name: s.Name, Disk: s.Disk}})
+		data, err := jsoniter.Marshal(clusterstate.Entry{TakeSeat: &clusterstate.Seat{Name: s.Name, Disk: s.Disk}})
 		if err == nil {
 			v.voterNames[s.Disk] = s.Name
 			err = v.rn.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: data})
--- a/internal/agreement/saved.go
+++ b/internal/agreement/saved.go
@@ -7,15 +7,15 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 )
 
 // savedState is the state that a dispatcher keeps across restarts, to detect versions that crash it.
 type savedState struct {
-	ActsOn   agree.Version `json:"acts"`    // the version that it activated last
-	LastGood agree.Version `json:"good"`    // the last version on which it ran for TrialTime
-	Unproven bool          `json:"young"`   // it has not yet run on ActsOn for TrialTime
-	Crashes  int           `json:"crashes"` // unplanned ends of the process while Unproven was set
+	ActsOn   clusterstate.Version `json:"acts"`    // the version that it activated last
+	LastGood clusterstate.Version `json:"good"`    // the last version on which it ran for TrialTime
+	Unproven bool                 `json:"young"`   // it has not yet run on ActsOn for TrialTime
+	Crashes  int                  `json:"crashes"` // unplanned ends of the process while Unproven was set
 }
 
 const (
@@ -28,7 +28,7 @@
 func (m *member) load(n *Node) error {
 	m.n, m.unresponsive = n, map[string]time.Duration{}
 	m.registry.changed, m.leaveRequests = make(chan struct{}, 1), make(chan chan struct{})
-	m.lease = &agree.Lease{OnLeaseLoss: n.opt.OnLeaseLoss}
+	m.lease = &clusterstate.Lease{OnLeaseLoss: n.opt.OnLeaseLoss}
 	data, err := n.log.Value(savedStateKey)
 	if err != nil || data == nil {
 		return err
@@ -55,18 +55,18 @@
 
 // restore returns the version to start on: the one that was active, or the last good one if the
 // active one has crashed this dispatcher twice.
-func (m *member) restore(n *Node) (*agree.Version, *agree.Lease) {
+func (m *member) restore(n *Node) (*clusterstate.Version, *clusterstate.Lease) {
 	v := m.saved.ActsOn
 	if m.crashedTwiceOn(v.Number) {
 		v = m.saved.LastGood
 		slog.Warn("agreement: starting on the last good version: another one crashed this dispatcher", "version", v.Number,
-			"other", m.saved.ActsOn.Number, "crashes", m.saved.Crashes, "each_within", agree.TrialTime)
+			"other", m.saved.ActsOn.Number, "crashes", m.saved.Crashes, "each_within", clusterstate.TrialTime)
 	}
 	if v.Number == 0 {
 		return nil, m.lease
 	}
 	m.active = v
-	m.lease = &agree.Lease{Number: v.Number, Fingerprint: v.Fingerprint, OnLeaseLoss: n.opt.OnLeaseLoss}
+	m.lease = &clusterstate.Lease{Number: v.Number, Fingerprint: v.Fingerprint, OnLeaseLoss: n.opt.OnLeaseLoss}
 	return &v, m.lease
 }
 
--- a/internal/agreement/voter.go
+++ b/internal/agreement/voter.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/peers"
 )
 
@@ -35,14 +35,14 @@
 	// The fields below belong to the voter's goroutine.
 	rn            *raft.RawNode
 	confState     *raftpb.ConfState
-	record        agree.Record
+	record        clusterstate.Record
 	applied       uint64
 	snapshotIndex uint64 // of the last snapshot
 	seatsChanged  bool   // since the last snapshot: raft rejects a snapshot at a voter whose seat is not in it
 	isLeader      bool
 	leader        uint64
 	term          uint64
-	leases        *agree.LeaseTable
+	leases        *clusterstate.LeaseTable
 	waitingReads  []pendingRead
 	readsInFlight []pendingRead // wait for the ReadIndex round roundInFlight
 	lastRound     uint64
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 	}
-	v.rn, err = raft.NewRawNode(&raft.Config{ID: n.log.Identity().Disk, ElectionTick: agree.ElectionTicks, HeartbeatTick: 1, Storage: storage,
+	v.rn, err = raft.NewRawNode(&raft.Config{ID: n.log.Identity().Disk, ElectionTick: clusterstate.ElectionTicks, HeartbeatTick: 1, Storage: storage,
 		Applied: v.applied, MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: 4 * maxMessageBytes, MaxInflightMsgs: 64,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftLogger{}})
 	if err != nil {
@@ -97,7 +97,7 @@
 }
 
 func (v *voter) restore(snap *raftpb.Snapshot) error {
-	var record agree.Record
+	var record clusterstate.Record
 	if err := jsoniter.Unmarshal(snap.GetData(), &record); err != nil {
 		return fmt.Errorf("decoding the raft snapshot: %w", err)
 	}
@@ -133,10 +133,10 @@
 			f()
 		case <-tick.C:
 			v.rn.Tick()
-			if v.roundInFlight != 0 && v.n.now()-v.roundStart > v.n.opt.Timing.Tick*agree.ElectionTicks {
+			if v.roundInFlight != 0 && v.n.now()-v.roundStart > v.n.opt.Timing.Tick*clusterstate.ElectionTicks {
 				v.failReads()
 			}
-			if ticks++; ticks%agree.ElectionTicks == 0 && v.confState == nil {
+			if ticks++; ticks%clusterstate.ElectionTicks == 0 && v.confState == nil {
 				go v.n.requestSeat(false)
 			}
 		}
@@ -222,7 +222,7 @@
 	v.isLeader, v.leader = s.RaftState == raft.StateLeader, s.Lead
 	switch {
 	case v.isLeader && !wasLeader:
-		v.leases = agree.NewLeaseTable(v.n.now(), v.n.opt.Timing)
+		v.leases = clusterstate.NewLeaseTable(v.n.now(), v.n.opt.Timing)
 		v.lists.reset(v)
 		v.n.elections.Add(1)
 		slog.Info("agreement: this dispatcher became the leader", "term", v.term)
@@ -262,7 +262,7 @@
 	v.lists.proposeDue(v, now)
 }
 
-func (v *voter) proposeEntry(e agree.Entry) error {
+func (v *voter) proposeEntry(e clusterstate.Entry) error {
 	data, err := jsoniter.Marshal(&e)
 	if err != nil {
 		return err
--- a/internal/agree/keys.go
+++ b/internal/clusterstate/keys.go
@@ -1,4 +1,4 @@
-package agree
+package clusterstate
 
 import (
 	"maps"
--- a/internal/agree/race_test.go
+++ b/internal/clusterstate/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package agree
+package clusterstate
 
 import (
 	"flag"
--- a/internal/agree/record.go
+++ b/internal/clusterstate/record.go
@@ -1,5 +1,5 @@
-// Package agree holds the rules by which dispatchers agree on versions of their settings and of
-// the list of replicas. It does no I/O, reads no clock and starts no goroutines: the same entries
+// Package clusterstate holds the rules by which dispatchers agree on versions of their settings and
+// of the list of replicas. It does no I/O, reads no clock and starts no goroutines: the same entries
 // in the same order produce the same Record at every voter, and callers pass the time in.
 //
 //	keys.go         the table of settings keys, and which keys of two versions conflict
@@ -10,7 +10,7 @@
 //	readers.go      which dispatchers read the registry, and which ones count as running
 //	lease.go        a dispatcher's lease, which expires by its own monotonic clock
 //	rebootstrap.go  a new record made from what is left of a lost cluster
-package agree
+package clusterstate
 
 import (
 	"fmt"
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -15,18 +15,18 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 )
 
 // Agree configures the cluster in which dispatchers agree on settings. It is off if the operator's
 // file lacks it.
 type Agree struct {
-	Cluster string                `json:"cluster"` // name of the cluster
-	Voters  map[string]string     `json:"voters"`  // addresses by dispatcher name; three or five
-	Others  []string              `json:"others"`  // names or patterns of names of the other dispatchers
-	Within  string                `json:"within"`  // time after which no dispatcher acts on a superseded version
-	Alone   agree.LeaseLossPolicy `json:"alone"`   // what a dispatcher does after it has lost contact
-	Lists   *Lists                `json:"lists"`   // nil: each dispatcher uses the list of its own registry
+	Cluster string                       `json:"cluster"` // name of the cluster
+	Voters  map[string]string            `json:"voters"`  // addresses by dispatcher name; three or five
+	Others  []string                     `json:"others"`  // names or patterns of names of the other dispatchers
+	Within  string                       `json:"within"`  // time after which no dispatcher acts on a superseded version
+	Alone   clusterstate.LeaseLossPolicy `json:"alone"`   // what a dispatcher does after it has lost contact
+	Lists   *Lists                       `json:"lists"`   // nil: each dispatcher uses the list of its own registry
 }
 
 // Lists configures how dispatchers agree on the list of replicas.
@@ -76,12 +76,12 @@
 func (a Agree) Enabled() bool { return a.Cluster != "" }
 
 // Timing returns the timeouts and intervals that follow from Within.
-func (a Agree) Timing() agree.Timing {
+func (a Agree) Timing() clusterstate.Timing {
 	within, err := time.ParseDuration(a.Within)
 	if err != nil {
-		within = agree.DefaultWithin // only if Within is not set, as checkAgree rejects invalid ones
+		within = clusterstate.DefaultWithin // only if Within is not set, as checkAgree rejects invalid ones
 	}
-	return agree.TimingOf(within)
+	return clusterstate.TimingOf(within)
 }
 
 // CheckNoCluster rejects a cluster on a platform, where dispatchers share nothing.
@@ -172,7 +172,7 @@
 	if a.Within != "" {
 		within, err := time.ParseDuration(a.Within)
 		if err == nil {
-			err = agree.TimingOf(within).Check()
+			err = clusterstate.TimingOf(within).Check()
 		}
 		if err != nil {
 			return &Fault{"agree.within", err.Error()}
@@ -184,7 +184,7 @@
 		}
 	}
 	if a.Alone == "" {
-		a.Alone = agree.Safe
+		a.Alone = clusterstate.Safe
 	}
 	if !a.Alone.Valid() {
 		return &Fault{"agree.alone", fmt.Sprintf("%q is not one of stop, safe and hold", a.Alone)}
@@ -216,7 +216,10 @@
 
 func marshalContent(settings map[string]any) (string, error) {
 	shared := maps.Clone(settings)
-	maps.DeleteFunc(shared, func(key string, _ any) bool { effect, _ := agree.EffectOf(key); return effect == agree.Local })
+	maps.DeleteFunc(shared, func(key string, _ any) bool {
+		effect, _ := clusterstate.EffectOf(key)
+		return effect == clusterstate.Local
+	})
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(shared, "", " ")
 	return string(text), err
 }
@@ -247,11 +250,11 @@
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if fault := agree.CheckKeys(values); fault != nil {
+	if fault := clusterstate.CheckKeys(values); fault != nil {
 		return c, &Fault{"settings." + fault.Key, fault.Reason}
 	}
 	for key, v := range c.rawSettings {
-		if effect, _ := agree.EffectOf(key); effect == agree.Local {
+		if effect, _ := clusterstate.EffectOf(key); effect == clusterstate.Local {
 			flatten(values, key, v)
 		}
 	}
@@ -287,7 +290,7 @@
 	if err != nil {
 		return err
 	}
-	for _, key := range agree.DifferingKeys(previous, now) {
+	for _, key := range clusterstate.DifferingKeys(previous, now) {
 		if now[key] != inForce[key] {
 			return &Fault{"settings." + key, fmt.Sprintf("changed to %q, and the agreed value is %q: propose it (standpulley settings propose)",
 				now[key], inForce[key])}
@@ -302,12 +305,12 @@
 }
 
 // AgreeFault converts an error to the form in which a dispatcher reports that it rejects a version.
-func AgreeFault(err error) *agree.Fault {
+func AgreeFault(err error) *clusterstate.Fault {
 	if err == nil {
 		return nil
 	}
 	if f, ok := err.(*Fault); ok {
-		return &agree.Fault{Key: strings.TrimPrefix(f.Key, "settings."), Reason: f.Text}
+		return &clusterstate.Fault{Key: strings.TrimPrefix(f.Key, "settings."), Reason: f.Text}
 	}
-	return &agree.Fault{Reason: err.Error()}
+	return &clusterstate.Fault{Reason: err.Error()}
 }
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/ledger"
 )
 
@@ -17,7 +17,7 @@
 
 func TestAgreeFaultsNameTheKey(t *testing.T) {
 	c, err := Parse([]byte(withAgree()), noEnv)
-	if err != nil || !c.Agree.Enabled() || c.Agree.Alone != agree.Safe || c.Agree.Timing().Within.String() != "1s" {
+	if err != nil || !c.Agree.Enabled() || c.Agree.Alone != clusterstate.Safe || c.Agree.Timing().Within.String() != "1s" {
 		t.Fatalf("%+v %v", c.Agree, err)
 	}
 	if !c.Agree.MatchesOthers("m7") || c.Agree.MatchesOthers("n7") {
--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -12,10 +12,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/agreement"
 	"standpulley/internal/appliance"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/membership"
@@ -46,7 +46,7 @@
 
 // nodeLease is a lease measured by the clock of the node.
 type nodeLease struct {
-	lease *agree.Lease
+	lease *clusterstate.Lease
 	now   func() time.Duration
 }
 
@@ -108,7 +108,7 @@
 // WrapLease wraps each lease for fault injection; nil outside test builds.
 var WrapLease func(dispatch.Lease) dispatch.Lease
 
-func (a *agreementAdapter) wrapLease(lease *agree.Lease) dispatch.Lease {
+func (a *agreementAdapter) wrapLease(lease *clusterstate.Lease) dispatch.Lease {
 	var l dispatch.Lease = &nodeLease{lease, a.node.Now}
 	if WrapLease != nil {
 		l = WrapLease(l)
@@ -155,13 +155,13 @@
 
 // Rebootstrap creates a new cluster from the remains of a lost one. The voter of the state folder
 // dir becomes its first voter.
-func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (agree.Record, error) {
+func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (clusterstate.Record, error) {
 	cfg, err := dir.Load()
 	if err != nil {
-		return agree.Record{}, err
+		return clusterstate.Record{}, err
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; !votes {
-		return agree.Record{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is not a voter", cfg.Name)}
+		return clusterstate.Record{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is not a voter", cfg.Name)}
 	}
 	return agreement.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
 }
@@ -219,7 +219,7 @@
 
 // Check returns why this dispatcher can't use the content of a version, or nil. The content may be
 // faulty or not fit this dispatcher's own file.
-func (a *agreementAdapter) Check(content string) *agree.Fault {
+func (a *agreementAdapter) Check(content string) *clusterstate.Fault {
 	a.mu.Lock()
 	file := a.file
 	a.mu.Unlock()
@@ -233,7 +233,7 @@
 }
 
 // TakeUp puts a version in force under a lease. Open requests stay open.
-func (a *agreementAdapter) Activate(v agree.Version, lease *agree.Lease) error {
+func (a *agreementAdapter) Activate(v clusterstate.Version, lease *clusterstate.Lease) error {
 	a.mu.Lock()
 	cfg, err := a.file.WithSettings(v.Content)
 	a.mu.Unlock()
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -8,10 +8,10 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/agreement"
 	"standpulley/internal/boltfile"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/ledger"
 	"standpulley/internal/membership"
@@ -37,10 +37,10 @@
 		program.AgreementHooks.RenewedAt = func(_, now time.Duration) time.Duration { return now }
 	}},
 	"lease-without-end": {Description: "a lease never expires", inject: func() {
-		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Extend(1000*time.Hour, agree.TimingOf(time.Second)) }
+		program.AgreementHooks.Lease = func(l *clusterstate.Lease) { l.Extend(1000*time.Hour, clusterstate.TimingOf(time.Second)) }
 	}},
 	"no-wait": {Description: "a version comes into force without waiting for members that may still act on the one before", inject: func() {
-		program.AgreementHooks.Leases = func(t *agree.LeaseTable) {
+		program.AgreementHooks.Leases = func(t *clusterstate.LeaseTable) {
 			t.AllLeasesKnown = 0
 			for _, m := range t.Members {
 				m.LeaseEnd, m.Fault = 0, nil
@@ -48,14 +48,14 @@
 		}
 	}},
 	"turned-down-in-force": {Description: "a version that was turned down comes into force", inject: func() {
-		program.AgreementHooks.Entry = func(_ *agree.Record, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(_ *clusterstate.Record, e *clusterstate.Entry) {
 			if e.TurnDown != nil {
-				*e = agree.Entry{Activate: &agree.Activate{Number: e.TurnDown.Number}}
+				*e = clusterstate.Entry{Activate: &clusterstate.Activate{Number: e.TurnDown.Number}}
 			}
 		}
 	}},
 	"number-again": {Description: "a version number is reused for another content", inject: func() {
-		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *clusterstate.Record, e *clusterstate.Entry) {
 			if e.Propose != nil && b.LastNumber > 1 && b.LastNumber%2 == 0 {
 				b.LastNumber--
 			}
@@ -100,12 +100,12 @@
 		program.RecoveryHooks.OverrideManner = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
 	}, Harmless: true},
 	"recovery-refound-forgets-acts": {Description: "a new cluster omits versions that dispatchers acted on and that its log lacks", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(before, next *agree.Record) {
+		program.AgreementHooks.Rebootstrap = func(before, next *clusterstate.Record) {
 			*next, _ = before.Rebootstrap(next.Cluster, next.RequiredSeats, next.Seats[0], nil, "fault")
 		}
 	}},
 	"recovery-refound-forgets-orders": {Description: "a new cluster omits the operators' orders in force", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
+		program.AgreementHooks.Rebootstrap = func(_, next *clusterstate.Record) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
 				e.State = membership.InService
@@ -114,12 +114,12 @@
 		}
 	}},
 	"recovery-refound-numbers-again": {Description: "a new cluster restarts its version numbers", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) { next.LastNumber = 1 }
+		program.AgreementHooks.Rebootstrap = func(_, next *clusterstate.Record) { next.LastNumber = 1 }
 	}},
 	"recovery-refound-old-version": {Description: "a new cluster reverts to version 1", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
-			next.InForce().State = agree.Superseded
-			next.InForceNumber, next.Versions[0].State = 1, agree.InForce
+		program.AgreementHooks.Rebootstrap = func(_, next *clusterstate.Record) {
+			next.InForce().State = clusterstate.Superseded
+			next.InForceNumber, next.Versions[0].State = 1, clusterstate.InForce
 		}
 	}},
 	"list-own-drain-ignored": {Description: "a dispatcher ignores a drain that its own registry agent reports", inject: func() {
@@ -202,7 +202,7 @@
 	})},
 	"ledger-forgets": {Description: "the ledger on disk is not read at the start", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SkipLoad = true })},
 	"base-unchecked": {Description: "a proposal is accepted whatever version it was made from", inject: func() {
-		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *clusterstate.Record, e *clusterstate.Entry) {
 			if e.Propose != nil {
 				e.Propose.Base = b.InForceNumber
 			}
--- a/internal/proving/judge.go
+++ b/internal/proving/judge.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 )
 
 // Action is one thing that a dispatcher did under a settings version, as a replica or a client
@@ -42,7 +42,7 @@
 type Version struct {
 	Number         uint64
 	Fingerprint    string
-	State          agree.State
+	State          clusterstate.State
 	Keys           map[string]string
 	AcknowledgedAt time.Duration // when an operator was first told that it is in force; 0 if never
 }
@@ -139,7 +139,7 @@
 		switch {
 		case v == nil:
 			report("known", "%s acted on version %d, which the voters don't know", a.Dispatcher, n)
-		case v.State == agree.TurnedDown || v.State == agree.Pending:
+		case v.State == clusterstate.TurnedDown || v.State == clusterstate.Pending:
 			report("turned down", "%s acted on version %d, which is %s", a.Dispatcher, n, v.State)
 		case !strings.HasPrefix(v.Fingerprint, fingerprint):
 			report("one content", "%s acted on version %d as %s, but the voters have it as %s", a.Dispatcher, n, fingerprint, v.Fingerprint)
@@ -150,7 +150,7 @@
 			if t, ok := inForceBy[v.Number]; !ok || v.AcknowledgedAt < t {
 				inForceBy[v.Number] = v.AcknowledgedAt
 			}
-			if v.State != agree.InForce && v.State != agree.Superseded {
+			if v.State != clusterstate.InForce && v.State != clusterstate.Superseded {
 				report("lost", "version %d was acknowledged as in force and is %s", v.Number, v.State)
 			}
 		}
@@ -166,7 +166,7 @@
 		result, ok := contradictions[key]
 		if !ok {
 			va, vb := versions[a], versions[b]
-			result = va != nil && vb != nil && len(agree.ConflictingKeys(va.Keys, vb.Keys)) > 0
+			result = va != nil && vb != nil && len(clusterstate.ConflictingKeys(va.Keys, vb.Keys)) > 0
 			contradictions[key] = result
 		}
 		return result
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/agreement"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 )
 
@@ -224,15 +224,15 @@
 // nopProgram is the program of such a member: it accepts everything and does nothing.
 type nopProgram struct{}
 
-func (nopProgram) Check(string) *agree.Fault                  { return nil }
-func (nopProgram) Activate(agree.Version, *agree.Lease) error { return nil }
-func (nopProgram) ApplyList(membership.List, int, bool) error { return nil }
-func (nopProgram) SetReading(bool)                            {}
-func (nopProgram) LeaseLost()                                 {}
-func (nopProgram) RegistrySilent() bool                       { return false }
-func (nopProgram) Phase() string                              { return "ready" }
-func (nopProgram) ServingTime() time.Duration                 { return 0 }
-func (nopProgram) WarmRates() map[string]float64              { return nil }
+func (nopProgram) Check(string) *clusterstate.Fault                         { return nil }
+func (nopProgram) Activate(clusterstate.Version, *clusterstate.Lease) error { return nil }
+func (nopProgram) ApplyList(membership.List, int, bool) error               { return nil }
+func (nopProgram) SetReading(bool)                                          {}
+func (nopProgram) LeaseLost()                                               {}
+func (nopProgram) RegistrySilent() bool                                     { return false }
+func (nopProgram) Phase() string                                            { return "ready" }
+func (nopProgram) ServingTime() time.Duration                               { return 0 }
+func (nopProgram) WarmRates() map[string]float64                            { return nil }
 
 // AddMembers adds members to the cluster, all in this process; each has a log and connections of
 // its own.
@@ -254,7 +254,7 @@
 			return c, err
 		}
 		n, err := agreement.Open(agreement.Options{Name: fmt.Sprintf("o-%d", i), Cluster: "proving", Voters: voters,
-			Timing: agree.TimingOf(duration(b.Script.Within)), OnLeaseLoss: agree.Stop, Folder: folder, Lists: lists})
+			Timing: clusterstate.TimingOf(duration(b.Script.Within)), OnLeaseLoss: clusterstate.Stop, Folder: folder, Lists: lists})
 		if err != nil {
 			return c, err
 		}
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -7,8 +7,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
 	"standpulley/internal/agreement"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 )
 
@@ -124,7 +124,7 @@
 			return
 		}
 		switch v.State {
-		case agree.InForce, agree.Superseded:
+		case clusterstate.InForce, clusterstate.Superseded:
 			now := p.fleet.Now()
 			p.mu.Lock()
 			if _, ok := p.acknowledgedAt[number]; !ok {
@@ -137,7 +137,7 @@
 				p.problemf("version %d (%s=%s) is in force, expected the error: %s", number, s.Key, s.Value, s.WantError)
 			}
 			return
-		case agree.TurnedDown, agree.Withdrawn:
+		case clusterstate.TurnedDown, clusterstate.Withdrawn:
 			if s.WantError == "" {
 				p.problemf("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
 			} else if s.WantError != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.WantError) {
--- a/internal/proving/proving_test.go
+++ b/internal/proving/proving_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"standpulley/internal/agree"
+	"standpulley/internal/clusterstate"
 )
 
 // TestMain runs the test binary as the dispatcher program, with a fault injected if one is named,
@@ -111,8 +111,8 @@
 	keys := func(limit, credit string) map[string]string {
 		return map[string]string{"limits.try_limit": limit, "services.0.credit": credit}
 	}
-	versions := []Version{{1, "aa11", agree.Superseded, keys("6", "1"), 0}, {2, "bb22", agree.Superseded, keys("5", "1"), 0},
-		{3, "cc33", agree.InForce, keys("5", "2"), 0}, {4, "dd44", agree.TurnedDown, keys("4", "2"), 0}}
+	versions := []Version{{1, "aa11", clusterstate.Superseded, keys("6", "1"), 0}, {2, "bb22", clusterstate.Superseded, keys("5", "1"), 0},
+		{3, "cc33", clusterstate.InForce, keys("5", "2"), 0}, {4, "dd44", clusterstate.TurnedDown, keys("4", "2"), 0}}
 	sec := time.Second
 	send := func(mark string, at time.Duration) Action {
 		return Action{Dispatcher: "o1", Kind: "send", ID: "x", VersionTag: mark, From: at, To: at}
@@ -145,11 +145,11 @@
 		}},
 		{"no contradiction", "", func(r *Record) { r.Actions = append(r.Actions, send("3-cc33", 7*sec), send("2-bb22", 20*sec)) }},
 		{"used too late, after a later version restored it", "", func(r *Record) {
-			r.Versions[3] = Version{5, "ee55", agree.InForce, keys("6", "1"), 0}
+			r.Versions[3] = Version{5, "ee55", clusterstate.InForce, keys("6", "1"), 0}
 			r.Actions = append(r.Actions, send("5-ee55", 8*sec), send("1-aa11", 9*sec))
 		}},
 		{"used too late, before a later version restored it", "within", func(r *Record) {
-			r.Versions[3] = Version{5, "ee55", agree.InForce, keys("6", "1"), 0}
+			r.Versions[3] = Version{5, "ee55", clusterstate.InForce, keys("6", "1"), 0}
 			r.Actions = append(r.Actions, send("5-ee55", 8*sec), send("1-aa11", 7*sec))
 		}},
 		{"version that was turned down", "turned down", func(r *Record) { r.Actions = append(r.Actions, send("4-dd44", 7*sec)) }},
