--- a/cmd/standpulley/ledger.go
+++ b/cmd/standpulley/ledger.go
@@ -9,8 +9,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
 	"standpulley/internal/program"
 )
 
@@ -28,7 +28,7 @@
 type ledgerStatusCmd struct{}
 
 func (ledgerStatusCmd) Run(c *cmdContext) error {
-	r, err := c.send(agreement.Command{Do: program.LedgerStatus})
+	r, err := c.send(cluster.Command{Do: program.LedgerStatus})
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 type ledgerUnknownCmd struct{}
 
 func (ledgerUnknownCmd) Run(c *cmdContext) error {
-	r, err := c.send(agreement.Command{Do: program.LedgerUnknown})
+	r, err := c.send(cluster.Command{Do: program.LedgerUnknown})
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 }
 
 func (l ledgerShowCmd) Run(c *cmdContext) error {
-	r, err := c.send(agreement.Command{Do: program.LedgerShow, ID: l.Key})
+	r, err := c.send(cluster.Command{Do: program.LedgerShow, ID: l.Key})
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 }
 
 func (l ledgerSettleCmd) Run(c *cmdContext) error {
-	_, err := c.send(agreement.Command{Do: program.LedgerSettle, ID: l.Key, Ran: l.Ran, By: operatorName(), Why: l.Why})
+	_, err := c.send(cluster.Command{Do: program.LedgerSettle, ID: l.Key, Ran: l.Ran, By: operatorName(), Why: l.Why})
 	return err
 }
 
@@ -90,7 +90,7 @@
 }
 
 func (l ledgerAcceptCmd) Run(c *cmdContext) error {
-	_, err := c.send(agreement.Command{Do: program.LedgerAccept, By: operatorName(), Why: l.Why})
+	_, err := c.send(cluster.Command{Do: program.LedgerAccept, By: operatorName(), Why: l.Why})
 	return err
 }
 
@@ -108,7 +108,7 @@
 	out := jsoniter.ConfigCompatibleWithStandardLibrary.NewEncoder(w)
 	rows := 0
 	for after, last := uint64(0), false; !last; {
-		r, err := c.send(agreement.Command{Do: program.LedgerExport, Number: after})
+		r, err := c.send(cluster.Command{Do: program.LedgerExport, Number: after})
 		if err != nil {
 			return err
 		}
@@ -148,7 +148,7 @@
 		if len(rows) == 0 {
 			return nil
 		}
-		if _, err := c.send(agreement.Command{Do: program.LedgerImport, Ledger: rows}); err != nil {
+		if _, err := c.send(cluster.Command{Do: program.LedgerImport, Ledger: rows}); err != nil {
 			return fmt.Errorf("%s: up to line %d: %w", l.File, line, err)
 		}
 		rows = nil
--- a/cmd/standpulley/list.go
+++ b/cmd/standpulley/list.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/membership"
 )
 
@@ -23,8 +23,8 @@
 	Confirm listConfirmCmd `cmd:"" help:"Let the change of the list pass that is held."`
 }
 
-func (c *cmdContext) listView(replica string) (agreement.Reply, error) {
-	r, err := c.send(agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionList, Replica: replica}})
+func (c *cmdContext) listView(replica string) (cluster.Reply, error) {
+	r, err := c.send(cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionList, Replica: replica}})
 	if err == nil && r.View.Record.List.Number == 0 && len(r.View.RegistryReaders) == 0 {
 		err = fmt.Errorf("dispatchers do not agree on lists here, or no dispatcher has read discovery yet")
 	}
@@ -103,7 +103,7 @@
 
 // sendOrder sends an order about the list. The order is refused if the list is no longer at version
 // seen; 0 stands for its present version.
-func (c *cmdContext) sendOrder(do agreement.Command, seen uint64) error {
+func (c *cmdContext) sendOrder(do cluster.Command, seen uint64) error {
 	if seen == 0 {
 		r, err := c.listView("")
 		if err != nil {
@@ -130,13 +130,13 @@
 type listDrainCmd struct{ orderFlags }
 
 func (l listDrainCmd) Run(c *cmdContext) error {
-	return c.sendOrder(agreement.Command{Do: membership.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.sendOrder(cluster.Command{Do: membership.Drain, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listHoldCmd struct{ orderFlags }
 
 func (l listHoldCmd) Run(c *cmdContext) error {
-	return c.sendOrder(agreement.Command{Do: membership.Hold, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
+	return c.sendOrder(cluster.Command{Do: membership.Hold, ID: l.ID, ForMS: l.For.Milliseconds(), Why: l.Why}, l.Seen)
 }
 
 type listUndrainCmd struct {
@@ -145,12 +145,12 @@
 }
 
 func (l listUndrainCmd) Run(c *cmdContext) error {
-	return c.sendOrder(agreement.Command{Do: "undrain", ID: l.ID}, l.Seen)
+	return c.sendOrder(cluster.Command{Do: "undrain", ID: l.ID}, l.Seen)
 }
 
 type listConfirmCmd struct{}
 
 func (listConfirmCmd) Run(c *cmdContext) error {
-	_, err := c.send(agreement.Command{Do: "confirm"})
+	_, err := c.send(cluster.Command{Do: "confirm"})
 	return err
 }
--- a/cmd/standpulley/recovery.go
+++ b/cmd/standpulley/recovery.go
@@ -7,7 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/program"
 )
 
@@ -46,9 +46,9 @@
 	if len(folders) == 0 {
 		folders = []string{string(c.dir)}
 	}
-	var all []agreement.SurveyResult
+	var all []cluster.SurveyResult
 	for _, folder := range folders {
-		r, err := agreement.Survey(folder)
+		r, err := cluster.Survey(folder)
 		if errors.Is(err, fs.ErrNotExist) {
 			err = fmt.Errorf("%s: no agreement log found", folder)
 		}
@@ -65,7 +65,7 @@
 }
 
 // printRemains prints what the state folders contain, and what would be lost without the others.
-func (c *cmdContext) printRemains(all []agreement.SurveyResult) {
+func (c *cmdContext) printRemains(all []cluster.SurveyResult) {
 	newest := -1
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FOLDER\tCLUSTER\tDISK\tLOG TO (TERM, ENTRY)\tIN FORCE\tACTED ON\tLIST\tORDERS\tSEATS")
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	if err := agreement.LeaveCluster(string(c.dir), lost); err != nil {
+	if err := cluster.LeaveCluster(string(c.dir), lost); err != nil {
 		c.code = exitRefused
 		return err
 	}
--- a/cmd/standpulley/settings.go
+++ b/cmd/standpulley/settings.go
@@ -12,7 +12,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 	"standpulley/internal/program"
@@ -43,14 +43,14 @@
 }
 
 // send sends a command to the running program.
-func (c *cmdContext) send(do agreement.Command) (agreement.Reply, error) {
-	var r agreement.Reply
+func (c *cmdContext) send(do cluster.Command) (cluster.Reply, error) {
+	var r cluster.Reply
 	if err := c.dir.Settings(do, &r); err != nil {
 		return r, err
 	}
 	if r.Error != "" {
 		c.code = exitError
-		if strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()) {
+		if strings.HasPrefix(r.Error, cluster.ErrOutcomeUnknown.Error()) {
 			c.code = exitUnknown
 		}
 		return r, errors.New(r.Error)
@@ -59,8 +59,8 @@
 }
 
 // view returns the agreed record about settings.
-func (c *cmdContext) view() (*agreement.View, error) {
-	r, err := c.send(agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+func (c *cmdContext) view() (*cluster.View, error) {
+	r, err := c.send(cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}})
 	return r.View, err
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.File, err)
 	}
-	return c.propose(agreement.Command{Do: "propose", Base: p.From, Content: content, Why: p.Why, CanaryMember: p.Canary}, p.Wait)
+	return c.propose(cluster.Command{Do: "propose", Base: p.From, Content: content, Why: p.Why, CanaryMember: p.Canary}, p.Wait)
 }
 
 type rollbackCmd struct {
@@ -109,11 +109,11 @@
 	if v == nil {
 		return fmt.Errorf("version %d is not in the history", r.Version)
 	}
-	return c.propose(agreement.Command{Do: "propose", Base: view.Record.InForceNumber, Content: v.Content, RollbackTo: r.Version, Why: r.Why}, r.Wait)
+	return c.propose(cluster.Command{Do: "propose", Base: view.Record.InForceNumber, Content: v.Content, RollbackTo: r.Version, Why: r.Why}, r.Wait)
 }
 
 // propose proposes a version to the voters and waits until it is in force, rejected or withdrawn.
-func (c *cmdContext) propose(do agreement.Command, wait time.Duration) error {
+func (c *cmdContext) propose(do cluster.Command, wait time.Duration) error {
 	do.By = operatorName()
 	r, err := c.send(do)
 	if err != nil {
@@ -257,7 +257,7 @@
 }
 
 func (w withdrawCmd) Run(c *cmdContext) error {
-	_, err := c.send(agreement.Command{Do: "withdraw", Number: w.Version, By: operatorName()})
+	_, err := c.send(cluster.Command{Do: "withdraw", Number: w.Version, By: operatorName()})
 	return err
 }
 
@@ -268,7 +268,7 @@
 type statusCmd struct{}
 
 func (statusCmd) Run(c *cmdContext) error {
-	r, err := c.send(agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+	r, err := c.send(cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}})
 	if err != nil && r.Status == nil {
 		return err
 	}
@@ -291,7 +291,7 @@
 	if open := b.InProgress(); open != nil {
 		fmt.Fprintf(c.out, "under way: version %d, %s, by %s; waits for: %s\n", open.Number, open.State, open.By, strings.Join(r.View.WaitingFor, ", "))
 	}
-	slices.SortFunc(r.View.Members, func(a, b agreement.MemberView) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(r.View.Members, func(a, b cluster.MemberView) int { return strings.Compare(a.Name, b.Name) })
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DISPATCHER\tVERSION\tLEASE AT MOST\tHEARD\tPHASE\tTROUBLE")
 	for _, m := range r.View.Members {
--- a/internal/agreement/node.go
+++ b/internal/cluster/node.go
@@ -1,7 +1,7 @@
-// Package agreement runs a dispatcher's part in agreeing on settings and on the list of replicas. It
+// Package cluster runs a dispatcher's part in agreeing on settings and on the list of replicas. It
 // has the voter with its consensus (raft), if the dispatcher is one; the member, which renews the
 // lease and activates versions; and the calls between dispatchers. The rules of the record and of
-// leases are in the package that defines Record; package peers is the network transport.
+// leases are in package clusterstate; package peers is the network transport.
 //
 //	node.go      Node, a dispatcher's part as a whole
 //	voter.go     the goroutine that owns raft, the log and the record
@@ -15,7 +15,7 @@
 //	lists.go     the list of replicas: the leader's part and the member's
 //	operator.go  the operator API
 //	recover.go   surveying what is left of a lost cluster, and bootstrapping a new one from it
-package agreement
+package cluster
 
 import (
 	"context"
--- a/internal/agreement/recover.go
+++ b/internal/cluster/recover.go
@@ -1,4 +1,4 @@
-package agreement
+package cluster
 
 import (
 	"errors"
--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -12,9 +12,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/appliance"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
@@ -25,7 +25,7 @@
 // and puts agreed ones in force.
 type agreementAdapter struct {
 	p             *program
-	node          *agreement.Node
+	node          *cluster.Node
 	applyRequests chan applyRequest
 
 	mu      sync.Mutex
@@ -75,11 +75,11 @@
 const peersShare = 0.1
 
 // Options returns the options of the agreement node for a configuration and a state folder.
-func Options(cfg config.Config, folder string) agreement.Options {
-	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), OnLeaseLoss: cfg.Agree.Alone,
+func Options(cfg config.Config, folder string) cluster.Options {
+	opt := cluster.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), OnLeaseLoss: cfg.Agree.Alone,
 		MaxConns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Hooks: AgreementHooks}
 	if l := cfg.Agree.Lists; l != nil {
-		opt.Lists = &agreement.Lists{MaxReaders: l.Readers, CanRead: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMaxEntries,
+		opt.Lists = &cluster.Lists{MaxReaders: l.Readers, CanRead: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMaxEntries,
 			MaxAge: listReaderTimeout, MaxFlaps: listFlaps, FlapWindow: listCalm}}
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; votes {
@@ -93,7 +93,7 @@
 }
 
 // AgreementHooks are fault injection hooks of the agreement node, set only in test builds.
-var AgreementHooks agreement.Hooks
+var AgreementHooks cluster.Hooks
 
 // ListHooks are fault injection hooks for replica lists, set only in test builds. The zero value
 // injects nothing.
@@ -137,14 +137,14 @@
 	if err != nil {
 		return err
 	}
-	return agreement.Bootstrap(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
+	return cluster.Bootstrap(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
 }
 
 // ReclaimSeat assigns the seat of the voter that runs on a state folder to its present log, because
 // its earlier log is lost.
 func ReclaimSeat(dir appliance.Dir) error {
-	var r agreement.Reply
-	if err := dir.Settings(agreement.Command{Do: "seat"}, &r); err != nil {
+	var r cluster.Reply
+	if err := dir.Settings(cluster.Command{Do: "seat"}, &r); err != nil {
 		return err
 	}
 	if r.Error != "" {
@@ -163,7 +163,7 @@
 	if _, votes := cfg.Agree.Voters[cfg.Name]; !votes {
 		return clusterstate.Record{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is not a voter", cfg.Name)}
 	}
-	return agreement.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
+	return cluster.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
 }
 
 // openAgreement opens the agreement node and returns the configuration to start with: if this
@@ -172,9 +172,9 @@
 	a := &agreementAdapter{p: p, applyRequests: make(chan applyRequest), file: cfg}
 	opt := Options(cfg, folder)
 	if cfg.Ledger != nil {
-		opt.Handlers = map[string]agreement.Handler{ledgerCall: a.ledgerCall}
+		opt.Handlers = map[string]cluster.Handler{ledgerCall: a.ledgerCall}
 	}
-	node, err := agreement.Open(opt)
+	node, err := cluster.Open(opt)
 	if err != nil {
 		return nil, cfg, err
 	}
@@ -361,9 +361,9 @@
 
 // runCommand answers an operator's command.
 func (a *agreementAdapter) runCommand(text []byte) []byte {
-	var c agreement.Command
+	var c cluster.Command
 	err := jsoniter.Unmarshal(text, &c)
-	r := agreement.Reply{}
+	r := cluster.Reply{}
 	if err != nil {
 		r.Error = err.Error()
 	} else {
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -7,8 +7,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
 	"standpulley/internal/config"
 	"standpulley/internal/ledger"
 )
@@ -24,7 +24,7 @@
 // openLedger opens this dispatcher's part of the ledger.
 func (a *agreementAdapter) openLedger(cfg config.Config, folder string) (*bookkeeping.Service, error) {
 	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
-		FindTimeout: cfg.Ledger.FindTimeout(), Durability: cfg.Ledger.Survive, NewID: agreement.NewID, DiskRecord: (*ledgerRecord)(a.node),
+		FindTimeout: cfg.Ledger.FindTimeout(), Durability: cfg.Ledger.Survive, NewID: cluster.NewID, DiskRecord: (*ledgerRecord)(a.node),
 		Call: func(name string, ask, answer any, limit time.Duration) error {
 			return a.node.Call(name, ledgerCall, ask, answer, limit)
 		}}
@@ -44,14 +44,14 @@
 }
 
 // ledgerRecord gives the ledger access to the disk identities of ledgers in the agreed record.
-type ledgerRecord agreement.Node
+type ledgerRecord cluster.Node
 
 func (r *ledgerRecord) Disk(name string) (uint64, bool, error) {
-	return (*agreement.Node)(r).LedgerDisk(name)
+	return (*cluster.Node)(r).LedgerDisk(name)
 }
 
 func (r *ledgerRecord) SetDisk(name string, disk uint64) error {
-	return (*agreement.Node)(r).SetLedgerDisk(name, disk)
+	return (*cluster.Node)(r).SetLedgerDisk(name, disk)
 }
 
 // Commands about the ledger.
@@ -66,7 +66,7 @@
 )
 
 // runLedgerCommand runs an operator's command about the ledger.
-func (a *agreementAdapter) runLedgerCommand(c agreement.Command) (r agreement.Reply) {
+func (a *agreementAdapter) runLedgerCommand(c cluster.Command) (r cluster.Reply) {
 	var key ledger.Key
 	err := error(nil)
 	if c.Do == LedgerShow || c.Do == LedgerSettle {
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/config"
 	"standpulley/internal/discovery"
 	"standpulley/internal/dispatch"
@@ -186,12 +186,12 @@
 }
 
 // differences returns where own discovery differs from the agreed list, for operators.
-func (l *listMerger) differences() map[string]agreement.RegistryDifference {
+func (l *listMerger) differences() map[string]cluster.RegistryDifference {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := map[string]agreement.RegistryDifference{}
+	all := map[string]cluster.RegistryDifference{}
 	for id, since := range l.differsSince {
-		all[id] = agreement.RegistryDifference{Registry: membership.DescribeDifference(entryAt(l.agreed.Entries, id), entryAt(l.own, id)), ForMS: time.Since(since).Milliseconds()}
+		all[id] = cluster.RegistryDifference{Registry: membership.DescribeDifference(entryAt(l.agreed.Entries, id), entryAt(l.own, id)), ForMS: time.Since(since).Milliseconds()}
 	}
 	return all
 }
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -10,7 +10,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/membership"
@@ -214,7 +214,7 @@
 }
 
 // facts returns the present input of the recovery machine.
-func (b *recoveryState) facts(status agreement.RecoveryInfo, warm bool) recovery.Facts {
+func (b *recoveryState) facts(status cluster.RecoveryInfo, warm bool) recovery.Facts {
 	f := recovery.Facts{DiskChecked: true, Voters: status.Voters, VotersAnswered: status.VotersHeard, HasLease: status.Lease, ListApplied: status.ListVersion > 0, ListFresh: status.ListFresh,
 		WarmMember: status.ServingMS >= b.ramp.Milliseconds() && status.ServingMS > 0, ReplicasWarm: warm, IntentsKnown: true}
 	if k := b.adapter.keeper; k != nil {
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -8,9 +8,9 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/boltfile"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/ledger"
@@ -68,10 +68,10 @@
 		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
 	"entries-unwritten": {Description: "log entries are acknowledged but not written", inject: func() {
-		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyLogWriter{Log: l, loseEntries: true} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) cluster.LogWriter { return &lossyLogWriter{Log: l, loseEntries: true} }
 	}},
 	"vote-unwritten": {Description: "votes and terms are sent but not written", inject: func() {
-		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyLogWriter{Log: l} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) cluster.LogWriter { return &lossyLogWriter{Log: l} }
 	}},
 	"wall-clock-back": {Description: "the wall clock is an hour behind", inject: func() {
 		program.AgreementHooks.WallClock = func() time.Time { return time.Now().Add(-time.Hour) }
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -15,8 +15,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/appliance"
+	"standpulley/internal/cluster"
 	"standpulley/internal/standin"
 )
 
@@ -309,8 +309,8 @@
 }
 
 // SendCommand sends a settings command to a dispatcher, as the command line does.
-func (f *Fleet) SendCommand(d *Dispatcher, c agreement.Command) (agreement.Reply, error) {
-	var r agreement.Reply
+func (f *Fleet) SendCommand(d *Dispatcher, c cluster.Command) (cluster.Reply, error) {
+	var r cluster.Reply
 	err := d.dir.Settings(c, &r)
 	return r, err
 }
@@ -335,7 +335,7 @@
 			if !d.Running() || d.stopped.Load() {
 				continue
 			}
-			if r, err := f.SendCommand(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
+			if r, err := f.SendCommand(d, cluster.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
 				return []*Dispatcher{d}
 			}
 		}
@@ -351,7 +351,7 @@
 			if !d.Running() || d.stopped.Load() || time.Now().After(end) {
 				continue
 			}
-			if r, err := f.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
+			if r, err := f.SendCommand(d, cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
 				return f.resolve(r.View.RegistryReaders[0])
 			}
 		}
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -14,8 +14,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/boltfile"
+	"standpulley/internal/cluster"
 	"standpulley/internal/front/once"
 	"standpulley/internal/ledger"
 	"standpulley/internal/ledgerlog"
@@ -159,8 +159,8 @@
 		err = errors.New("off")
 	}
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end) && !off; time.Sleep(100 * time.Millisecond) {
-		var r agreement.Reply
-		if r, err = o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
+		var r cluster.Reply
+		if r, err = o.fleet.SendCommand(o.fleet.Dispatchers[0], cluster.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
 			for _, row := range r.Ledger {
 				listed[row.Key.String()] = true
 			}
@@ -182,7 +182,7 @@
 			var h fasthttp.RequestHeader
 			h.Set("Idempotency-Key", name)
 			key, _ := once.Key(&h, "", nil)
-			r, err := o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
+			r, err := o.fleet.SendCommand(o.fleet.Dispatchers[0], cluster.Command{Do: program.LedgerShow, ID: key.String()})
 			if err == nil && r.Error == "" && len(r.Ledger) == 1 {
 				instr.LedgerStatus, instr.StatusRead = r.Ledger[0].Entry.Status(), true
 			}
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/membership"
 )
@@ -77,10 +77,10 @@
 }
 
 // Status returns the status of a dispatcher.
-func (b *Bench) Status(d *Dispatcher) (agreement.Status, error) {
-	r, err := b.SendCommand(d, agreement.Command{Do: "own"})
+func (b *Bench) Status(d *Dispatcher) (cluster.Status, error) {
+	r, err := b.SendCommand(d, cluster.Command{Do: "own"})
 	if err != nil || r.Status == nil {
-		return agreement.Status{}, fmt.Errorf("%s: %w %s", d.Name, err, r.Error)
+		return cluster.Status{}, fmt.Errorf("%s: %w %s", d.Name, err, r.Error)
 	}
 	return *r.Status, nil
 }
@@ -115,7 +115,7 @@
 // ProposeChange proposes another version at the first dispatcher, and returns the time until all
 // dispatchers act on it.
 func (b *Bench) ProposeChange() (time.Duration, error) {
-	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view"})
+	r, err := b.SendCommand(b.Dispatchers[0], cluster.Command{Do: "view"})
 	if err != nil || r.View == nil {
 		return 0, fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
@@ -126,7 +126,7 @@
 		return 0, err
 	}
 	began := time.Now()
-	r, err = b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "propose", Base: r.View.Record.InForceNumber, Content: content, By: "measure"})
+	r, err = b.SendCommand(b.Dispatchers[0], cluster.Command{Do: "propose", Base: r.View.Record.InForceNumber, Content: content, By: "measure"})
 	if err != nil || r.Error != "" {
 		return 0, fmt.Errorf("propose: %w %s", err, r.Error)
 	}
@@ -142,7 +142,7 @@
 	if err := b.Start(d); err != nil {
 		return err
 	}
-	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view"})
+	r, err := b.SendCommand(b.Dispatchers[0], cluster.Command{Do: "view"})
 	if err != nil || r.View == nil {
 		return fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
@@ -219,7 +219,7 @@
 
 // memberGroup is a group of cluster members without a dispatcher behind them, to put the load of
 // many members on the leader.
-type memberGroup struct{ nodes []*agreement.Node }
+type memberGroup struct{ nodes []*cluster.Node }
 
 // nopProgram is the program of such a member: it accepts everything and does nothing.
 type nopProgram struct{}
@@ -244,16 +244,16 @@
 			voters[d.Name] = d.Peers
 		}
 	}
-	var lists *agreement.Lists
+	var lists *cluster.Lists
 	if b.Script.Lists {
-		lists = &agreement.Lists{MaxReaders: 2} // these members don't read the registry
+		lists = &cluster.Lists{MaxReaders: 2} // these members don't read the registry
 	}
 	for i := range size {
 		folder := filepath.Join(b.folder, fmt.Sprintf("crowd-%d", i))
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return c, err
 		}
-		n, err := agreement.Open(agreement.Options{Name: fmt.Sprintf("o-%d", i), Cluster: "proving", Voters: voters,
+		n, err := cluster.Open(cluster.Options{Name: fmt.Sprintf("o-%d", i), Cluster: "proving", Voters: voters,
 			Timing: clusterstate.TimingOf(duration(b.Script.Within)), OnLeaseLoss: clusterstate.Stop, Folder: folder, Lists: lists})
 		if err != nil {
 			return c, err
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
 	"standpulley/internal/program"
 )
 
@@ -40,7 +40,7 @@
 
 // LedgerFigures returns the ledger figures of one dispatcher.
 func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Stats, error) {
-	r, err := b.SendCommand(d, agreement.Command{Do: program.LedgerStatus})
+	r, err := b.SendCommand(d, cluster.Command{Do: program.LedgerStatus})
 	if err != nil || r.Figures == nil {
 		return bookkeeping.Stats{}, fmt.Errorf("no figures: %w %s", err, r.Error)
 	}
--- a/internal/proving/measure_lists.go
+++ b/internal/proving/measure_lists.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/time/rate"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 )
 
 // startStandalone starts dispatchers that each use their own registry agent alone.
@@ -164,7 +164,7 @@
 
 // Readers returns the dispatchers that read the registry for all.
 func (b *Bench) Readers() ([]*Dispatcher, error) {
-	r, err := b.SendCommand(b.Dispatchers[0], agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+	r, err := b.SendCommand(b.Dispatchers[0], cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}})
 	if err != nil || r.View == nil {
 		return nil, fmt.Errorf("can't read the settings record: %w %s", err, r.Error)
 	}
--- a/internal/proving/operators.go
+++ b/internal/proving/operators.go
@@ -8,17 +8,17 @@
 	"syscall"
 	"time"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/program"
 )
 
 // changeList sends an operator's order about the list of replicas, which the operator reads first.
 func (p *play) changeList(s Step, d *Dispatcher) {
-	r, err := p.fleet.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+	r, err := p.fleet.SendCommand(d, cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}})
 	if err != nil || r.View == nil {
 		return
 	}
-	c := agreement.Command{Do: s.Value, ID: s.Key, By: d.Name, Why: "trial", ForMS: duration(s.Delay).Milliseconds(), Seen: r.View.Record.List.Number}
+	c := cluster.Command{Do: s.Value, ID: s.Key, By: d.Name, Why: "trial", ForMS: duration(s.Delay).Milliseconds(), Seen: r.View.Record.List.Number}
 	if s.Value == "drain" && s.WantError == "" {
 		p.watchDrain(s.Key, true)
 		p.markDrainEnd(s.Key, p.fleet.Now()+duration(s.Delay)) // the order expires then at the earliest
@@ -55,7 +55,7 @@
 func (p *play) acceptLedger(d *Dispatcher) {
 	text := ""
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		r, err := p.fleet.SendCommand(d, agreement.Command{Do: program.LedgerAccept, By: "trial", Why: "two disks are lost"})
+		r, err := p.fleet.SendCommand(d, cluster.Command{Do: program.LedgerAccept, By: "trial", Why: "two disks are lost"})
 		if err == nil && r.Error == "" {
 			return
 		}
@@ -108,7 +108,7 @@
 		return
 	}
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if r, err := p.fleet.SendCommand(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil {
+		if r, err := p.fleet.SendCommand(d, cluster.Command{Do: "own"}); err == nil && r.Status != nil {
 			lease := r.Status.LeaseMS > 0
 			if s.Value == "lease" && lease || s.Value == "no lease" && !lease {
 				return
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 )
 
 // eventualTimeout is how long something that must happen eventually may take: liveness is not
@@ -84,7 +84,7 @@
 			return Record{}, nil, err
 		}
 	}
-	if pending := p.waitAll(func(o *agreement.Status) bool { return o.Version == 1 && o.LeaseMS > 0 }); pending != "" {
+	if pending := p.waitAll(func(o *cluster.Status) bool { return o.Version == 1 && o.LeaseMS > 0 }); pending != "" {
 		return Record{}, nil, fmt.Errorf("%w: %s", ErrStart, pending)
 	}
 	go t.measureStalls()
@@ -212,12 +212,12 @@
 		err = p.fleet.Start(d)
 	case doLoseDisk:
 		p.fleet.Signal(d, syscall.SIGKILL)
-		err = os.Remove(agreement.LogPath(string(d.dir)))
+		err = os.Remove(cluster.LogPath(string(d.dir)))
 	case doRemoveDisk:
-		err = os.Rename(agreement.LogPath(string(d.dir)), agreement.LogPath(string(d.dir))+".away")
+		err = os.Rename(cluster.LogPath(string(d.dir)), cluster.LogPath(string(d.dir))+".away")
 	case doReturnDisk:
 		p.fleet.Signal(d, syscall.SIGKILL)
-		err = os.Rename(agreement.LogPath(string(d.dir))+".away", agreement.LogPath(string(d.dir)))
+		err = os.Rename(cluster.LogPath(string(d.dir))+".away", cluster.LogPath(string(d.dir)))
 	case doRebootstrap:
 		err = p.rebootstrap(d)
 	case doReplace:
@@ -239,9 +239,9 @@
 }
 
 // view reads the whole settings record at a dispatcher, and adds the read to the history.
-func (p *play) view(d *Dispatcher) (*agreement.View, error) {
+func (p *play) view(d *Dispatcher) (*cluster.View, error) {
 	call := p.fleet.Now()
-	r, err := p.fleet.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}})
+	r, err := p.fleet.SendCommand(d, cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}})
 	if err != nil {
 		return nil, err
 	}
@@ -289,7 +289,7 @@
 // undone and all agree again.
 func (p *play) waitAgreed() {
 	var force uint64
-	pending := p.waitAll(func(o *agreement.Status) bool {
+	pending := p.waitAll(func(o *cluster.Status) bool {
 		if force == 0 {
 			for _, d := range p.fleet.Dispatchers {
 				if v, err := p.view(d); err == nil && v.Record.InProgress() == nil {
@@ -318,11 +318,11 @@
 
 // waitAll waits until a condition holds for all dispatchers. At the time limit it returns a
 // description of one for which it does not hold, otherwise an empty text.
-func (p *play) waitAll(holds func(o *agreement.Status) bool) (pending string) {
+func (p *play) waitAll(holds func(o *cluster.Status) bool) (pending string) {
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		pending = ""
 		for _, d := range p.fleet.Dispatchers {
-			if r, err := p.fleet.SendCommand(d, agreement.Command{Do: "own"}); err != nil {
+			if r, err := p.fleet.SendCommand(d, cluster.Command{Do: "own"}); err != nil {
 				pending = fmt.Sprintf("%s: %v", d.Name, err)
 			} else if r.Status == nil || !holds(r.Status) {
 				pending = fmt.Sprintf("%s: %+v %s", d.Name, r.Status, r.Error)
--- a/internal/proving/program.go
+++ b/internal/proving/program.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/appliance"
+	"standpulley/internal/cluster"
 	"standpulley/internal/program"
 )
 
@@ -27,7 +27,7 @@
 			return err
 		}
 		if args[1] == "join" {
-			return agreement.LeaveCluster(string(dir), lost)
+			return cluster.LeaveCluster(string(dir), lost)
 		}
 		var others []string
 		for i := 4; i+1 < len(args) && args[i] == "--from"; i += 2 {
@@ -45,14 +45,14 @@
 // rebootstrap bootstraps a new cluster from the log of a voter and what the folders of all
 // dispatchers still have. The others that belong to the lost cluster leave it.
 func (p *play) rebootstrap(d *Dispatcher) error {
-	own, err := agreement.Survey(string(d.dir))
+	own, err := cluster.Survey(string(d.dir))
 	if err != nil {
 		return err
 	}
 	lost := strconv.FormatUint(own.Cluster, 16)
 	args, members := []string{"recovery", "refound", "--lost", lost}, []*Dispatcher{}
 	for _, x := range p.fleet.Dispatchers {
-		if r, err := agreement.Survey(string(x.dir)); err == nil && x != d && r.Cluster == own.Cluster {
+		if r, err := cluster.Survey(string(x.dir)); err == nil && x != d && r.Cluster == own.Cluster {
 			args, members = append(args, "--from", string(x.dir)), append(members, x)
 		}
 	}
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -7,7 +7,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 )
@@ -61,8 +61,8 @@
 }
 
 // buildCommand makes the command of a proposal from the settings record.
-func buildCommand(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
-	c = agreement.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
+func buildCommand(s Step, d *Dispatcher, view *cluster.View) (c cluster.Command, err error) {
+	c = cluster.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
 	if s.Do == doRollback {
 		if v := view.Record.Version(s.Base); v != nil {
 			c.Content, c.RollbackTo = v.Content, s.Base
@@ -94,7 +94,7 @@
 	// conflict with another proposal
 	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since")
 	switch {
-	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
+	case err != nil || strings.HasPrefix(r.Error, cluster.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
 		p.recordOperation(op)
 	case r.Error == "":
--- a/internal/proving/registry.go
+++ b/internal/proving/registry.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
 	"standpulley/internal/membership"
 	"standpulley/internal/standin"
 )
@@ -165,7 +165,7 @@
 					if !x.Running() || x.stopped.Load() {
 						continue
 					}
-					r, err := p.fleet.SendCommand(x, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionList, Replica: replica}})
+					r, err := p.fleet.SendCommand(x, cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionList, Replica: replica}})
 					if err == nil && r.View != nil && r.View.Record.List.Number > 0 {
 						if e, ok := r.View.Record.List.Entries[replica]; !ok || e.State != membership.InService {
 							p.mu.Lock()
