--- a/cmd/standpulley/agreement_off_test.go
+++ b/cmd/standpulley/agreement_off_test.go
@@ -48,7 +48,7 @@
 	if !strings.Contains(text, "goroutine ") || !strings.Contains(text, "standpulley/internal/program") {
 		t.Fatalf("no goroutines were printed, so the check proves nothing:\n%s", text)
 	}
-	for _, word := range []string{"standpulley/internal/cluster", "standpulley/internal/peers", "standpulley/internal/raftlog", "standpulley/internal/bookkeeping", "standpulley/internal/ledger", "etcd.io"} {
+	for _, word := range []string{"standpulley/internal/cluster", "standpulley/internal/peers", "standpulley/internal/raftlog", "standpulley/internal/intentlog", "standpulley/internal/ledger", "etcd.io"} {
 		if strings.Contains(text, word) {
 			t.Errorf("a goroutine in %s", word)
 		}
--- a/cmd/standpulley/ledger.go
+++ b/cmd/standpulley/ledger.go
@@ -9,8 +9,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/cluster"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/program"
 )
 
@@ -143,7 +143,7 @@
 	defer f.Close() //nolint:errcheck // the file is only read
 	in := bufio.NewScanner(f)
 	in.Buffer(nil, maxLineBytes)
-	var rows []bookkeeping.Row
+	var rows []intentlog.Row
 	send := func(line int) error {
 		if len(rows) == 0 {
 			return nil
@@ -157,7 +157,7 @@
 	line := 0
 	for in.Scan() {
 		line++
-		var row bookkeeping.Row
+		var row intentlog.Row
 		if err := jsoniter.Unmarshal(in.Bytes(), &row); err != nil {
 			return fmt.Errorf("%s: line %d: %w", l.File, line, err)
 		}
@@ -174,7 +174,7 @@
 }
 
 // printRows prints instructions with their attempts and the operators' statements about them.
-func (c *cmdContext) printRows(rows []bookkeeping.Row) error {
+func (c *cmdContext) printRows(rows []intentlog.Row) error {
 	if c.asJSON {
 		return c.printJSON(rows)
 	}
--- a/internal/cluster/operator.go
+++ b/internal/cluster/operator.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/clusterstate"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/membership"
 	"standpulley/internal/peers"
 )
@@ -228,9 +228,9 @@
 	ForMS        int64  `json:"for_ms,omitempty"`
 	Seen         uint64 `json:"seen,omitempty"` // the version of the list that the operator saw
 	// whether the instruction ran, by the finding of an operator
-	Ran        bool              `json:"ran,omitempty"`
-	Ledger     []bookkeeping.Row `json:"ledger,omitempty"` // to import
-	ViewFilter                   // for view
+	Ran        bool            `json:"ran,omitempty"`
+	Ledger     []intentlog.Row `json:"ledger,omitempty"` // to import
+	ViewFilter                 // for view
 }
 
 // Reply answers a Command.
@@ -240,9 +240,9 @@
 	View   *View   `json:"view,omitempty"`
 	Status *Status `json:"own,omitempty"`
 
-	Figures *bookkeeping.Stats `json:"figures,omitempty"` // of this dispatcher's part of the ledger
-	Ledger  []bookkeeping.Row  `json:"ledger,omitempty"`  // entries of instructions
-	Last    bool               `json:"last,omitempty"`    // of an export: there are no more entries
+	Figures *intentlog.Stats `json:"figures,omitempty"` // of this dispatcher's part of the ledger
+	Ledger  []intentlog.Row  `json:"ledger,omitempty"`  // entries of instructions
+	Last    bool             `json:"last,omitempty"`    // of an export: there are no more entries
 
 	// by replica, where this dispatcher's own registry differs from the agreed list
 	RegistryDifferences map[string]RegistryDifference `json:"beside,omitempty"`
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/clusterstate"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/ledger"
 )
 
@@ -60,7 +60,7 @@
 	}
 	c, err := Parse([]byte(with(`{}`)), noEnv)
 	if err != nil || c.Ledger == nil || c.Ledger.FindTimeout() != 200*time.Millisecond || c.Ledger.Limits() != (ledger.Limits{MaxEntries: 1e6, Retention: 24 * time.Hour, Share: 2}) ||
-		c.Ledger.Survive != bookkeeping.DurabilitySite {
+		c.Ledger.Survive != intentlog.DurabilitySite {
 		t.Errorf("%+v %v", c.Ledger, err)
 	}
 	for text, key := range map[string]string{
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -4,18 +4,18 @@
 	"fmt"
 	"time"
 
-	"standpulley/internal/bookkeeping"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/ledger"
 )
 
 // Ledger configures the ledger in which the dispatchers of a cluster record requests that must not
 // run twice. It is off if the operator's file lacks it.
 type Ledger struct {
-	Keep    string                 `json:"keep"`    // how long an entry is kept after its last attempt; 24h if not set
-	Entries int                    `json:"entries"` // most entries; a million if not set
-	Share   float64                `json:"share"`   // a customer may hold up to this multiple of the free room; 2 if not set
-	Find    string                 `json:"find"`    // how long recording an intent or looking up a repeat may take; 200ms if not set
-	Survive bookkeeping.Durability `json:"survive"` // which loss entries survive: process, site or disk; site if not set
+	Keep    string               `json:"keep"`    // how long an entry is kept after its last attempt; 24h if not set
+	Entries int                  `json:"entries"` // most entries; a million if not set
+	Share   float64              `json:"share"`   // a customer may hold up to this multiple of the free room; 2 if not set
+	Find    string               `json:"find"`    // how long recording an intent or looking up a repeat may take; 200ms if not set
+	Survive intentlog.Durability `json:"survive"` // which loss entries survive: process, site or disk; site if not set
 }
 
 // Defaults and bounds.
@@ -44,7 +44,7 @@
 		l.Find = defaultLedgerFind.String()
 	}
 	if l.Survive == "" {
-		l.Survive = bookkeeping.DurabilitySite
+		l.Survive = intentlog.DurabilitySite
 	}
 	keep, err := time.ParseDuration(l.Keep)
 	if err != nil || keep < minLedgerKeep {
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -19,10 +19,10 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/valyala/fasthttp"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/front"
 	"standpulley/internal/front/once"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/replica"
 	"standpulley/logic"
 )
@@ -135,7 +135,7 @@
 	switch {
 	case class.Repeat == logic.Unsafe && f.options.Ledger != nil:
 		recorder, err = once.Admit(f.options.Ledger, h, customerOf(h, b), text, spec.Retried, received.Add(spec.Remaining))
-		if bookkeeping.MayHaveRun(err) {
+		if intentlog.MayHaveRun(err) {
 			f.writeMayHaveRun(ctx, err.Error())
 			return nil
 		} else if err != nil {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -14,10 +14,10 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/valyala/fasthttp"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/front"
 	"standpulley/internal/front/once"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/replica"
 	"standpulley/logic"
 )
@@ -109,7 +109,7 @@
 // rejectUnsent answers an instruction that is not sent because an earlier attempt at it may have
 // run, or because that can't be found out at present.
 func rejectUnsent(ctx *fasthttp.RequestCtx, err error) {
-	if bookkeeping.MayHaveRun(err) {
+	if intentlog.MayHaveRun(err) {
 		ctx.Error(err.Error(), fasthttp.StatusFailedDependency)
 		return
 	}
--- a/internal/bookkeeping/intent.go
+++ b/internal/intentlog/intent.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package intentlog
 
 import (
 	"errors"
--- a/internal/bookkeeping/service.go
+++ b/internal/intentlog/service.go
@@ -1,8 +1,8 @@
-// Package bookkeeping is a dispatcher's client and server for the ledger, which remembers the
+// Package intentlog is a dispatcher's client and server for the ledger, which remembers the
 // requests that must not run twice (instructions). Every voter holds a copy of the ledger. The
 // intent to send an attempt is recorded by a majority of these holders before the first byte of the
 // attempt is sent, and a repeat is checked against a majority. Package ledger has the rules;
-// another package stores the entries on disk.
+// package ledgerstore stores the entries on disk.
 //
 //	service.go   the service, its options, and calls from other dispatchers
 //	holder.go    the goroutine that owns this dispatcher's copy of the ledger
@@ -10,7 +10,7 @@
 //	intent.go    the adapter by which the core records intents
 //	operator.go  operators' commands
 //	refill.go    restoring a holder that has lost data
-package bookkeeping
+package intentlog
 
 import (
 	"errors"
--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -13,11 +13,11 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"standpulley/internal/appliance"
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/membership"
 )
 
@@ -32,9 +32,9 @@
 	file    config.Config // the last file that was read; all of it applies except the settings
 	inForce string        // content of the settings in force
 
-	lists    *listMerger          // nil if each dispatcher uses its own discovery service
-	recovery *recoveryState       // nil if recovery in stages is not configured
-	keeper   *bookkeeping.Service // nil if there is no shared ledger
+	lists    *listMerger        // nil if each dispatcher uses its own discovery service
+	recovery *recoveryState     // nil if recovery in stages is not configured
+	keeper   *intentlog.Service // nil if there is no shared ledger
 }
 
 // applyRequest asks the main goroutine of the program to apply a version.
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -7,10 +7,10 @@
 	"runtime/debug"
 	"time"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
 	"standpulley/internal/front"
+	"standpulley/internal/intentlog"
 )
 
 const (
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func (p *program) keeper() *bookkeeping.Service {
+func (p *program) keeper() *intentlog.Service {
 	if p.agreement == nil {
 		return nil
 	}
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -7,9 +7,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/cluster"
 	"standpulley/internal/config"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/ledger"
 )
 
@@ -18,12 +18,12 @@
 // LedgerHooks are fault injection hooks for the ledger, set only in test builds. The zero value
 // injects nothing.
 var LedgerHooks struct {
-	Options func(*bookkeeping.Options)
+	Options func(*intentlog.Options)
 }
 
 // openLedger opens this dispatcher's part of the ledger.
-func (a *agreementAdapter) openLedger(cfg config.Config, folder string) (*bookkeeping.Service, error) {
-	opt := bookkeeping.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
+func (a *agreementAdapter) openLedger(cfg config.Config, folder string) (*intentlog.Service, error) {
+	opt := intentlog.Options{Name: cfg.Name, Boot: a.node.Boot(), Folder: folder, Holders: cfg.Agree.VoterNames(), Limits: cfg.Ledger.Limits(),
 		FindTimeout: cfg.Ledger.FindTimeout(), Durability: cfg.Ledger.Survive, NewID: cluster.NewID, DiskRecord: (*ledgerRecord)(a.node),
 		Call: func(name string, ask, answer any, limit time.Duration) error {
 			return a.node.Call(name, ledgerCall, ask, answer, limit)
@@ -31,12 +31,12 @@
 	if LedgerHooks.Options != nil {
 		LedgerHooks.Options(&opt)
 	}
-	return bookkeeping.Open(opt)
+	return intentlog.Open(opt)
 }
 
 // ledgerCall answers a ledger call of another dispatcher.
 func (a *agreementAdapter) ledgerCall(_ string, body []byte) (any, error) {
-	var c bookkeeping.Call
+	var c intentlog.Call
 	if err := jsoniter.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
@@ -77,9 +77,9 @@
 		case LedgerUnknown:
 			r.Ledger, err = a.keeper.Unknown()
 		case LedgerShow:
-			var row bookkeeping.Row
+			var row intentlog.Row
 			row, err = a.keeper.Show(key)
-			r.Ledger = []bookkeeping.Row{row}
+			r.Ledger = []intentlog.Row{row}
 		case LedgerSettle:
 			err = a.keeper.Settle(key, ledger.Resolution{Ran: c.Ran, By: c.By, Why: c.Why, Wall: time.Now().UTC().Format(time.RFC3339)})
 		case LedgerExport:
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -10,7 +10,6 @@
 
 	"github.com/valyala/fasthttp"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/config"
 	"standpulley/internal/discovery"
 	"standpulley/internal/dispatch"
@@ -18,6 +17,7 @@
 	"standpulley/internal/front/chat"
 	"standpulley/internal/front/once"
 	"standpulley/internal/front/platform"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/replica"
 )
 
@@ -49,7 +49,7 @@
 // newStack returns a stack that starts with the replicas in known. knownVersion is the version of
 // that list at its discovery service, or nil if the list did not come from there. The stack is not
 // yet open to clients.
-func newStack(cfg config.Config, known dispatch.Update, knownVersion *int64, pool *replica.Pool, counts *dispatch.Counts, lease dispatch.Lease, l *listMerger, k *bookkeeping.Service) (*stack, error) {
+func newStack(cfg config.Config, known dispatch.Update, knownVersion *int64, pool *replica.Pool, counts *dispatch.Counts, lease dispatch.Lease, l *listMerger, k *intentlog.Service) (*stack, error) {
 	s := &stack{cfg: cfg, releaser: replica.NewReleaser(pool), fronts: map[string]*fasthttp.Server{}, listReceived: make(chan struct{}, 1),
 		stopWatch: func() {}, lists: l, knownVersion: knownVersion}
 	var err error
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -9,10 +9,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"standpulley/internal/boltfile"
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/cluster"
 	"standpulley/internal/clusterstate"
 	"standpulley/internal/dispatch"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/ledger"
 	"standpulley/internal/membership"
 	"standpulley/internal/program"
@@ -146,11 +146,11 @@
 	"list-orders-free": {Description: "operators' orders are recorded but not obeyed", inject: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.IgnoreOrders = true }
 	}},
-	"ledger-early": {Description: "an attempt is sent while its intent is still being recorded", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SendBeforeRecorded = true })},
-	"ledger-unsynced": {Description: "intents are acknowledged before they are on disk", inject: ledgerOptions(func(o *bookkeeping.Options) {
-		o.Durability = bookkeeping.DurabilityProcess
+	"ledger-early": {Description: "an attempt is sent while its intent is still being recorded", inject: ledgerOptions(func(o *intentlog.Options) { o.Hooks.SendBeforeRecorded = true })},
+	"ledger-unsynced": {Description: "intents are acknowledged before they are on disk", inject: ledgerOptions(func(o *intentlog.Options) {
+		o.Durability = intentlog.DurabilityProcess
 	})},
-	"ledger-unchecked": {Description: "an intent is granted in spite of other attempts with the same key, and repeats don't look for them", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unchecked": {Description: "an intent is granted in spite of other attempts with the same key, and repeats don't look for them", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
 		o.Hooks.Reply = func(r *ledger.Reply) {
 			if !r.Granted {
@@ -158,7 +158,7 @@
 			}
 		}
 	})},
-	"ledger-prefers-never": {Description: "an intent without a known outcome counts as one that never ran", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-prefers-never": {Description: "an intent without a known outcome counts as one that never ran", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
 		o.Hooks.Reply = func(r *ledger.Reply) {
 			r.Entry = r.Entry.Clone()
@@ -169,14 +169,14 @@
 			}
 		}
 	})},
-	"ledger-one-holder": {Description: "one ledger holder is enough to record an intent", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-one-holder": {Description: "one ledger holder is enough to record an intent", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Tally = func(c *ledger.Tally) { c.Require(1) }
 	})},
-	"ledger-unfilled": {Description: "a new ledger file, or an old copy, counts as complete", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.AssumeComplete = true })},
-	"ledger-soon": {Description: "ledger entries are removed after a tenth of a second", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unfilled": {Description: "a new ledger file, or an old copy, counts as complete", inject: ledgerOptions(func(o *intentlog.Options) { o.Hooks.AssumeComplete = true })},
+	"ledger-soon": {Description: "ledger entries are removed after a tenth of a second", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Limits.Retention = 100 * time.Millisecond
 	})},
-	"ledger-unclear-is-yes": {Description: "an attempt is sent even though too few ledger holders answered", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unclear-is-yes": {Description: "an attempt is sent even though too few ledger holders answered", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Verdict = func(_ ledger.Op, v ledger.Verdict) ledger.Verdict {
 			if v == ledger.Unclear {
 				return ledger.Yes
@@ -184,7 +184,7 @@
 			return v
 		}
 	})},
-	"ledger-lost-is-never": {Description: "a broken connection counts as proof that the attempt did not run", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-lost-is-never": {Description: "a broken connection counts as proof that the attempt did not run", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Outcome = func(out logic.Outcome, o ledger.Outcome) ledger.Outcome {
 			if out != logic.Delivered {
 				return ledger.NeverRan
@@ -192,7 +192,7 @@
 			return o
 		}
 	})},
-	"ledger-own-keys": {Description: "dispatchers use different ledger keys for the same instruction", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-own-keys": {Description: "dispatchers use different ledger keys for the same instruction", inject: ledgerOptions(func(o *intentlog.Options) {
 		name := o.Name
 		o.Hooks.Op = func(op *ledger.Op) {
 			for i := range name {
@@ -200,7 +200,7 @@
 			}
 		}
 	})},
-	"ledger-forgets": {Description: "the ledger on disk is not read at the start", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SkipLoad = true })},
+	"ledger-forgets": {Description: "the ledger on disk is not read at the start", inject: ledgerOptions(func(o *intentlog.Options) { o.Hooks.SkipLoad = true })},
 	"base-unchecked": {Description: "a proposal is accepted whatever version it was made from", inject: func() {
 		program.AgreementHooks.Entry = func(b *clusterstate.Record, e *clusterstate.Entry) {
 			if e.Propose != nil {
@@ -211,7 +211,7 @@
 }
 
 // ledgerOptions returns a function that injects a fault by changing the options of the ledger.
-func ledgerOptions(change func(*bookkeeping.Options)) func() {
+func ledgerOptions(change func(*intentlog.Options)) func() {
 	return func() { program.LedgerHooks.Options = change }
 }
 
--- a/internal/proving/measure_ledger.go
+++ b/internal/proving/measure_ledger.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"standpulley/internal/bookkeeping"
 	"standpulley/internal/cluster"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/program"
 )
 
@@ -39,10 +39,10 @@
 }
 
 // LedgerFigures returns the ledger figures of one dispatcher.
-func (b *Bench) LedgerFigures(d *Dispatcher) (bookkeeping.Stats, error) {
+func (b *Bench) LedgerFigures(d *Dispatcher) (intentlog.Stats, error) {
 	r, err := b.SendCommand(d, cluster.Command{Do: program.LedgerStatus})
 	if err != nil || r.Figures == nil {
-		return bookkeeping.Stats{}, fmt.Errorf("no figures: %w %s", err, r.Error)
+		return intentlog.Stats{}, fmt.Errorf("no figures: %w %s", err, r.Error)
 	}
 	return *r.Figures, nil
 }
