--- a/cmd/proving/ledger.go
+++ b/cmd/proving/ledger.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 	"standpulley/internal/proving"
 )
 
@@ -92,13 +92,13 @@
 	defer os.RemoveAll(folder)
 	path := filepath.Join(folder, "ledger.db")
 	draw := func() uint64 { return 1 }
-	log, err := ledgerlog.Open(path, draw, false, func(ledgerlog.Record) {})
+	log, err := ledgerstore.Open(path, draw, false, func(ledgerstore.Record) {})
 	if err != nil {
 		return err
 	}
 	r := rand.New(rand.NewPCG(1, 2))
 	for from := 0; from < l.Marks; from += 1000 {
-		records := make([]ledgerlog.Record, 1000)
+		records := make([]ledgerstore.Record, 1000)
 		for i := range records {
 			x := &records[i]
 			binary.BigEndian.PutUint64(x.Key[:], r.Uint64())
@@ -122,7 +122,7 @@
 	before := heap()
 	table := ledger.NewTable(ledger.Limits{MaxEntries: l.Marks, Retention: time.Hour, Share: 1e9})
 	began := time.Now()
-	log, err = ledgerlog.Open(path, draw, false, func(x ledgerlog.Record) { table.Merge(x.At, x.Key, x.Customer, x.Entry) })
+	log, err = ledgerstore.Open(path, draw, false, func(x ledgerstore.Record) { table.Merge(x.At, x.Key, x.Customer, x.Entry) })
 	if err != nil {
 		return err
 	}
--- a/internal/intentlog/holder.go
+++ b/internal/intentlog/holder.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 )
 
 const (
@@ -25,7 +25,7 @@
 // holder keeps this dispatcher's copy of the ledger. One goroutine owns the table and the file.
 // Operations that arrive during a commit share the next one (group commit).
 type holder struct {
-	log          *ledgerlog.Log
+	log          *ledgerstore.Log
 	table        *ledger.Table
 	inbox        chan queuedOp
 	done         chan struct{}
@@ -38,9 +38,9 @@
 	failed       atomic.Bool // the file cannot be written, so nothing is granted any more
 	commits      atomic.Int64
 	entries      atomic.Int64
-	files        func() map[string]ledgerlog.FileVersion // versions of the other holders' files, which are stored with the clock
-	replyHook    func(*ledger.Reply)                     // Hooks.Reply
-	clockWritten time.Duration                           // when the clock was last written
+	files        func() map[string]ledgerstore.FileVersion // versions of the other holders' files, which are stored with the clock
+	replyHook    func(*ledger.Reply)                       // Hooks.Reply
+	clockWritten time.Duration                             // when the clock was last written
 }
 
 // queuedOp is a queued operation, or a function to run on the holder's goroutine.
@@ -55,12 +55,12 @@
 	errFailed = errors.New("the ledger can't be written")
 )
 
-func openHolder(path string, opt Options, seen func() map[string]ledgerlog.FileVersion) (*holder, error) {
+func openHolder(path string, opt Options, seen func() map[string]ledgerstore.FileVersion) (*holder, error) {
 	h := &holder{table: ledger.NewTable(opt.Limits), inbox: make(chan queuedOp, holderQueueSize), done: make(chan struct{}), start: time.Now(), files: seen, replyHook: opt.Hooks.Reply}
 	var last time.Duration
 	var err error
 	began := time.Now()
-	h.log, err = ledgerlog.Open(path, opt.NewID, opt.Durability.synced(), func(r ledgerlog.Record) {
+	h.log, err = ledgerstore.Open(path, opt.NewID, opt.Durability.synced(), func(r ledgerstore.Record) {
 		h.recordCount++
 		if opt.Hooks.SkipLoad {
 			return
@@ -145,7 +145,7 @@
 
 // batch executes the queued operations, writes their records in one commit and then replies.
 func (h *holder) batch(first queuedOp) {
-	var records []ledgerlog.Record
+	var records []ledgerstore.Record
 	var answers []func()
 	next, more := first, true
 	for more {
@@ -173,14 +173,14 @@
 	}
 }
 
-func (h *holder) apply(x queuedOp, records *[]ledgerlog.Record, answers *[]func()) {
+func (h *holder) apply(x queuedOp, records *[]ledgerstore.Record, answers *[]func()) {
 	if h.failed.Load() && x.op.Kind != ledger.Lookup {
 		*answers = append(*answers, func() { x.reply(ledger.Reply{Error: errFailed.Error()}) })
 		return
 	}
 	r, learned := h.table.Do(h.now(), x.op)
 	if len(learned.Attempts)+len(learned.Resolutions) > 0 {
-		*records = append(*records, ledgerlog.Record{Key: x.op.Key, Customer: x.op.Customer, At: h.now(), Entry: learned})
+		*records = append(*records, ledgerstore.Record{Key: x.op.Key, Customer: x.op.Customer, At: h.now(), Entry: learned})
 	}
 	*answers = append(*answers, func() {
 		r.Complete = h.complete.Load()
@@ -215,14 +215,14 @@
 	before := h.recordCount
 	kept := 0
 	seen := map[ledger.Key]bool{}
-	n, err := h.log.Compact(compactBatch, h.now(), func(r ledgerlog.Record) (ledgerlog.Record, bool) {
+	n, err := h.log.Compact(compactBatch, h.now(), func(r ledgerstore.Record) (ledgerstore.Record, bool) {
 		e, customer, at := h.table.Get(h.now(), r.Key)
 		if len(e.Attempts)+len(e.Resolutions) == 0 || seen[r.Key] {
 			return r, false
 		}
 		seen[r.Key] = true
 		kept++
-		return ledgerlog.Record{Key: r.Key, Customer: customer, At: at, Entry: e}, true
+		return ledgerstore.Record{Key: r.Key, Customer: customer, At: at, Entry: e}, true
 	})
 	h.committed(err)
 	h.recordCount = before - n + kept
@@ -231,7 +231,7 @@
 // dump returns at most limit records of the file that follow the given one. It reads concurrently
 // with the writer, which does not wait. An entry may be spread over several records.
 func (h *holder) dump(after uint64, limit int) (rows []Row, next uint64, last bool, err error) {
-	next, last, err = h.log.Read(after, limit, func(r ledgerlog.Record) { rows = append(rows, Row{r.Key, r.Customer, r.Entry}) })
+	next, last, err = h.log.Read(after, limit, func(r ledgerstore.Record) { rows = append(rows, Row{r.Key, r.Customer, r.Entry}) })
 	return rows, next, last, err
 }
 
--- a/internal/intentlog/refill.go
+++ b/internal/intentlog/refill.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 )
 
 // DiskRecord is the part of the agreed record that concerns ledgers: the disk number of the file
@@ -52,7 +52,7 @@
 	if err != nil {
 		return fmt.Errorf("reading the agreed record: %w", err)
 	}
-	var state ledgerlog.State
+	var state ledgerstore.State
 	if err := h.runWithin(callTimeout, func() { state = h.log.State() }); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 // isStaleCopy asks the other holders for the last version of this holder's file that they have
 // seen. If any has seen more commits than the file has, the file is an old copy that was put back,
 // for instance from a backup.
-func (s *Service) isStaleCopy(state ledgerlog.State) (bool, error) {
+func (s *Service) isStaleCopy(state ledgerstore.State) (bool, error) {
 	answered := 0
 	for _, name := range s.opt.Holders {
 		if name == s.opt.Name {
--- a/internal/intentlog/service.go
+++ b/internal/intentlog/service.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 	"standpulley/logic"
 )
 
@@ -99,10 +99,10 @@
 // fileVersions are the last known versions of the holders' files, by the holder's name.
 type fileVersions struct {
 	mu  sync.Mutex
-	all map[string]ledgerlog.FileVersion
+	all map[string]ledgerstore.FileVersion
 }
 
-func (s *fileVersions) get(name string) ledgerlog.FileVersion {
+func (s *fileVersions) get(name string) ledgerstore.FileVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[name]
@@ -110,7 +110,7 @@
 
 // update stores the version that a holder reports for its file. A file with another disk number
 // replaces the one before; otherwise the number of writes only grows.
-func (s *fileVersions) update(name string, is ledgerlog.FileVersion) {
+func (s *fileVersions) update(name string, is ledgerstore.FileVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if was := s.all[name]; was.Disk != is.Disk || was.Writes < is.Writes {
@@ -118,7 +118,7 @@
 	}
 }
 
-func (s *fileVersions) snapshot() map[string]ledgerlog.FileVersion {
+func (s *fileVersions) snapshot() map[string]ledgerstore.FileVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.all)
@@ -126,10 +126,10 @@
 
 // Open opens the ledger file, if this dispatcher is a holder, and starts the goroutines.
 func Open(opt Options) (*Service, error) {
-	s := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), files: fileVersions{all: map[string]ledgerlog.FileVersion{}}}
+	s := &Service{opt: opt, start: time.Now(), stop: make(chan struct{}), files: fileVersions{all: map[string]ledgerstore.FileVersion{}}}
 	s.readyAt.Store(-int64(readyTTL)) // not yet ready
 	if slices.Contains(opt.Holders, opt.Name) {
-		h, err := openHolder(ledgerlog.Path(opt.Folder), opt, s.files.snapshot)
+		h, err := openHolder(ledgerstore.Path(opt.Folder), opt, s.files.snapshot)
 		if err != nil {
 			return nil, err
 		}
@@ -186,13 +186,13 @@
 
 // Answer is the response to a Call.
 type Answer struct {
-	Replies  []ledger.Reply        `json:"replies,omitempty"`
-	Rows     []Row                 `json:"rows,omitempty"`
-	Next     uint64                `json:"next,omitempty"` // of a dump: the record to continue after
-	Last     bool                  `json:"last,omitempty"`
-	Complete bool                  `json:"whole"`
-	File     ledgerlog.FileVersion `json:"file"` // version of the answering holder's file
-	LastSeen ledgerlog.FileVersion `json:"about"`
+	Replies  []ledger.Reply          `json:"replies,omitempty"`
+	Rows     []Row                   `json:"rows,omitempty"`
+	Next     uint64                  `json:"next,omitempty"` // of a dump: the record to continue after
+	Last     bool                    `json:"last,omitempty"`
+	Complete bool                    `json:"whole"`
+	File     ledgerstore.FileVersion `json:"file"` // version of the answering holder's file
+	LastSeen ledgerstore.FileVersion `json:"about"`
 }
 
 // Row is one entry in a Call or Answer, or in an operator's command.
@@ -217,7 +217,7 @@
 	if len(c.Ops) > maxOpsServed {
 		return a, fmt.Errorf("%d questions are too many", len(c.Ops))
 	}
-	a = Answer{Replies: make([]ledger.Reply, len(c.Ops)), Complete: h.complete.Load(), File: ledgerlog.FileVersion{Disk: h.disk, Writes: h.writes.Load()}}
+	a = Answer{Replies: make([]ledger.Reply, len(c.Ops)), Complete: h.complete.Load(), File: ledgerstore.FileVersion{Disk: h.disk, Writes: h.writes.Load()}}
 	var all sync.WaitGroup
 	all.Add(len(c.Ops))
 	for i, op := range c.Ops {
--- a/internal/intentlog/service_test.go
+++ b/internal/intentlog/service_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 	"standpulley/logic"
 )
 
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (c *cluster) path(name string) string { return ledgerlog.Path(filepath.Join(c.folder, name)) }
+func (c *cluster) path(name string) string { return ledgerstore.Path(filepath.Join(c.folder, name)) }
 
 func (c *cluster) start(name string) {
 	c.t.Helper()
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -1,4 +1,4 @@
-package ledgerlog
+package ledgerstore
 
 import (
 	"bytes"
--- a/internal/ledgerlog/log.go
+++ b/internal/ledgerstore/log.go
@@ -1,11 +1,11 @@
-// Package ledgerlog stores a holder's copy of the ledger on disk, as checksummed records in the
+// Package ledgerstore stores a holder's copy of the ledger on disk, as checksummed records in the
 // order in which they were written, many to a commit. The file is a bbolt database, like the
 // consensus log. Records are appended to the end of one bucket, so that a commit writes few pages
 // however the keys are spread.
 //
 //	record.go  a record and its encoding
 //	log.go     the file
-package ledgerlog
+package ledgerstore
 
 import (
 	"encoding/binary"
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -18,7 +18,7 @@
 	"standpulley/internal/cluster"
 	"standpulley/internal/front/once"
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 	"standpulley/internal/program"
 	"standpulley/internal/standin"
 )
@@ -227,7 +227,7 @@
 
 // applyLedgerStep runs a script step on a dispatcher's ledger file.
 func (f *Fleet) applyLedgerStep(s Step, d *Dispatcher) error {
-	path := ledgerlog.Path(string(d.dir))
+	path := ledgerstore.Path(string(d.dir))
 	copyPath := path + ".copy"
 	remove := func(path string) error {
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
