--- a/cmd/standpulley/admin_test.go
+++ b/cmd/standpulley/admin_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // call calls an operator endpoint and returns the status and body; the status is 0 if there is no
@@ -46,7 +46,7 @@
 // at the old one must finish, and no client may be refused.
 func TestNewVersionBesideTheOld(t *testing.T) {
 	act, started, finish := heldWriter()
-	agent, err := standin.StartAgent("127.0.0.1:0", startFleet(t, act)...)
+	agent, err := fake.StartAgent("127.0.0.1:0", startFleet(t, act)...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 // other callers hold connections to the admin endpoint.
 func TestAdminEndpoint(t *testing.T) {
 	act, started, finish := heldWriter()
-	agent, err := standin.StartAgent("127.0.0.1:0", startFleet(t, act)...)
+	agent, err := fake.StartAgent("127.0.0.1:0", startFleet(t, act)...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/standpulley/agreement_off_test.go
+++ b/cmd/standpulley/agreement_off_test.go
@@ -9,15 +9,15 @@
 	"syscall"
 	"testing"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // TestAgreementIsOffOnThePlatform checks that where dispatchers do not agree on settings, the
 // agreement leaves no trace: no socket, no file, no goroutine and no log line. A platform
 // configuration that asks for it is rejected with its key.
 func TestAgreementIsOffOnThePlatform(t *testing.T) {
-	list := startFleet(t, func(x *standin.Exchange) { x.Answer("one") })
-	agent, err := standin.StartAgent("127.0.0.1:0", list...)
+	list := startFleet(t, func(x *fake.Exchange) { x.Answer("one") })
+	agent, err := fake.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/standpulley/appliance_test.go
+++ b/cmd/standpulley/appliance_test.go
@@ -12,11 +12,11 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // writeSite writes an appliance configuration file that contains the replica list itself.
-func writeSite(t *testing.T, name, chat, listen string, list []standin.Entry) string {
+func writeSite(t *testing.T, name, chat, listen string, list []fake.Entry) string {
 	t.Helper()
 	servers, err := jsoniter.MarshalToString(list)
 	if err != nil {
--- a/cmd/standpulley/early_sighup_test.go
+++ b/cmd/standpulley/early_sighup_test.go
@@ -6,14 +6,14 @@
 	"syscall"
 	"testing"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/soak"
-	"standpulley/internal/standin"
 )
 
 // TestEarlySIGHUPDoesNotEndTheProgram guards against SIGHUP ending the process like a crash when it
 // arrives in the first milliseconds, before the program handles it.
 func TestEarlySIGHUPDoesNotEndTheProgram(t *testing.T) {
-	agent := startAgent(t, startFleet(t, func(x *standin.Exchange) { x.Answer("one") })...)
+	agent := startAgent(t, startFleet(t, func(x *fake.Exchange) { x.Answer("one") })...)
 	for range 5 {
 		addr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 		cmd, out := startProgram(t, writeConfig(t, path, addr, agent.Addr, settings, ""))
--- a/cmd/standpulley/known_list_test.go
+++ b/cmd/standpulley/known_list_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // TestStartFromTheKnownList checks what a start asks discovery for. If lists are fetched on
@@ -20,11 +20,11 @@
 		version     int // version of the known list; the agent has version 1
 		drains      bool
 	}{{"on_request", "index=1&wait=0", 1, false}, {"on_request", "index=0&wait=0", 0, true}, {"pushed", "", 1, false}} {
-		_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) { x.Read(0) })
-		leaving, l := startReplica(t, "leaving", "writer", func(x *standin.Exchange) { x.Answer("leaving") })
-		_, s := startReplica(t, "staying", "writer", func(x *standin.Exchange) { x.Answer("staying") })
+		_, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) { x.Read(0) })
+		leaving, l := startReplica(t, "leaving", "writer", func(x *fake.Exchange) { x.Answer("leaving") })
+		_, s := startReplica(t, "staying", "writer", func(x *fake.Exchange) { x.Answer("staying") })
 		var known []string
-		for _, e := range []standin.Entry{r, l, s} {
+		for _, e := range []fake.Entry{r, l, s} {
 			known = append(known, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":%q,"state":"in_service"}`, e.ID, e.Addr, e.Kind))
 		}
 		if c.drains {
--- a/cmd/standpulley/main_test.go
+++ b/cmd/standpulley/main_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/soak"
-	"standpulley/internal/standin"
 )
 
 // TestMain lets the test binary run as the program or as a replica.
@@ -97,10 +97,10 @@
   {"name":"instruction","goal_time_us":1500000,"deadline_us":6000000,"repeat":"at_most_once","credit":2}]}`
 
 // startFleet starts a reader and a writer and returns their list.
-func startFleet(t *testing.T, write func(*standin.Exchange)) []standin.Entry {
+func startFleet(t *testing.T, write func(*fake.Exchange)) []fake.Entry {
 	t.Helper()
-	var list []standin.Entry
-	for kind, act := range map[string]func(*standin.Exchange){"reader": func(x *standin.Exchange) { x.Read(0) }, "writer": write} {
+	var list []fake.Entry
+	for kind, act := range map[string]func(*fake.Exchange){"reader": func(x *fake.Exchange) { x.Read(0) }, "writer": write} {
 		_, e := startReplica(t, kind, kind, act)
 		list = append(list, e)
 	}
@@ -109,9 +109,9 @@
 
 // heldWriter returns the script of a writer that stops after the first event. It sends to started
 // when it gets there, and finish lets it end.
-func heldWriter() (act func(*standin.Exchange), started, finish chan bool) {
+func heldWriter() (act func(*fake.Exchange), started, finish chan bool) {
 	started, finish = make(chan bool, 8), make(chan bool)
-	return func(x *standin.Exchange) {
+	return func(x *fake.Exchange) {
 		x.Head()
 		x.Token("one")
 		started <- true
@@ -162,7 +162,7 @@
 func TestProgramFromStartToExit(t *testing.T) {
 	act, started, finish := heldWriter()
 	list := startFleet(t, act)
-	agent, err := standin.StartAgent("127.0.0.1:0", list...)
+	agent, err := fake.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 	}{{2, true, false}, {2, true, true}, {1, false, false}} {
 		siblings, moved := x.siblings, x.moved
 		act, started, finish := heldWriter()
-		agent, err := standin.StartAgent("127.0.0.1:0", startFleet(t, act)...)
+		agent, err := fake.StartAgent("127.0.0.1:0", startFleet(t, act)...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -277,21 +277,21 @@
 func TestReloadUnderLoad(t *testing.T) {
 	act, started, finish := heldWriter()
 	list := startFleet(t, act)
-	first, err := standin.StartAgent("127.0.0.1:0", list...)
+	first, err := fake.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(first.Close)
 	// The second agent lists another writer in place of the first one.
-	next := startFleet(t, func(x *standin.Exchange) { x.Answer("two") })
+	next := startFleet(t, func(x *fake.Exchange) { x.Answer("two") })
 	for i := range next {
 		if next[i].ID == "writer" {
 			next[i].ID = "writer-2"
 		} else {
-			next[i] = list[slices.IndexFunc(list, func(e standin.Entry) bool { return e.ID == "reader" })]
+			next[i] = list[slices.IndexFunc(list, func(e fake.Entry) bool { return e.ID == "reader" })]
 		}
 	}
-	second, err := standin.StartAgent("127.0.0.1:0", next...)
+	second, err := fake.StartAgent("127.0.0.1:0", next...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/standpulley/release_test.go
+++ b/cmd/standpulley/release_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/soak"
-	"standpulley/internal/standin"
 )
 
 // maxHeldTime is how long state may be held after the read: the 500 ms of the settings plus the 300
@@ -18,7 +18,7 @@
 
 // behindLink puts a replica behind a network link that can be silenced, and returns the entry that
 // leads there.
-func behindLink(t *testing.T, e standin.Entry) (*soak.Link, standin.Entry) {
+func behindLink(t *testing.T, e fake.Entry) (*soak.Link, fake.Entry) {
 	t.Helper()
 	l, err := soak.NewLink("127.0.0.1:0", e.Addr)
 	if err != nil {
@@ -35,7 +35,7 @@
 	ended map[string]time.Time
 }
 
-func (r *readTimes) onRead(x *standin.Exchange) {
+func (r *readTimes) onRead(x *fake.Exchange) {
 	r.mu.Lock()
 	r.ended[x.ID] = time.Now()
 	r.mu.Unlock()
@@ -58,8 +58,8 @@
 	for _, newConns := range []soak.NewConnectionMode{soak.Forwarded, soak.Blackholed} {
 		times := &readTimes{ended: map[string]time.Time{}}
 		reader, r := startReplica(t, "reader", "reader", times.onRead)
-		_, w1 := startReplica(t, "w1", "writer", func(x *standin.Exchange) { x.Answer("one") })
-		_, w2 := startReplica(t, "w2", "writer", func(x *standin.Exchange) { x.Answer("two") })
+		_, w1 := startReplica(t, "w1", "writer", func(x *fake.Exchange) { x.Answer("one") })
+		_, w2 := startReplica(t, "w2", "writer", func(x *fake.Exchange) { x.Answer("two") })
 		l1, w1 := behindLink(t, w1)
 		l2, w2 := behindLink(t, w2)
 		agent, addr, path := startAgent(t, r, w1, w2), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
--- a/cmd/standpulley/settings_names_test.go
+++ b/cmd/standpulley/settings_names_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // siteSettings returns the settings of a made-up site. All of its names are unknown to the program.
@@ -45,8 +45,8 @@
 			[]string{"a", "b", "c", "d", "e"}, [2]string{"in", "out"}, "dock-7", "X-Customer: fleet\r\n"},
 		"servers that do both": {siteSettings(noZones, `["all-in-one"]`, `["both"]`, []string{"x", "y"}, ""), []string{"x", "y"}, [2]string{"all-in-one", "all-in-one"}, "", ""},
 	} {
-		act := func(x *standin.Exchange) { x.Answer("one") }
-		read := func(x *standin.Exchange) { x.Read(0) }
+		act := func(x *fake.Exchange) { x.Answer("one") }
+		read := func(x *fake.Exchange) { x.Read(0) }
 		if c.kinds[0] == c.kinds[1] {
 			read = act
 		}
--- a/cmd/standpulley/shutdown_test.go
+++ b/cmd/standpulley/shutdown_test.go
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // startAgent starts a discovery agent with a list.
-func startAgent(t *testing.T, list ...standin.Entry) *standin.Agent {
+func startAgent(t *testing.T, list ...fake.Entry) *fake.Agent {
 	t.Helper()
-	a, err := standin.StartAgent("127.0.0.1:0", list...)
+	a, err := fake.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 }
 
 // startReplica starts a replica and returns it with its list entry.
-func startReplica(t *testing.T, id, kind string, act func(*standin.Exchange)) (*standin.Replica, standin.Entry) {
+func startReplica(t *testing.T, id, kind string, act func(*fake.Exchange)) (*fake.Replica, fake.Entry) {
 	t.Helper()
-	r, err := standin.Start("127.0.0.1:0", act)
+	r, err := fake.Start("127.0.0.1:0", act)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	return r, standin.Entry{ID: id, Addr: r.Addr, Zone: "z", Kind: kind, State: "in_service", Weight: 1}
+	return r, fake.Entry{ID: id, Addr: r.Addr, Zone: "z", Kind: kind, State: "in_service", Weight: 1}
 }
 
 // writeConfig writes a configuration and returns the environment that starts the program with it.
@@ -88,7 +88,7 @@
 	// SIGKILL follows the deadline, which counts as at most 3 s: test one below and one above.
 	for _, deadline := range []time.Duration{time.Second, 6 * time.Second} {
 		hung, finish := make(chan bool, 8), make(chan bool)
-		reader, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) {
+		reader, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) {
 			if strings.HasSuffix(x.ID, "1") {
 				hung <- true
 				x.WaitClosed()
@@ -96,7 +96,7 @@
 			}
 			x.Read(0)
 		})
-		writer, w := startReplica(t, "writer", "writer", func(x *standin.Exchange) {
+		writer, w := startReplica(t, "writer", "writer", func(x *fake.Exchange) {
 			switch x.ID[len(x.ID)-1] {
 			case '2':
 				hung <- true
@@ -193,8 +193,8 @@
 // within the time that a restart is allowed; one that knows none must be ready only once discovery
 // has sent some.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) { x.Read(0) })
-	_, w := startReplica(t, "writer", "writer", func(x *standin.Exchange) { x.Answer("one") })
+	_, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) { x.Read(0) })
+	_, w := startReplica(t, "writer", "writer", func(x *fake.Exchange) { x.Answer("one") })
 	known := fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[{"id":"reader","addr":%q,"zone":"z","kind":"reader","state":"in_service"},
 		{"id":"writer","addr":%q,"zone":"z","kind":"writer","state":"in_service"}]}`, r.Addr, w.Addr)
 	for name, discovery := range map[string]string{"down": freeAddr(t), "silent": silentAddr(t)} {
@@ -220,7 +220,7 @@
 				t.Errorf("discovery %s and no replica known: %d %q", name, code, text)
 			}
 			if name == "down" {
-				a, err := standin.StartAgent(discovery, r, w)
+				a, err := fake.StartAgent(discovery, r, w)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -235,9 +235,9 @@
 // reports takes effect while the watch of the old one is still open and silent: no request may go
 // to the draining replica.
 func TestDrainRightAfterSIGHUP(t *testing.T) {
-	_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) { x.Read(0) })
-	leaving, l := startReplica(t, "leaving", "writer", func(x *standin.Exchange) { x.Answer("leaving") })
-	_, s := startReplica(t, "staying", "writer", func(x *standin.Exchange) { x.Answer("staying") })
+	_, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) { x.Read(0) })
+	leaving, l := startReplica(t, "leaving", "writer", func(x *fake.Exchange) { x.Answer("leaving") })
+	_, s := startReplica(t, "staying", "writer", func(x *fake.Exchange) { x.Answer("staying") })
 	old, addr, path := startAgent(t, r, l, s), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	cmd, out := startProgram(t, writeConfig(t, path, addr, old.Addr, settings, ""))
 	waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
@@ -267,13 +267,13 @@
 func TestDrainReachesTheReplacedStack(t *testing.T) {
 	const requests = 20
 	arrived, finish := make(chan bool, requests), make(chan bool)
-	_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) {
+	_, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) {
 		arrived <- true
 		<-finish
 		x.Read(0)
 	})
-	leaving, l := startReplica(t, "leaving", "writer", func(x *standin.Exchange) { x.Answer("leaving") })
-	_, s := startReplica(t, "staying", "writer", func(x *standin.Exchange) { x.Answer("staying") })
+	leaving, l := startReplica(t, "leaving", "writer", func(x *fake.Exchange) { x.Answer("leaving") })
+	_, s := startReplica(t, "staying", "writer", func(x *fake.Exchange) { x.Answer("staying") })
 	old, addr, path := startAgent(t, r, l, s), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	cmd, out := startProgram(t, writeConfig(t, path, addr, old.Addr, settings, ""))
 	waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
@@ -307,9 +307,9 @@
 // spins on descriptor errors.
 func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
 	for _, sockets := range []int{64, 256} {
-		_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) { x.Read(0) })
-		_, l := startReplica(t, "leaving", "writer", func(x *standin.Exchange) { x.Answer("leaving") })
-		_, s := startReplica(t, "staying", "writer", func(x *standin.Exchange) { x.Answer("staying") })
+		_, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) { x.Read(0) })
+		_, l := startReplica(t, "leaving", "writer", func(x *fake.Exchange) { x.Answer("leaving") })
+		_, s := startReplica(t, "staying", "writer", func(x *fake.Exchange) { x.Answer("staying") })
 		agent, addr, admin, path := startAgent(t, r, l, s), freeAddr(t), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 		cmd := exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), os.Args[0])
 		cmd.Env = append(os.Environ(), append(writeConfig(t, path, addr, agent.Addr, settings, fmt.Sprintf(`,"limits":{"sockets":%d}`, sockets)),
--- a/cmd/standpulley/sighup_test.go
+++ b/cmd/standpulley/sighup_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // TestSIGHUPUnderOpenRequests sends SIGHUP while requests are open: an at_most_once class becomes
@@ -15,7 +15,7 @@
 // must not be sent again, and a waiting request must be answered under its old deadline.
 func TestSIGHUPUnderOpenRequests(t *testing.T) {
 	arrived, finish := make(chan string, 8), make(chan bool)
-	breakOrAnswer := func(x *standin.Exchange) {
+	breakOrAnswer := func(x *fake.Exchange) {
 		arrived <- x.ID
 		<-finish
 		if strings.HasSuffix(x.ID, "1") {
@@ -24,7 +24,7 @@
 		}
 		x.Answer("late")
 	}
-	_, r := startReplica(t, "reader", "reader", func(x *standin.Exchange) { x.Read(0) })
+	_, r := startReplica(t, "reader", "reader", func(x *fake.Exchange) { x.Read(0) })
 	one, w1 := startReplica(t, "w1", "writer", breakOrAnswer)
 	two, w2 := startReplica(t, "w2", "writer", breakOrAnswer)
 	agent, addr, path := startAgent(t, r, w1, w2), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
--- a/example/toyfleet/main.go
+++ b/example/toyfleet/main.go
@@ -13,7 +13,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 func main() {
@@ -23,22 +23,22 @@
 	pace := flag.Duration("pace", 60*time.Millisecond, "time between the words of an answer")
 	flag.Parse()
 
-	var list []standin.Entry
-	add := func(kind string, n int, act func(*standin.Exchange)) {
+	var list []fake.Entry
+	add := func(kind string, n int, act func(*fake.Exchange)) {
 		for i := range n {
-			r, err := standin.Start("127.0.0.1:0", act)
+			r, err := fake.Start("127.0.0.1:0", act)
 			if err != nil {
 				log.Fatal(err)
 			}
-			list = append(list, standin.Entry{ID: fmt.Sprintf("%s-%d", kind, i+1), Addr: r.Addr, Zone: "half-way-tree",
+			list = append(list, fake.Entry{ID: fmt.Sprintf("%s-%d", kind, i+1), Addr: r.Addr, Zone: "half-way-tree",
 				Kind: kind, Cell: 1, State: "in_service", Weight: 1})
 		}
 	}
-	add("prompt-box", *readers, func(x *standin.Exchange) {
+	add("prompt-box", *readers, func(x *fake.Exchange) {
 		time.Sleep(time.Duration(len(x.Req.Body())) * 20 * time.Microsecond)
 		x.Read(0)
 	})
-	add("answer-box", *writers, func(x *standin.Exchange) {
+	add("answer-box", *writers, func(x *fake.Exchange) {
 		x.Head()
 		for _, word := range words(x.Req.Body()) {
 			x.Token(word + " ")
@@ -46,7 +46,7 @@
 		}
 		x.End()
 	})
-	agent, err := standin.StartAgent(*discovery, list...)
+	agent, err := fake.StartAgent(*discovery, list...)
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -8,7 +8,7 @@
 
 	"standpulley/internal/discovery"
 	"standpulley/internal/dispatch"
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 	"standpulley/logic"
 )
 
@@ -39,8 +39,8 @@
 // The watch begins with the full list, continues from the version it has, and survives an agent
 // that closes its connection or sends an unreadable list.
 func TestWatch(t *testing.T) {
-	entry := standin.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"}
-	a, err := standin.StartAgent("127.0.0.1:0", entry)
+	entry := fake.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"}
+	a, err := fake.StartAgent("127.0.0.1:0", entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	if u := <-updates; !u.Full || len(u.Servers) != 1 {
 		t.Errorf("got %+v", u)
 	}
-	a.Set(standin.Entry{ID: "s", State: "nonsense"})
+	a.Set(fake.Entry{ID: "s", State: "nonsense"})
 	entry.State = "terminating"
 	for { // the invalid list is ignored, and the next one is passed on
 		a.Set(entry)
@@ -96,8 +96,8 @@
 // retried every 50 ms kept it from answering any of them for a whole day. One of few
 // dispatchers must notice the end of the overload soon.
 func TestBackoffFromOverloadedDiscovery(t *testing.T) {
-	watch := func(siblings int) (*standin.Agent, chan dispatch.Update, func()) {
-		a, err := standin.StartAgent("127.0.0.1:0", standin.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"})
+	watch := func(siblings int) (*fake.Agent, chan dispatch.Update, func()) {
+		a, err := fake.StartAgent("127.0.0.1:0", fake.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/agent.go
+++ b/internal/fake/agent.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"net"
--- a/internal/standin/replica.go
+++ b/internal/fake/replica.go
@@ -1,7 +1,7 @@
-// Package standin has fakes of the dispatcher's peers, for tests and for the example: replicas whose
+// Package fake has fakes of the dispatcher's peers, for tests and for the example: replicas whose
 // answers follow a script, and a discovery agent. They implement the published protocol and listen on
 // loopback addresses only.
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -18,14 +18,14 @@
 	"github.com/openai/openai-go/v3/option"
 
 	"standpulley/internal/dispatch"
+	"standpulley/internal/fake"
 	"standpulley/internal/front/platform"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
 var options = Options{Models: map[string]string{"ask": "enquiry", "act": "instruction"}, MaxOutput: 400}
 
-func start(t *testing.T, read func(*standin.Exchange), writes ...func(*standin.Exchange)) (*fronttest.Rig, string) {
+func start(t *testing.T, read func(*fake.Exchange), writes ...func(*fake.Exchange)) (*fronttest.Rig, string) {
 	t.Helper()
 	rig := fronttest.Start(t, read, writes...)
 	f, err := New(rig.Core, rig.Pool, fronttest.Settings().Classes, options)
@@ -75,9 +75,9 @@
 
 // firstThen runs one script for the first call and the other for all later calls, over all
 // replicas.
-func firstThen(once, then func(*standin.Exchange)) func(*standin.Exchange) {
+func firstThen(once, then func(*fake.Exchange)) func(*fake.Exchange) {
 	var played atomic.Bool
-	return func(x *standin.Exchange) {
+	return func(x *fake.Exchange) {
 		if played.CompareAndSwap(false, true) {
 			once(x)
 		} else {
@@ -91,7 +91,7 @@
 }
 
 func TestStreamIsRelayedUnchanged(t *testing.T) {
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("light ", "bill ", "paid") })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { x.Answer("light ", "bill ", "paid") })
 	s := newSDKClient(addr).Chat.Completions.NewStreaming(context.Background(), sdkParams("act"))
 	text := ""
 	for s.Next() {
@@ -116,12 +116,12 @@
 // Guards: servers that prefill and decode in a single stage, as plain servers of the API do, must
 // work behind the same core and rules.
 func TestMixedServers(t *testing.T) {
-	rig, addr := start(t, nil, func(x *standin.Exchange) { x.Answer("one ", "stage") })
+	rig, addr := start(t, nil, func(x *fake.Exchange) { x.Answer("one ", "stage") })
 	c, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act"))
 	if err != nil || c.Choices[0].Message.Content != "one stage" || rig.WriterRequests() != 1 {
 		t.Errorf("got %v, %v after %d sends", c, err, rig.WriterRequests())
 	}
-	broken, addr := start(t, nil, func(x *standin.Exchange) { x.Break() })
+	broken, addr := start(t, nil, func(x *fake.Exchange) { x.Break() })
 	if _, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("act")); err == nil || broken.WriterRequests() != 1 {
 		t.Errorf("got %v after %d sends", err, broken.WriterRequests())
 	}
@@ -129,7 +129,7 @@
 
 // Guards: replicas may end a complete stream without [DONE], which client libraries wait for.
 func TestMissingDoneEventIsAdded(t *testing.T) {
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
+	_, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) {
 		x.Head()
 		x.Token("x")
 		_, _ = io.WriteString(x.Conn, "0\r\n\r\n")
@@ -140,7 +140,7 @@
 }
 
 func TestNonStreamingAnswer(t *testing.T) {
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("a", "b") })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { x.Answer("a", "b") })
 	c, err := newSDKClient(addr).Chat.Completions.New(context.Background(), sdkParams("ask"))
 	if err != nil {
 		t.Fatal(err)
@@ -159,11 +159,11 @@
 // Guards: an instruction that may have run must not be answered with a status that the client
 // library retries by itself.
 func TestInstructionThatMayHaveRunIsNotRetried(t *testing.T) {
-	for name, act := range map[string]func(*standin.Exchange){
-		"reset":    func(x *standin.Exchange) { x.Break() },
-		"error":    func(x *standin.Exchange) { x.Status(500, false, "") },
-		"cut off":  func(x *standin.Exchange) { x.Head(); x.Token("pa"); x.Break() },
-		"no words": func(x *standin.Exchange) { x.Status(503, false, "") },
+	for name, act := range map[string]func(*fake.Exchange){
+		"reset":    func(x *fake.Exchange) { x.Break() },
+		"error":    func(x *fake.Exchange) { x.Status(500, false, "") },
+		"cut off":  func(x *fake.Exchange) { x.Head(); x.Token("pa"); x.Break() },
+		"no words": func(x *fake.Exchange) { x.Status(503, false, "") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig, addr := start(t, fronttest.HealthyReader, act, act)
@@ -185,7 +185,7 @@
 // Guards: the client library times out and resends the instruction while the first attempt may be
 // running.
 func TestInstructionAbandonedByItsClientIsNotRunAgain(t *testing.T) {
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.WaitClosed() })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { x.WaitClosed() })
 	_, err := newSDKClient(addr, option.WithRequestTimeout(time.Second)).Chat.Completions.New(context.Background(), sdkParams("act"))
 	if err == nil {
 		t.Error("the abandoned request was answered")
@@ -201,12 +201,12 @@
 // repeats the request.
 func TestClientDropsMidStreamDuringAnInstruction(t *testing.T) {
 	gone := make(chan bool, 1)
-	act := firstThen(func(x *standin.Exchange) {
+	act := firstThen(func(x *fake.Exchange) {
 		x.Head()
 		x.Token("half")
 		x.WaitClosed()
 		gone <- true
-	}, func(x *standin.Exchange) { x.Answer("twice!") })
+	}, func(x *fake.Exchange) { x.Answer("twice!") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
 	rig.Pool.StallTimeout = 30 * time.Second // so that the client's close, not a stall, ends the attempt
 	c, err := net.Dial("tcp", addr)
@@ -239,7 +239,7 @@
 // stream must not look complete, and nothing is sent again.
 func TestReplicaStallsAfterTheFirstEvent(t *testing.T) {
 	for _, model := range []string{"ask", "act"} {
-		stall := func(x *standin.Exchange) { x.Head(); x.Token("half"); x.WaitClosed() }
+		stall := func(x *fake.Exchange) { x.Head(); x.Token("half"); x.WaitClosed() }
 		rig, addr := start(t, fronttest.HealthyReader, stall, stall)
 		from := time.Now()
 		_, body := post(t, addr, requestBody(model, true))
@@ -263,17 +263,17 @@
 // Guards: whatever fails at the replicas, each instruction runs at most once and each accepted
 // request has one final outcome, even with a client library that retries by itself.
 func TestNoInstructionRunsTwice(t *testing.T) {
-	scripts := []func(*standin.Exchange){
-		func(x *standin.Exchange) { x.Answer("ok") },
-		func(x *standin.Exchange) { x.Break() },
-		func(x *standin.Exchange) { x.Status(500, false, "") },
-		func(x *standin.Exchange) { x.Head(); x.Token("half"); x.Break() },
-		func(x *standin.Exchange) { x.Head(); x.Token("half"); x.WaitClosed() },
+	scripts := []func(*fake.Exchange){
+		func(x *fake.Exchange) { x.Answer("ok") },
+		func(x *fake.Exchange) { x.Break() },
+		func(x *fake.Exchange) { x.Status(500, false, "") },
+		func(x *fake.Exchange) { x.Head(); x.Token("half"); x.Break() },
+		func(x *fake.Exchange) { x.Head(); x.Token("half"); x.WaitClosed() },
 	}
 	const requests = 20
 	var mu sync.Mutex
 	runs, rejected := map[int]int{}, map[int]bool{}
-	act := func(x *standin.Exchange) {
+	act := func(x *fake.Exchange) {
 		var n int
 		text := string(x.Req.Body())
 		if _, err := fmt.Sscanf(text[strings.Index(text, "pay #"):], "pay #%d", &n); err != nil {
@@ -330,7 +330,7 @@
 
 // Guards: an enquiry may be retried without its client noticing.
 func TestEnquiryIsRetried(t *testing.T) {
-	act := firstThen(func(x *standin.Exchange) { x.Break() }, func(x *standin.Exchange) { x.Answer("ok") })
+	act := firstThen(func(x *fake.Exchange) { x.Break() }, func(x *fake.Exchange) { x.Answer("ok") })
 	rig, addr := start(t, fronttest.HealthyReader, act, act)
 	c, err := newSDKClient(addr, option.WithMaxRetries(0)).Chat.Completions.New(context.Background(), sdkParams("ask"))
 	if err != nil || c.Choices[0].Message.Content != "ok" {
@@ -344,7 +344,7 @@
 // Guards: a refusal proves that nothing has run. It carries Retry-After, and the instruction may be
 // sent again.
 func TestRefusalHasRetryAfter(t *testing.T) {
-	full := func(x *standin.Exchange) { x.Status(503, true, "") }
+	full := func(x *fake.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full)
 	resp, body := post(t, addr, requestBody("act", false))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Should-Retry") != "true" ||
@@ -361,7 +361,7 @@
 
 // Guards: invalid requests get the API's error format and never reach a replica.
 func TestBadInput(t *testing.T) {
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Answer("x") })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { x.Answer("x") })
 	for body, want := range map[string]string{
 		`{`:            `400 invalid_json`,
 		`{"model":7}`:  `400 invalid_json`,
--- a/internal/front/platform/attempts_test.go
+++ b/internal/front/platform/attempts_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"standpulley/internal/dispatch"
+	"standpulley/internal/fake"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 	"standpulley/logic"
 )
 
@@ -24,11 +24,11 @@
 	set := fronttest.Settings()
 	set.Classes = append(set.Classes, keyed("all", logic.AllServers, time.Minute), keyed("cell", logic.SameCell, time.Minute),
 		keyed("short", logic.AllServers, time.Nanosecond))
-	breakOff := func(x *standin.Exchange) { x.Break() }
-	full := func(x *standin.Exchange) { x.Status(503, true, "") }
+	breakOff := func(x *fake.Exchange) { x.Break() }
+	full := func(x *fake.Exchange) { x.Status(503, true, "") }
 	for _, c := range []struct {
 		class  string
-		first  func(*standin.Exchange)
+		first  func(*fake.Exchange)
 		status []int // allowed statuses
 		sends  int   // to writers, at most
 		cells  int   // that got the request, at most
@@ -43,7 +43,7 @@
 		{"short", full, []int{200}, 2, 2},
 	} {
 		var arrivals atomic.Int64
-		act := func(x *standin.Exchange) {
+		act := func(x *fake.Exchange) {
 			if arrivals.Add(1) == 1 {
 				c.first(x)
 				return
--- a/internal/front/platform/disconnect_test.go
+++ b/internal/front/platform/disconnect_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"standpulley/internal/dispatch"
+	"standpulley/internal/fake"
 	"standpulley/internal/front"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
 // clientCloses lists the ways in which a client closes its connection.
@@ -30,7 +30,7 @@
 func TestClientClosesWithNextRequestSent(t *testing.T) {
 	for name, end := range clientCloses {
 		for _, behind := range []string{"", "P", rawRequest("enquiry", "3000m"), strings.Repeat(rawRequest("enquiry", "3000m"), 8), strings.Repeat(rawRequest("enquiry", "3000m"), 200)} {
-			rig, addr := start(t, func(x *standin.Exchange) { x.WaitClosed() }, serve)
+			rig, addr := start(t, func(x *fake.Exchange) { x.WaitClosed() }, serve)
 			c := send(t, addr, rawRequest("enquiry", "3000m"))
 			fronttest.WaitFor(t, "the send to the reader", func() bool { return len(rig.Reader.Calls("POST")) == 1 })
 			if _, err := io.WriteString(c, behind); err != nil {
@@ -86,7 +86,7 @@
 // it, was being served. Here only the first is answered until the writer proceeds.
 func TestAnswerIsNotDelayedByNextRequest(t *testing.T) {
 	proceed := make(chan bool)
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-proceed; serve(x) })
+	_, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { <-proceed; serve(x) })
 	c := send(t, addr, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"+rawRequest("enquiry", "3000m"))
 	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // the second request may take 3 s
 	br := bufio.NewReader(c)
@@ -105,7 +105,7 @@
 // unread, a reset followed and destroyed the response. A reset would show as an error at the end of
 // the response.
 func TestLastAnswerIsNotReset(t *testing.T) {
-	rig, addr := start(t, func(x *standin.Exchange) { x.Status(500, false, "") }, serve)
+	rig, addr := start(t, func(x *fake.Exchange) { x.Status(500, false, "") }, serve)
 	if err := rig.Core.Phases.Enter(dispatch.Leaving); err != nil { // each response closes its connection
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 func TestAnswerIsNotResetWhenKeepAlivesAreDisabled(t *testing.T) {
 	for range 10 {
 		proceed := make(chan bool)
-		rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) { <-proceed; serve(x) })
+		rig := fronttest.Start(t, fronttest.HealthyReader, func(x *fake.Exchange) { <-proceed; serve(x) })
 		limiter := front.NewConnLimiter(fronttest.MaxConns, fronttest.MaxBodyBytes)
 		port, err := front.Listen("127.0.0.1:0", limiter, false)
 		if err != nil {
@@ -189,7 +189,7 @@
 // must be answered, and the connection closes after that.
 func TestPipelinedRequestIsAnsweredAtShutdown(t *testing.T) {
 	proceed := make(chan bool)
-	rig := fronttest.Start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
+	rig := fronttest.Start(t, fronttest.HealthyReader, func(x *fake.Exchange) {
 		x.Head()
 		x.Token("one")
 		<-proceed
--- a/internal/front/platform/expiry_test.go
+++ b/internal/front/platform/expiry_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
 // expirySlack is by how much the time that an attempt announces may exceed what its client has
@@ -16,7 +16,7 @@
 const expirySlack = 150 * time.Millisecond
 
 // expiresIn returns the time that an attempt announced to its replica.
-func expiresIn(t *testing.T, call standin.Call) time.Duration {
+func expiresIn(t *testing.T, call fake.Call) time.Duration {
 	t.Helper()
 	us, err := strconv.ParseInt(strings.TrimSuffix(call.Header["X-Expires-In"], "u"), 10, 64)
 	if err != nil {
@@ -30,7 +30,7 @@
 // response to the one before it. The client's time runs from the last byte of its request.
 func TestAttemptsCarryTheRemainingTime(t *testing.T) {
 	const wait, reading = 2 * time.Second, 400 * time.Millisecond
-	rig, addr := start(t, func(x *standin.Exchange) { time.Sleep(reading); x.Read(0) }, serve)
+	rig, addr := start(t, func(x *fake.Exchange) { time.Sleep(reading); x.Read(0) }, serve)
 	c := send(t, addr, rawRequest("enquiry", "2000m"))
 	if _, err := io.WriteString(c, rawRequest("enquiry", "2000m")); err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	fronttest.WaitFor(t, "both requests at the writer", func() bool { return rig.WriterRequests() == 2 })
 	reads, writes := rig.Reader.Calls("POST"), rig.Writers[0].Calls("POST")
 	for name, check := range map[string]struct {
-		call standin.Call
+		call fake.Call
 		gone time.Duration
 	}{
 		"first, read": {reads[0], 0}, "first, answer": {writes[0], reading},
--- a/internal/front/platform/headers_test.go
+++ b/internal/front/platform/headers_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
 // Guards: headers unknown to the program were not forwarded, among them the key by which replicas
@@ -40,7 +40,7 @@
 	}
 }
 
-func headersOf(calls []standin.Call) (all []map[string]string) {
+func headersOf(calls []fake.Call) (all []map[string]string) {
 	for _, c := range calls {
 		all = append(all, c.Header)
 	}
--- a/internal/front/platform/limits_test.go
+++ b/internal/front/platform/limits_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
 // closedWithin reports whether the peer closes a connection within the given time.
@@ -49,7 +49,7 @@
 // 502.
 func TestActiveConnectionsAreNotEvicted(t *testing.T) {
 	proceed := make(chan bool)
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.Head(); x.Token("a"); <-proceed; x.End() })
+	_, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { x.Head(); x.Token("a"); <-proceed; x.End() })
 	var open []net.Conn
 	for range fronttest.MaxConns {
 		c := send(t, addr, rawRequest("enquiry", "2000m"))
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"standpulley/internal/dispatch"
+	"standpulley/internal/fake"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
-func start(t *testing.T, read func(*standin.Exchange), writes ...func(*standin.Exchange)) (*fronttest.Rig, string) {
+func start(t *testing.T, read func(*fake.Exchange), writes ...func(*fake.Exchange)) (*fronttest.Rig, string) {
 	t.Helper()
 	rig := fronttest.Start(t, read, writes...)
 	return rig, rig.Serve(t, New(rig.Core, rig.Pool, fronttest.Settings(), nil).Server())
@@ -58,8 +58,8 @@
 	return resp, string(text), err == nil
 }
 
-func serve(x *standin.Exchange) { x.Answer("a", "b") }
-func hang(x *standin.Exchange)  { x.WaitClosed() }
+func serve(x *fake.Exchange) { x.Answer("a", "b") }
+func hang(x *fake.Exchange)  { x.WaitClosed() }
 
 func TestServed(t *testing.T) {
 	rig, addr := start(t, fronttest.HealthyReader, serve)
@@ -76,9 +76,9 @@
 
 // Guards: a stream that breaks off must not look complete.
 func TestBrokenStreamEndsWithoutTheLastChunk(t *testing.T) {
-	for name, act := range map[string]func(*standin.Exchange){
-		"broken":  func(x *standin.Exchange) { x.Head(); x.Token("a"); x.Break() },
-		"stalled": func(x *standin.Exchange) { x.Head(); x.Token("a"); x.WaitClosed() },
+	for name, act := range map[string]func(*fake.Exchange){
+		"broken":  func(x *fake.Exchange) { x.Head(); x.Token("a"); x.Break() },
+		"stalled": func(x *fake.Exchange) { x.Head(); x.Token("a"); x.WaitClosed() },
 	} {
 		rig, addr := start(t, fronttest.HealthyReader, act)
 		if resp, body, complete := readAnswer(t, send(t, addr, rawRequest("enquiry", "2000m"))); resp.StatusCode != 200 || complete ||
@@ -94,7 +94,7 @@
 // Guards: fasthttp does not report a client that disconnects while a handler waits.
 func TestClientClosesWhileWaiting(t *testing.T) {
 	gone := make(chan bool, 1)
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { x.WaitClosed(); gone <- true })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { x.WaitClosed(); gone <- true })
 	c := send(t, addr, rawRequest("instruction", "3000m"))
 	fronttest.WaitFor(t, "the send to the writer", func() bool { return rig.WriterRequests() == 1 })
 	_ = c.Close()
@@ -108,7 +108,7 @@
 // Guards: the watch for a client's close must not disconnect a client that sends its next request
 // early.
 func TestPipelinedRequests(t *testing.T) {
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
+	_, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { time.Sleep(50 * time.Millisecond); serve(x) })
 	c := send(t, addr, rawRequest("enquiry", "3000m")+rawRequest("enquiry", "3000m"))
 	br := bufio.NewReader(c)
 	for i := range 2 {
@@ -140,7 +140,7 @@
 // Guards: a replica may close idle connections at any time; a request written to one would count as
 // a connection reset.
 func TestIdleConnectionClosedByReplica(t *testing.T) {
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) { serve(x); x.Break() })
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) { serve(x); x.Break() })
 	c := send(t, addr, "")
 	for range 3 {
 		if _, err := io.WriteString(c, rawRequest("instruction", "2000m")); err != nil {
@@ -158,7 +158,7 @@
 // Guards: a refused connection proves that nothing has run, so an instruction is sent to another
 // writer.
 func TestInstructionIsRetriedWhereItNeverRan(t *testing.T) {
-	full := func(x *standin.Exchange) { x.Status(503, true, "") }
+	full := func(x *fake.Exchange) { x.Status(503, true, "") }
 	rig, addr := start(t, fronttest.HealthyReader, full, serve)
 	rig.Writers[0].Close()
 	for range 4 {
@@ -174,7 +174,7 @@
 // Guards: a read that broke off may have succeeded, so the state that it may have left at the
 // replica is released.
 func TestBrokenReadIsReleased(t *testing.T) {
-	rig, addr := start(t, func(x *standin.Exchange) { x.Break() }, serve)
+	rig, addr := start(t, func(x *fake.Exchange) { x.Break() }, serve)
 	if resp, _, _ := readAnswer(t, send(t, addr, rawRequest("instruction", "1000m"))); resp.StatusCode != 503 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
+	"standpulley/internal/fake"
 	"standpulley/internal/fronttest"
-	"standpulley/internal/standin"
 )
 
 // A client that reads nothing of a long stream does not block others: the events of another stream
 // arrive one by one, each before its replica writes the next.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	next, full := make(chan bool), make(chan bool, 1)
-	_, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
+	_, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) {
 		x.Head()
 		if strings.HasSuffix(string(x.Req.Header.Peek("X-Object")), "f") { // the slow client's request
 			for range 1 << 12 { // 32 MB, of which the kernel buffers a part
@@ -66,7 +66,7 @@
 func TestStalledClientIsDisconnected(t *testing.T) {
 	t.Parallel()
 	gone, full := make(chan bool), make(chan bool, 1)
-	rig, addr := start(t, fronttest.HealthyReader, func(x *standin.Exchange) {
+	rig, addr := start(t, fronttest.HealthyReader, func(x *fake.Exchange) {
 		x.Head()
 		for {
 			select {
--- a/internal/fronttest/rig.go
+++ b/internal/fronttest/rig.go
@@ -9,9 +9,9 @@
 	"github.com/valyala/fasthttp"
 
 	"standpulley/internal/dispatch"
+	"standpulley/internal/fake"
 	"standpulley/internal/front"
 	"standpulley/internal/replica"
-	"standpulley/internal/standin"
 	"standpulley/logic"
 )
 
@@ -38,19 +38,19 @@
 type Rig struct {
 	Core    *dispatch.Dispatcher
 	Pool    *replica.Pool
-	Reader  *standin.Replica
-	Writers []*standin.Replica
+	Reader  *fake.Replica
+	Writers []*fake.Replica
 }
 
 // Start runs a core whose reader, if any, and whose writers run one script each. Without a reader
 // the writers are mixed servers, as plain servers of a chat API are: they prefill and decode by
 // themselves.
-func Start(t *testing.T, readScript func(*standin.Exchange), writeScripts ...func(*standin.Exchange)) *Rig {
+func Start(t *testing.T, readScript func(*fake.Exchange), writeScripts ...func(*fake.Exchange)) *Rig {
 	t.Helper()
 	r := &Rig{}
 	list := dispatch.Update{Full: true}
-	add := func(id, kind string, script func(*standin.Exchange)) *standin.Replica {
-		s, err := standin.Start("127.0.0.1:0", script)
+	add := func(id, kind string, script func(*fake.Exchange)) *fake.Replica {
+		s, err := fake.Start("127.0.0.1:0", script)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 }
 
 // HealthyReader is the script of a reader that succeeds.
-func HealthyReader(x *standin.Exchange) { x.Read(0) }
+func HealthyReader(x *fake.Exchange) { x.Read(0) }
 
 // WaitFor waits until a condition holds and fails the test after 5 s.
 func WaitFor(t *testing.T, condition string, holds func() bool) {
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -17,7 +17,7 @@
 
 	"standpulley/internal/appliance"
 	"standpulley/internal/cluster"
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // Program is the program that runs a dispatcher, and additions to its environment.
@@ -46,7 +46,7 @@
 	Dispatchers []*Dispatcher
 	voters      []string
 	relays      map[[2]string]*Relay // from a dispatcher to a voter
-	replicas    []standin.Entry
+	replicas    []fake.Entry
 	registry    *registry // nil where dispatchers don't agree on lists
 	start       time.Time
 
@@ -105,7 +105,7 @@
 
 // NewFleet writes the files of a script's dispatchers and sets up the links. It starts no
 // dispatcher.
-func NewFleet(s Script, program Program, folder string, replicas, spare []standin.Entry) (*Fleet, error) {
+func NewFleet(s Script, program Program, folder string, replicas, spare []fake.Entry) (*Fleet, error) {
 	f := &Fleet{program: program, folder: folder, relays: map[[2]string]*Relay{}, replicas: replicas, start: time.Now(), downtimes: map[string][][2]time.Duration{}}
 	total := s.Voters + s.Others
 	ports, err := freePorts(3 * total)
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -16,11 +16,11 @@
 
 	"standpulley/internal/boltfile"
 	"standpulley/internal/cluster"
+	"standpulley/internal/fake"
 	"standpulley/internal/front/once"
 	"standpulley/internal/ledger"
 	"standpulley/internal/ledgerstore"
 	"standpulley/internal/program"
-	"standpulley/internal/standin"
 )
 
 // Instruction is one instruction as its client means it. It is sent under a key, and again under
@@ -74,7 +74,7 @@
 }
 
 // countRun counts an execution of an instruction at a writer.
-func (o *instructionSet) countRun(x *standin.Exchange) {
+func (o *instructionSet) countRun(x *fake.Exchange) {
 	name := string(x.Req.Body())
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/proving/registry.go
+++ b/internal/proving/registry.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"standpulley/internal/cluster"
+	"standpulley/internal/fake"
 	"standpulley/internal/membership"
-	"standpulley/internal/standin"
 )
 
 // registry is the registry of replicas, with an agent beside each dispatcher. A change reaches an
@@ -18,16 +18,16 @@
 type registry struct {
 	mu      sync.Mutex
 	version int64
-	list    []standin.Entry
-	history [][]standin.Entry // by version, from 1 on
-	agents  map[string]*standin.Agent
-	spare   []standin.Entry // replicas that run but are not listed yet
+	list    []fake.Entry
+	history [][]fake.Entry // by version, from 1 on
+	agents  map[string]*fake.Agent
+	spare   []fake.Entry // replicas that run but are not listed yet
 }
 
-func newRegistry(list, spare []standin.Entry, names []string) (*registry, error) {
-	r := &registry{version: 1, list: list, history: [][]standin.Entry{nil, list}, agents: map[string]*standin.Agent{}, spare: spare}
+func newRegistry(list, spare []fake.Entry, names []string) (*registry, error) {
+	r := &registry{version: 1, list: list, history: [][]fake.Entry{nil, list}, agents: map[string]*fake.Agent{}, spare: spare}
 	for _, name := range names {
-		a, err := standin.StartAgent("127.0.0.1:0", list...)
+		a, err := fake.StartAgent("127.0.0.1:0", list...)
 		if err != nil {
 			return nil, err
 		}
@@ -48,7 +48,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list, version := slices.Clone(r.list), r.version+1
-	at := slices.IndexFunc(list, func(e standin.Entry) bool { return e.ID == key })
+	at := slices.IndexFunc(list, func(e fake.Entry) bool { return e.ID == key })
 	change, arg, _ := strings.Cut(value, ":")
 	switch change {
 	case "mute", "unmute":
@@ -100,7 +100,7 @@
 			return err
 		}
 		for i := range n {
-			list = append(list, standin.Entry{ID: fmt.Sprintf("many-%d", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "writer", State: membership.Terminating, Weight: 1})
+			list = append(list, fake.Entry{ID: fmt.Sprintf("many-%d", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "writer", State: membership.Terminating, Weight: 1})
 		}
 	case "twice", "kind": // the given agents report a list that is invalid: an ID twice, or an unknown kind
 		bad := list[0]
@@ -112,7 +112,7 @@
 		}
 		return nil
 	case "half": // removes all replicas with this prefix at once
-		list = slices.DeleteFunc(list, func(e standin.Entry) bool { return strings.HasPrefix(e.ID, key) })
+		list = slices.DeleteFunc(list, func(e fake.Entry) bool { return strings.HasPrefix(e.ID, key) })
 	default:
 		if at < 0 {
 			return fmt.Errorf("%s is not listed", key)
@@ -186,18 +186,18 @@
 }
 
 // entries returns the replicas in the registry.
-func (r *registry) entries() []standin.Entry {
+func (r *registry) entries() []fake.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.list)
 }
 
 // nextSpare returns the replica that is added next.
-func (r *registry) nextSpare() (standin.Entry, bool) {
+func (r *registry) nextSpare() (fake.Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.spare) == 0 {
-		return standin.Entry{}, false
+		return fake.Entry{}, false
 	}
 	return r.spare[0], true
 }
--- a/internal/proving/traffic.go
+++ b/internal/proving/traffic.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // traffic is the clients and replicas of a trial, and what they record.
@@ -29,9 +29,9 @@
 	// maxStall bounds, in nanoseconds, how long this process itself was recently not scheduled.
 	maxStall atomic.Int64
 
-	replicas    []*standin.Replica
-	list        []standin.Entry
-	spare       []standin.Entry
+	replicas    []*fake.Replica
+	list        []fake.Entry
+	spare       []fake.Entry
 	client      *http.Client
 	freshClient *http.Client // uses a new connection for each request
 	inFlight    sync.WaitGroup
@@ -60,12 +60,12 @@
 			kind, handle = "writer", t.handleWrite
 		}
 		name := fmt.Sprintf("%s-%d", kind, i)
-		r, err := standin.Start("127.0.0.1:0", func(x *standin.Exchange) { handle(x, name) })
+		r, err := fake.Start("127.0.0.1:0", func(x *fake.Exchange) { handle(x, name) })
 		if err != nil {
 			return nil, err
 		}
 		t.replicas = append(t.replicas, r)
-		e := standin.Entry{ID: name, Addr: r.Addr, Zone: "z", Kind: kind, State: "in_service", Weight: 1}
+		e := fake.Entry{ID: name, Addr: r.Addr, Zone: "z", Kind: kind, State: "in_service", Weight: 1}
 		if i < readerCount+writerCount {
 			t.list = append(t.list, e)
 		} else {
@@ -83,7 +83,7 @@
 
 // recordAttempt records an attempt that has arrived at a replica. It was sent no later than now,
 // and no earlier than now minus the longest recent stall of this process.
-func (t *traffic) recordAttempt(x *standin.Exchange, name string) {
+func (t *traffic) recordAttempt(x *fake.Exchange, name string) {
 	to := t.now()
 	from := to - time.Duration(t.maxStall.Load())
 	tag := string(x.Req.Header.Peek("X-Settings"))
@@ -93,7 +93,7 @@
 }
 
 // handleRead answers a read.
-func (t *traffic) handleRead(x *standin.Exchange, name string) {
+func (t *traffic) handleRead(x *fake.Exchange, name string) {
 	t.recordAttempt(x, name)
 	t.waitIfHung(name)
 	time.Sleep(readTime)
@@ -101,7 +101,7 @@
 }
 
 // handleWrite answers a write; some are refused or fail, by their count.
-func (t *traffic) handleWrite(x *standin.Exchange, name string) {
+func (t *traffic) handleWrite(x *fake.Exchange, name string) {
 	t.recordAttempt(x, name)
 	t.waitIfHung(name)
 	t.mu.Lock()
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -4,24 +4,24 @@
 	"testing"
 	"time"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 	"standpulley/logic"
 )
 
 // A probe must return the right outcome in time, whatever the replica does, and must not leak
 // connections.
 func TestProbes(t *testing.T) {
-	closed := startReplica(t, func(*standin.Exchange) {})
+	closed := startReplica(t, func(*fake.Exchange) {})
 	closed.Close()
 	for name, c := range map[string]struct {
-		act  func(*standin.Exchange)
+		act  func(*fake.Exchange)
 		want logic.Outcome
 	}{
-		"healthy": {func(x *standin.Exchange) { x.Status(200, false, "") }, logic.Delivered},
-		"busy":    {func(x *standin.Exchange) { x.Status(503, false, "") }, logic.Full},
-		"unknown": {func(x *standin.Exchange) { x.Status(404, false, "") }, logic.Full},
-		"silent":  {func(x *standin.Exchange) { x.WaitClosed() }, logic.ConnectFailed},
-		"broken":  {func(x *standin.Exchange) { x.Break() }, logic.ConnectFailed},
+		"healthy": {func(x *fake.Exchange) { x.Status(200, false, "") }, logic.Delivered},
+		"busy":    {func(x *fake.Exchange) { x.Status(503, false, "") }, logic.Full},
+		"unknown": {func(x *fake.Exchange) { x.Status(404, false, "") }, logic.Full},
+		"silent":  {func(x *fake.Exchange) { x.WaitClosed() }, logic.ConnectFailed},
+		"broken":  {func(x *fake.Exchange) { x.Break() }, logic.ConnectFailed},
 		"dead":    {nil, logic.ConnectFailed},
 	} {
 		r := closed
--- a/internal/replica/release_test.go
+++ b/internal/replica/release_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // Guards against a release that is tried only once at up to four replicas: if these were down, as
@@ -71,7 +71,7 @@
 		t.Cleanup(func() { _ = unresponsive.Close() })
 		addrs = append(addrs, unresponsive.Addr().String())
 	}
-	healthy := startReplica(t, func(*standin.Exchange) {})
+	healthy := startReplica(t, func(*fake.Exchange) {})
 	l := NewReleaser(NewPool(64, 0, 0))
 	start := time.Now()
 	l.Release("id1", append(addrs, healthy.Addr))
@@ -179,7 +179,7 @@
 // 1.9 s).
 func TestAttemptsDoNotUseReservedConnections(t *testing.T) {
 	pool := NewPool(reserveFrom, 0, 0)
-	rep := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
+	rep := startReplica(t, func(x *fake.Exchange) { x.Read(0) })
 	for range reserveFrom - reserveFrom/reserveShare {
 		if _, err := pool.get(t.Context(), rep.Addr, false); err != nil {
 			t.Fatal(err)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"standpulley/internal/dispatch"
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 	"standpulley/logic"
 )
 
@@ -40,9 +40,9 @@
 }
 
 // startReplica starts a fake replica that handles each exchange with act.
-func startReplica(t *testing.T, act func(*standin.Exchange)) *standin.Replica {
+func startReplica(t *testing.T, act func(*fake.Exchange)) *fake.Replica {
 	t.Helper()
-	r, err := standin.Start("127.0.0.1:0", act)
+	r, err := fake.Start("127.0.0.1:0", act)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,19 +61,19 @@
 // which an attempt can end.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		act  func(*standin.Exchange)
+		act  func(*fake.Exchange)
 		want dispatch.Result
 	}{
-		"read done":          {func(x *standin.Exchange) { x.Read(42) }, dispatch.Result{Outcome: logic.ReadDone, Tokens: 42}},
-		"error":              {func(x *standin.Exchange) { x.Status(500, false, "x") }, dispatch.Result{Outcome: logic.ServerError}},
-		"full":               {func(x *standin.Exchange) { x.Status(503, true, "x") }, dispatch.Result{Outcome: logic.Full}},
-		"timeout at replica": {func(x *standin.Exchange) { x.Status(504, true, "") }, dispatch.Result{Outcome: logic.Full}},
-		"503 without proof":  {func(x *standin.Exchange) { x.Status(503, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
-		"no state to fetch":  {func(x *standin.Exchange) { x.Status(410, true, "") }, dispatch.Result{Outcome: logic.Full, NoState: true}},
-		"410 without proof":  {func(x *standin.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
-		"reset":              {func(x *standin.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
-		"head, no event":     {func(x *standin.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
-		"no answer":          {func(x *standin.Exchange) { x.WaitClosed() }, dispatch.Result{Outcome: logic.TimedOut}},
+		"read done":          {func(x *fake.Exchange) { x.Read(42) }, dispatch.Result{Outcome: logic.ReadDone, Tokens: 42}},
+		"error":              {func(x *fake.Exchange) { x.Status(500, false, "x") }, dispatch.Result{Outcome: logic.ServerError}},
+		"full":               {func(x *fake.Exchange) { x.Status(503, true, "x") }, dispatch.Result{Outcome: logic.Full}},
+		"timeout at replica": {func(x *fake.Exchange) { x.Status(504, true, "") }, dispatch.Result{Outcome: logic.Full}},
+		"503 without proof":  {func(x *fake.Exchange) { x.Status(503, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
+		"no state to fetch":  {func(x *fake.Exchange) { x.Status(410, true, "") }, dispatch.Result{Outcome: logic.Full, NoState: true}},
+		"410 without proof":  {func(x *fake.Exchange) { x.Status(410, false, "") }, dispatch.Result{Outcome: logic.ServerError}},
+		"reset":              {func(x *fake.Exchange) { x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost}},
+		"head, no event":     {func(x *fake.Exchange) { x.Head(); x.Break() }, dispatch.Result{Outcome: logic.ConnectionLost, NoState: true}},
+		"no answer":          {func(x *fake.Exchange) { x.WaitClosed() }, dispatch.Result{Outcome: logic.TimedOut}},
 	} {
 		r := startReplica(t, c.act)
 		timeout := 5 * time.Second
@@ -96,8 +96,8 @@
 
 // writeRaw returns a handler that writes the parts of an answer and then leaves the connection open
 // and silent.
-func writeRaw(parts ...string) func(*standin.Exchange) {
-	return func(x *standin.Exchange) {
+func writeRaw(parts ...string) func(*fake.Exchange) {
+	return func(x *fake.Exchange) {
 		for i, w := range parts {
 			if i == len(parts)-1 && w == "" {
 				break // nothing left to write
@@ -113,7 +113,7 @@
 // An answer that is malformed before the end of its first event must soon end the attempt as
 // failed, with a result that tells that the replica has run it.
 func TestMalformedBeforeFirstEvent(t *testing.T) {
-	for name, act := range map[string]func(*standin.Exchange){
+	for name, act := range map[string]func(*fake.Exchange){
 		"binary noise":       writeRaw("\x00\x01\xff\xfe noise without end"),
 		"lines of text":      writeRaw("what is this\r\nno head\r\n\r\n"),
 		"endless head":       writeRaw("HTTP/1.1 200 OK\r\nX-Filler: ", strings.Repeat("x", 1<<16)),
@@ -144,15 +144,15 @@
 // A stream that becomes malformed later must soon end as incomplete, and only complete events may
 // be passed on.
 func TestMalformedAfterFirstEvent(t *testing.T) {
-	for name, act := range map[string]func(*standin.Exchange){
+	for name, act := range map[string]func(*fake.Exchange){
 		"invalid chunk size":       writeRaw(head + "\r\n" + event + "zz\r\n" + event),
 		"chunk too short":          writeRaw(head + "\r\n" + event + "5\r\ndata: {}\n\n\r\n" + event),
 		"chunk too long":           writeRaw(head + "\r\n" + event + "ff\r\ndata: {}\n\n\r\n" + event),
 		"3 GB":                     writeRaw(head+"\r\n"+event+"c0000000\r\n", strings.Repeat("x", 1<<20)),
 		"endless chunk size":       writeRaw(head+"\r\n"+event, strings.Repeat("0", 1<<16)),
 		"endless trailer":          writeRaw(head+"\r\n"+event+"0\r\n", strings.Repeat("a: b\r\n", 1<<10)),
-		"reset":                    func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); x.Break() },
-		"close without last chunk": func(x *standin.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); _ = x.Conn.Close() },
+		"reset":                    func(x *fake.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); x.Break() },
+		"close without last chunk": func(x *fake.Exchange) { _, _ = io.WriteString(x.Conn, head+"\r\n"+event); _ = x.Conn.Close() },
 	} {
 		pool := NewPool(4, 0, 0)
 		pool.StallTimeout = time.Second
@@ -251,7 +251,7 @@
 // say nothing about the replica.
 func TestCancel(t *testing.T) {
 	gone := make(chan bool, 1)
-	r := startReplica(t, func(x *standin.Exchange) { x.WaitClosed(); gone <- true })
+	r := startReplica(t, func(x *fake.Exchange) { x.WaitClosed(); gone <- true })
 	rep, at := send(NewPool(4, 0, 0), r.Addr, 10*time.Second, "b")
 	for len(r.Calls("")) == 0 {
 		time.Sleep(time.Millisecond)
@@ -276,7 +276,7 @@
 // The deadline of an attempt must not cut its stream once the stream is read, however long it
 // lasts.
 func TestDeadlineDoesNotCutStream(t *testing.T) {
-	r := startReplica(t, func(x *standin.Exchange) {
+	r := startReplica(t, func(x *fake.Exchange) {
 		x.Head()
 		for range 5 {
 			x.Token("a")
@@ -303,7 +303,7 @@
 // Connections must be reused once they have been idle for minRest, but not if they have been idle
 // for nearly as long as the replica allows.
 func TestConnectionsAreReusedAndRetired(t *testing.T) {
-	r := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
+	r := startReplica(t, func(x *fake.Exchange) { x.Read(0) })
 	pool := NewPool(4, 100*time.Second, 0)
 	for range 3 {
 		rep, _ := send(pool, r.Addr, time.Second, "b")
@@ -324,8 +324,8 @@
 // The number of open connections must be bounded. Idle ones to other replicas are evicted for new
 // ones.
 func TestPoolIsBounded(t *testing.T) {
-	a := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
-	b := startReplica(t, func(x *standin.Exchange) { x.Read(0) })
+	a := startReplica(t, func(x *fake.Exchange) { x.Read(0) })
+	b := startReplica(t, func(x *fake.Exchange) { x.Read(0) })
 	pool := NewPool(1, 0, 0)
 	for _, addr := range []string{a.Addr, b.Addr, a.Addr} {
 		rep, _ := send(pool, addr, time.Second, "b")
@@ -342,7 +342,7 @@
 // reset the connection, and the request is lost then, as it can't be repeated.
 func TestNoReuseUsesNewConnections(t *testing.T) {
 	var conns sync.Map
-	r := startReplica(t, func(x *standin.Exchange) {
+	r := startReplica(t, func(x *fake.Exchange) {
 		if _, reused := conns.LoadOrStore(x.Conn, true); reused {
 			x.Break()
 			return
@@ -401,7 +401,7 @@
 // and silent. After an attempt without an answer for suspectAfter the idle ones must be closed.
 func TestIdleConnectionsToSilentReplicaAreClosed(t *testing.T) {
 	pool := NewPool(8, 0, 0)
-	silent := startReplica(t, func(x *standin.Exchange) { x.WaitClosed() })
+	silent := startReplica(t, func(x *fake.Exchange) { x.WaitClosed() })
 	for range 2 { // two idle connections, besides the one of the attempt
 		c, err := pool.dial(context.Background(), silent.Addr, 0)
 		if err != nil {
@@ -420,14 +420,14 @@
 
 // A release that one replica can't serve must be sent to another.
 func TestReleaseTriesOtherReplicas(t *testing.T) {
-	down := startReplica(t, func(*standin.Exchange) {})
+	down := startReplica(t, func(*fake.Exchange) {})
 	down.Close()
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unresponsive.Close()
-	healthy := startReplica(t, func(*standin.Exchange) {})
+	healthy := startReplica(t, func(*fake.Exchange) {})
 	l := NewReleaser(NewPool(4, 0, 0))
 	l.Release("id1", []string{down.Addr, unresponsive.Addr().String(), healthy.Addr})
 	for end := time.Now().Add(5 * time.Second); len(healthy.Calls("DELETE")) == 0; time.Sleep(time.Millisecond) {
@@ -443,7 +443,7 @@
 // BeforeSend must be called right before the first byte is written, and no byte may be written if
 // it returns an error.
 func TestBeforeSendCanPreventSend(t *testing.T) {
-	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
+	r := startReplica(t, func(x *fake.Exchange) { x.Read(1) })
 	pool, checks := NewPool(4, 0, 0), 0
 	for _, err := range []error{nil, errors.Join(dispatch.ErrNoLease, errors.New("lease expired")), dispatch.ErrWithdrawn, dispatch.ErrRepeatWindowClosed} {
 		rep := newRecorder()
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"standpulley/internal/dispatch"
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 	"standpulley/logic"
 )
 
@@ -53,10 +53,10 @@
 func TestBreakWithinFirstEventIsNoAnswer(t *testing.T) {
 	for _, cut := range []int{1, 6, len(fullEvent) - 1} {
 		for _, size := range []int{1, 7, 1 << 10} {
-			for name, end := range map[string]func(*standin.Exchange){
-				"reset": (*standin.Exchange).Break, "no answer": (*standin.Exchange).WaitClosed,
+			for name, end := range map[string]func(*fake.Exchange){
+				"reset": (*fake.Exchange).Break, "no answer": (*fake.Exchange).WaitClosed,
 			} {
-				r := startReplica(t, func(x *standin.Exchange) {
+				r := startReplica(t, func(x *fake.Exchange) {
 					_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent[:cut], size)) // errors show in the result
 					end(x)
 				})
@@ -81,7 +81,7 @@
 func TestChunkedAnswerIsPassedOnUnchanged(t *testing.T) {
 	for _, size := range []int{1, 7, 1 << 10} {
 		proceed := make(chan bool)
-		r := startReplica(t, func(x *standin.Exchange) {
+		r := startReplica(t, func(x *fake.Exchange) {
 			_, _ = io.WriteString(x.Conn, head+"\r\n"+chunked(fullEvent, size)) // an error shows in the stream
 			<-proceed
 			_, _ = io.WriteString(x.Conn, chunked(fullEvent, size)+"0\r\n\r\n")
@@ -110,7 +110,7 @@
 // for the answer to the next request on the connection. A connection is not reused until it has
 // been idle for minRest, and by then the second answer shows.
 func TestSecondAnswerIsNotTakenForTheNextOne(t *testing.T) {
-	r := startReplica(t, func(x *standin.Exchange) { x.Read(1) })
+	r := startReplica(t, func(x *fake.Exchange) { x.Read(1) })
 	pool := NewPool(4, 0, 0)
 	c, err := pool.get(context.Background(), r.Addr, false)
 	if err != nil {
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -11,7 +11,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // Life is one process of a dispatcher, from its start to its end.
@@ -38,7 +38,7 @@
 	listen string
 	file   string // its configuration
 	log    string
-	agent  *standin.Agent
+	agent  *fake.Agent
 
 	fileMu sync.Mutex // held while the configuration is not whole
 
@@ -209,8 +209,8 @@
 	return os.Rename(next, d.file)
 }
 
-func newDispatcher(folder string, n int, listen string, list []standin.Entry) (*dispatcher, error) {
-	agent, err := standin.StartAgent("127.0.0.1:0", list...)
+func newDispatcher(folder string, n int, listen string, list []fake.Entry) (*dispatcher, error) {
+	agent, err := fake.StartAgent("127.0.0.1:0", list...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/large.go
+++ b/internal/soak/large.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // LargeScenario is one dispatcher before many replicas of three zones, each of one cell. Unless it is quiet, six in ten replicas are replaced
@@ -49,8 +49,8 @@
 
 // localReplica is a replica in this process.
 type localReplica struct {
-	*standin.Replica
-	entry standin.Entry
+	*fake.Replica
+	entry fake.Entry
 }
 
 // largeRun is a run under way.
@@ -155,7 +155,7 @@
 // add starts a replica, in the place of another if there was one.
 func (r *largeRun) addReplica(before *localReplica) error {
 	n, number := &localReplica{}, len(r.replicas)
-	e := standin.Entry{Zone: zoneName(number % largeZones), Kind: "reader", State: "in_service", Weight: 1}
+	e := fake.Entry{Zone: zoneName(number % largeZones), Kind: "reader", State: "in_service", Weight: 1}
 	if number/largeZones%2 == 1 {
 		e.Kind = "writer"
 	}
@@ -185,7 +185,7 @@
 	var draining []*localReplica
 	for step := range replaceSteps + 1 {
 		next := time.Now().Add(replaceStep)
-		var changed []standin.Entry
+		var changed []fake.Entry
 		for _, n := range draining {
 			n.entry.State = "terminated"
 			changed = append(changed, n.entry)
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -11,7 +11,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // ReplicaEnv holds the ReplicaConfig of a process that is to be a replica.
@@ -110,12 +110,12 @@
 }
 
 // listen serves calls.
-func (r *replica) listen() (*standin.Replica, error) {
+func (r *replica) listen() (*fake.Replica, error) {
 	act := r.write
 	if r.cfg.Reader {
 		act = r.read
 	}
-	return standin.StartWithObserver(r.cfg.Listen, r.onCall, act)
+	return fake.StartWithObserver(r.cfg.Listen, r.onCall, act)
 }
 
 // RunReplica is the process of a replica. It returns when its registry has gone.
@@ -166,14 +166,14 @@
 }
 
 // ended reports the end of an attempt. Where the replica fell silent meanwhile, the dispatcher has given it up just now.
-func (r *replica) ended(x *standin.Exchange) {
+func (r *replica) ended(x *fake.Exchange) {
 	if x.Stalled() {
 		r.report(Abandoned, x.ID)
 	}
 	r.report(Ended, x.ID)
 }
 
-func (r *replica) onCall(c standin.Call) {
+func (r *replica) onCall(c fake.Call) {
 	switch c.Method {
 	case "DELETE":
 		r.report(Released, c.Path[len("/bootstrap/rooms/"):])
@@ -183,7 +183,7 @@
 }
 
 // misbehave plays what the conduct asks for instead of an answer, and tells whether it did.
-func (r *replica) misbehave(x *standin.Exchange) bool {
+func (r *replica) misbehave(x *fake.Exchange) bool {
 	r.mu.Lock()
 	c, p := r.behavior, r.draw.Float64()
 	r.mu.Unlock()
@@ -215,7 +215,7 @@
 	return wait
 }
 
-func (r *replica) read(x *standin.Exchange) {
+func (r *replica) read(x *fake.Exchange) {
 	defer r.ended(x)
 	if r.misbehave(x) || x.WaitClosedFor(r.randDuration(readMin, readMax)) {
 		return
@@ -231,7 +231,7 @@
 	extraTokensMax     = 150
 )
 
-func (r *replica) write(x *standin.Exchange) {
+func (r *replica) write(x *fake.Exchange) {
 	defer r.ended(x)
 	if r.misbehave(x) {
 		return
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,7 +16,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/standin"
+	"standpulley/internal/fake"
 )
 
 // Program is what a run starts: the dispatcher's program, and one that calls RunReplica where ReplicaEnv is set.
@@ -66,7 +66,7 @@
 	dispatchers []*dispatcher
 	groups      []*group
 	clients     *clients
-	entries     []standin.Entry
+	entries     []fake.Entry
 	host        string
 	port        int // of the address that was given last
 
@@ -194,7 +194,7 @@
 			return err
 		}
 		r.nodes = append(r.nodes, n)
-		r.entries = append(r.entries, standin.Entry{ID: n.cfg.Name, Addr: n.link.Addr, Zone: zoneName(0), Kind: kind, State: "in_service", Weight: 1})
+		r.entries = append(r.entries, fake.Entry{ID: n.cfg.Name, Addr: n.link.Addr, Zone: zoneName(0), Kind: kind, State: "in_service", Weight: 1})
 	}
 	if err := waitUntil(5*time.Second, func() bool { return r.registry.reported() == len(r.nodes) }); err != nil {
 		return fmt.Errorf("replicas: %w", err)
