--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -23,10 +23,10 @@
 	// Replaces the capacity that this dispatcher acts on.
 	OverrideKnown func(recovery.WarmRates) recovery.WarmRates
 	// Replaces the capacity that is reported to other dispatchers.
-	OverrideReported func(name string, k recovery.WarmRates) recovery.WarmRates
-	OverrideManner   func(recovery.Permissions) recovery.Permissions
-	OverrideRate     func(float64) float64 // replaces the admitted rate
-	TrustInitialList bool                  // trust start times in a list from before the start of this process
+	OverrideReported    func(name string, k recovery.WarmRates) recovery.WarmRates
+	OverridePermissions func(recovery.Permissions) recovery.Permissions
+	OverrideRate        func(float64) float64 // replaces the admitted rate
+	TrustInitialList    bool                  // trust start times in a list from before the start of this process
 }
 
 const (
@@ -38,7 +38,7 @@
 	leaveTime        = 10 * time.Second
 	learnMinRequests = 100              // requests served normally from which the capacity is learned
 	learnMaxTime     = 10 * time.Minute // with fewer requests, the capacity is learned after this time
-	capacityNote     = "bears"          // key of the stored note in the log of the agreement
+	capacityKey      = "bears"          // key of the stored value in the log of the cluster
 )
 
 // recoveryState runs the recovery stages of this dispatcher from its start until it serves
@@ -52,11 +52,11 @@
 
 	mu           sync.Mutex
 	machine      *recovery.Machine
-	manner       recovery.Permissions
+	permissions  recovery.Permissions
 	stage        recovery.Stage
 	stageSince   time.Time
 	servingSince time.Time // when normal service began; zero before
-	gate         *recovery.AdmissionLimiter
+	limiter      *recovery.AdmissionLimiter
 	classes      []logic.Class
 	admitSince   time.Time          // when admission of requests began; zero before
 	refusedRate  float64            // requests refused per second, recently
@@ -72,11 +72,11 @@
 }
 
 func newRecoveryState(a *agreementAdapter, cfg config.Config) *recoveryState {
-	b := &recoveryState{adapter: a, name: cfg.Name, ramp: cfg.Settings.RampTime, coldFrom: cfg.Settings.ColdFrom, startedAt: time.Now(), stageSince: time.Now(), gate: recovery.NewAdmissionLimiter(0),
+	b := &recoveryState{adapter: a, name: cfg.Name, ramp: cfg.Settings.RampTime, coldFrom: cfg.Settings.ColdFrom, startedAt: time.Now(), stageSince: time.Now(), limiter: recovery.NewAdmissionLimiter(0),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 23))}
 	b.machine = recovery.NewMachine(0, recovery.Timeouts{Find: cfg.Recovery.FindTimeout(), Learn: cfg.Recovery.LearnTimeout(), Admit: cfg.Settings.RampTime + warmSlack, Surge: leaveTime})
-	b.manner = recovery.Permissions{Reason: "it is starting"}
-	text, err := a.node.LoadValue(capacityNote)
+	b.permissions = recovery.Permissions{Reason: "it is starting"}
+	text, err := a.node.LoadValue(capacityKey)
 	if err == nil && text != nil {
 		err = jsoniter.Unmarshal(text, &b.known)
 	}
@@ -95,7 +95,7 @@
 	defer b.mu.Unlock()
 	b.kinds, cfg.Settings.WarmRates = cfg.Settings.Kinds, b.effective()
 	if n := len(cfg.Settings.Classes); n != len(b.classes) {
-		b.gate = recovery.NewAdmissionLimiter(n) // it admits requests again from the next step on
+		b.limiter = recovery.NewAdmissionLimiter(n) // it admits requests again from the next step on
 	}
 	b.classes, b.maxRetryAfter = cfg.Settings.Classes, cfg.Settings.MaxRetryAfter
 }
@@ -205,7 +205,7 @@
 	}
 	text, err := jsoniter.Marshal(next)
 	if err == nil {
-		err = b.adapter.node.SaveValue(capacityNote, text)
+		err = b.adapter.node.SaveValue(capacityKey, text)
 	}
 	if err != nil {
 		slog.Error("recovery: cannot store the fleet capacity", "error", err)
@@ -228,32 +228,32 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if RecoveryHooks.OverrideManner != nil {
-		defer func() { b.manner = RecoveryHooks.OverrideManner(b.manner) }()
+	if RecoveryHooks.OverridePermissions != nil {
+		defer func() { b.permissions = RecoveryHooks.OverridePermissions(b.permissions) }()
 	}
 	b.capacity = b.effective().Capacity(weights, b.kinds)
 	// With no known capacity, warm replicas show by themselves what they can serve.
-	f.Throttled = b.capacity > 0 && b.gate.Throttling(now.Sub(b.startedAt))
-	manner := b.machine.Step(now.Sub(b.startedAt), f)
+	f.Throttled = b.capacity > 0 && b.limiter.Throttling(now.Sub(b.startedAt))
+	permissions := b.machine.Step(now.Sub(b.startedAt), f)
 	stage, _ := b.machine.Current()
-	if manner.AcceptRequests && b.admitSince.IsZero() {
+	if permissions.AcceptRequests && b.admitSince.IsZero() {
 		b.admitSince = now
 	}
-	if stage == recovery.Serving && manner.AcceptRequests && b.servingSince.IsZero() {
+	if stage == recovery.Serving && permissions.AcceptRequests && b.servingSince.IsZero() {
 		b.servingSince = now
 	}
 	if stage != b.stage {
 		slog.Info("recovery: stage changed", "stage", stage.String(), "after", now.Sub(b.stageSince).Round(time.Millisecond), "lone", b.machine.JoinedWarmFleet())
 		b.stage, b.stageSince = stage, now
 	}
-	if manner.LimitRate {
+	if permissions.LimitRate {
 		rate := b.newRamp().Rate(now.Sub(b.admitSince), proven)
 		if RecoveryHooks.OverrideRate != nil {
 			rate = RecoveryHooks.OverrideRate(rate)
 		}
-		b.gate.SetRate(now.Sub(b.startedAt), rate)
+		b.limiter.SetRate(now.Sub(b.startedAt), rate)
 	}
-	b.manner, b.refusedRate = manner, refused
+	b.permissions, b.refusedRate = permissions, refused
 }
 
 func (b *recoveryState) newRamp() recovery.Ramp {
@@ -274,20 +274,20 @@
 func (b *recoveryState) admit(q dispatch.Admission) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	manner := b.manner
+	permissions := b.permissions
 	now := time.Now()
 	switch {
-	case !manner.AcceptRequests:
-	case q.AtMostOnce && !manner.AcceptAtMostOnce:
-	case manner.LimitRate && !b.gate.Admit(now.Sub(b.startedAt), b.classIndex(q.Class), q.Retry, q.Tenant):
+	case !permissions.AcceptRequests:
+	case q.AtMostOnce && !permissions.AcceptAtMostOnce:
+	case permissions.LimitRate && !b.limiter.Admit(now.Sub(b.startedAt), b.classIndex(q.Class), q.Retry, q.Tenant):
 	default:
 		return nil
 	}
-	after := recovery.RetryAfter(max(b.refusedRate, b.gate.RefusedRate(now.Sub(b.startedAt))), b.gate.Rate(), b.rng.Float64())
+	after := recovery.RetryAfter(max(b.refusedRate, b.limiter.RefusedRate(now.Sub(b.startedAt))), b.limiter.Rate(), b.rng.Float64())
 	if b.maxRetryAfter > 0 {
 		after = min(after, b.maxRetryAfter)
 	}
-	return &notAdmitted{fmt.Sprintf("coming back, stage %v: %s", b.stage, manner.Reason), after}
+	return &notAdmitted{fmt.Sprintf("coming back, stage %v: %s", b.stage, permissions.Reason), after}
 }
 
 // classIndex returns the position of a class in the operator's order; an unknown name gets the last
@@ -304,7 +304,7 @@
 func (b *recoveryState) ready() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.manner.AcceptRequests
+	return b.permissions.AcceptRequests
 }
 
 // servingFor returns for how long the dispatcher has served normally.
@@ -321,10 +321,10 @@
 func (b *recoveryState) describe() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stage == recovery.Serving && b.manner.Reason == "" {
+	if b.stage == recovery.Serving && b.permissions.Reason == "" {
 		return ""
 	}
-	return fmt.Sprintf("%v for %v: %s", b.stage, time.Since(b.stageSince).Round(100*time.Millisecond), b.manner.Reason)
+	return fmt.Sprintf("%v for %v: %s", b.stage, time.Since(b.stageSince).Round(100*time.Millisecond), b.permissions.Reason)
 }
 
 // metrics emits the recovery metrics for the admin endpoint.
@@ -333,8 +333,8 @@
 	defer b.mu.Unlock()
 	emit("recovery.stage", int(b.stage), "g") // 0 to 5, in the order of recovery.Stage
 	emit("recovery.stage_ms", int(time.Since(b.stageSince).Milliseconds()), "g")
-	emit("recovery.let_in", int(b.gate.Rate()), "g") // requests admitted per second during the ramp
-	emit("recovery.bears", int(b.capacity), "g")     // known capacity of this dispatcher in requests per second
+	emit("recovery.let_in", int(b.limiter.Rate()), "g") // requests admitted per second during the ramp
+	emit("recovery.bears", int(b.capacity), "g")        // known capacity of this dispatcher in requests per second
 }
 
 // rateCounter computes a rate per second from a cumulative count, over rateWindow.
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -97,7 +97,7 @@
 		}
 	}, Harmless: true},
 	"recovery-early-instructions": {Description: "instructions are admitted before it is known which ones may have run: the ledger must refuse them", inject: func() {
-		program.RecoveryHooks.OverrideManner = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
+		program.RecoveryHooks.OverridePermissions = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
 	}, Harmless: true},
 	"recovery-refound-forgets-acts": {Description: "a new cluster omits versions that dispatchers acted on and that its log lacks", inject: func() {
 		program.AgreementHooks.Rebootstrap = func(before, next *clusterstate.Record) {
