--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -54,7 +54,7 @@
 
 // UpdateSettings replaces the settings for subsequent requests.
 func (f *Front) UpdateSettings(set logic.Settings) {
-	s := &settings{classes: map[string]logic.Class{}, resumable: set.CanResumeElsewhere()}
+	s := &settings{classes: map[string]logic.Class{}, resumable: set.Resumable()}
 	for _, c := range set.Classes {
 		s.classes[c.Name] = c
 	}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -116,9 +116,9 @@
 	Resume         bool          // clients ask for the rest of a broken stream
 }
 
-// CanResumeElsewhere reports whether a client whose stream breaks can get the rest of it from
+// Resumable reports whether a client whose stream breaks can get the rest of it from
 // another router.
-func (s Settings) CanResumeElsewhere() bool { return s.Resume && s.Siblings > 1 }
+func (s Settings) Resumable() bool { return s.Resume && s.Siblings > 1 }
 
 // check returns an error that names the first invalid setting.
 func (s Settings) check() error {
