--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -17,7 +17,7 @@
 type Ledger interface {
 	// CheckRepeat returns an error if a repeat of an instruction must not be accepted.
 	CheckRepeat(key ledger.Key, deadline time.Time) error
-	// Note returns the recorder for the attempts of an instruction.
+	// IntentRecorder returns the recorder for the attempts of an instruction.
 	IntentRecorder(key ledger.Key, customer string, named bool) dispatch.IntentRecorder
 }
 
--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -21,8 +21,8 @@
 	"standpulley/internal/membership"
 )
 
-// agreementAdapter connects the program to the agreement on settings: it checks proposed versions
-// and puts agreed ones in force.
+// agreementAdapter connects the program to the cluster, which agrees on settings: it checks proposed
+// versions and puts agreed ones in force.
 type agreementAdapter struct {
 	p             *program
 	node          *cluster.Node
@@ -74,7 +74,7 @@
 // peersShare is the share of the sockets that connections from other dispatchers may use.
 const peersShare = 0.1
 
-// Options returns the options of the agreement node for a configuration and a state folder.
+// Options returns the options of the cluster node for a configuration and a state folder.
 func Options(cfg config.Config, folder string) cluster.Options {
 	opt := cluster.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), OnLeaseLoss: cfg.Agree.Alone,
 		MaxConns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Hooks: AgreementHooks}
@@ -92,7 +92,7 @@
 	return opt
 }
 
-// AgreementHooks are fault injection hooks of the agreement node, set only in test builds.
+// AgreementHooks are fault injection hooks of the cluster node, set only in test builds.
 var AgreementHooks cluster.Hooks
 
 // ListHooks are fault injection hooks for replica lists, set only in test builds. The zero value
@@ -166,7 +166,7 @@
 	return cluster.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
 }
 
-// openAgreement opens the agreement node and returns the configuration to start with: if this
+// openAgreement opens the cluster node and returns the configuration to start with: if this
 // dispatcher has acted on an agreed version before, that version replaces the settings of the file.
 func (p *program) openAgreement(cfg config.Config, folder string) (*agreementAdapter, config.Config, error) {
 	a := &agreementAdapter{p: p, applyRequests: make(chan applyRequest), file: cfg}
@@ -232,7 +232,7 @@
 	return config.AgreeFault(err)
 }
 
-// TakeUp puts a version in force under a lease. Open requests stay open.
+// Activate puts a version in force under a lease. Open requests stay open.
 func (a *agreementAdapter) Activate(v clusterstate.Version, lease *clusterstate.Lease) error {
 	a.mu.Lock()
 	cfg, err := a.file.WithSettings(v.Content)
@@ -261,7 +261,7 @@
 	return err
 }
 
-// TakeList applies an agreed replica list and the number of live dispatchers.
+// ApplyList applies an agreed replica list and the number of live dispatchers.
 func (a *agreementAdapter) ApplyList(l membership.List, live int, hasShare bool) error {
 	if !a.lists.applyAgreed(l, live, hasShare) {
 		return nil
@@ -282,21 +282,21 @@
 	return a.apply(cfg, nil, content)
 }
 
-// Read starts or stops reading discovery on behalf of all dispatchers.
+// SetReading starts or stops reading discovery on behalf of all dispatchers.
 func (a *agreementAdapter) SetReading(on bool) {
 	if a.lists != nil {
 		a.lists.setReading(on)
 	}
 }
 
-// Alone is called when there is no lease: no other dispatcher reads discovery for this one.
+// LeaseLost is called when there is no lease: no other dispatcher reads discovery for this one.
 func (a *agreementAdapter) LeaseLost() {
 	if a.lists != nil {
 		a.lists.startReadingAlone()
 	}
 }
 
-// Deaf reports whether this dispatcher reads discovery and gets no answers.
+// RegistrySilent reports whether this dispatcher reads discovery and gets no answers.
 func (a *agreementAdapter) RegistrySilent() bool { return a.lists != nil && a.lists.discoveryFailing() }
 
 // fillConsole adds the recovery stage and the reason for a missing lease to a console reply.
@@ -324,7 +324,7 @@
 	return phase.String()
 }
 
-// Serves returns for how long the program has served without the restrictions of recovery.
+// ServingTime returns for how long the program has served without the restrictions of recovery.
 func (a *agreementAdapter) ServingTime() time.Duration {
 	if a.recovery == nil {
 		return 0
@@ -332,7 +332,7 @@
 	return a.recovery.servingFor()
 }
 
-// Bears returns the known capacity of replicas by kind; nil if nothing uses it.
+// WarmRates returns the known capacity of replicas by kind; nil if nothing uses it.
 func (a *agreementAdapter) WarmRates() map[string]float64 {
 	if a.recovery == nil {
 		return nil
@@ -382,7 +382,7 @@
 	return answer
 }
 
-// metrics emits the agreement metrics for the admin endpoint.
+// metrics emits the cluster's metrics for the admin endpoint.
 func (a *agreementAdapter) metrics(emit func(name string, value int, kind string)) {
 	o := a.node.Status()
 	emit("agreement.version", int(o.Version), "g")
--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -21,7 +21,7 @@
 	reloads chan reloadRequest
 	state   chan chan appliance.Reply
 	done    chan struct{}
-	// Set once the agreement runs; nil if dispatchers do not agree on settings.
+	// Set once the cluster node runs; nil if dispatchers do not agree on settings.
 	agreement atomic.Pointer[agreementAdapter]
 }
 
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -64,7 +64,7 @@
 }
 
 // updateOwn takes an update from own discovery. The core gets stricter states at once; the leader
-// of the agreement gets all entries.
+// of the cluster gets all entries.
 func (l *listMerger) updateOwn(u dispatch.Update) {
 	l.mu.Lock()
 	l.sendDrainsFirst(u)
