--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -12,29 +12,29 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
-	"standpulley/internal/agreement"
 	"standpulley/internal/appliance"
-	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 	"standpulley/internal/dispatch"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/membership"
 )
 
-// agreementAdapter connects the program to the agreement on settings: it checks proposed versions
-// and puts agreed ones in force.
+// agreementAdapter connects the program to the cluster, which agrees on settings: it checks proposed
+// versions and puts agreed ones in force.
 type agreementAdapter struct {
 	p             *program
-	node          *agreement.Node
+	node          *cluster.Node
 	applyRequests chan applyRequest
 
 	mu      sync.Mutex
 	file    config.Config // the last file that was read; all of it applies except the settings
 	inForce string        // content of the settings in force
 
-	lists    *listMerger          // nil if each dispatcher uses its own discovery service
-	recovery *recoveryState       // nil if recovery in stages is not configured
-	keeper   *bookkeeping.Service // nil if there is no shared ledger
+	lists    *listMerger        // nil if each dispatcher uses its own discovery service
+	recovery *recoveryState     // nil if recovery in stages is not configured
+	keeper   *intentlog.Service // nil if there is no shared ledger
 }
 
 // applyRequest asks the main goroutine of the program to apply a version.
@@ -46,7 +46,7 @@
 
 // nodeLease is a lease measured by the clock of the node.
 type nodeLease struct {
-	lease *agree.Lease
+	lease *clusterstate.Lease
 	now   func() time.Duration
 }
 
@@ -74,12 +74,12 @@
 // peersShare is the share of the sockets that connections from other dispatchers may use.
 const peersShare = 0.1
 
-// Options returns the options of the agreement node for a configuration and a state folder.
-func Options(cfg config.Config, folder string) agreement.Options {
-	opt := agreement.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), OnLeaseLoss: cfg.Agree.Alone,
+// Options returns the options of the cluster node for a configuration and a state folder.
+func Options(cfg config.Config, folder string) cluster.Options {
+	opt := cluster.Options{Name: cfg.Name, Cluster: cfg.Agree.Cluster, Voters: cfg.Agree.Voters, Timing: cfg.Agree.Timing(), OnLeaseLoss: cfg.Agree.Alone,
 		MaxConns: max(int(peersShare*float64(cfg.Limits.Sockets)), 32), Folder: folder, Hooks: AgreementHooks}
 	if l := cfg.Agree.Lists; l != nil {
-		opt.Lists = &agreement.Lists{MaxReaders: l.Readers, CanRead: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMaxEntries,
+		opt.Lists = &cluster.Lists{MaxReaders: l.Readers, CanRead: true, Limits: membership.Limits{Bulk: l.Bulk, Batch: listBatch, MaxEntries: listMaxEntries,
 			MaxAge: listReaderTimeout, MaxFlaps: listFlaps, FlapWindow: listCalm}}
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; votes {
@@ -92,8 +92,8 @@
 	return opt
 }
 
-// AgreementHooks are fault injection hooks of the agreement node, set only in test builds.
-var AgreementHooks agreement.Hooks
+// AgreementHooks are fault injection hooks of the cluster node, set only in test builds.
+var AgreementHooks cluster.Hooks
 
 // ListHooks are fault injection hooks for replica lists, set only in test builds. The zero value
 // injects nothing.
@@ -108,7 +108,7 @@
 // WrapLease wraps each lease for fault injection; nil outside test builds.
 var WrapLease func(dispatch.Lease) dispatch.Lease
 
-func (a *agreementAdapter) wrapLease(lease *agree.Lease) dispatch.Lease {
+func (a *agreementAdapter) wrapLease(lease *clusterstate.Lease) dispatch.Lease {
 	var l dispatch.Lease = &nodeLease{lease, a.node.Now}
 	if WrapLease != nil {
 		l = WrapLease(l)
@@ -137,14 +137,14 @@
 	if err != nil {
 		return err
 	}
-	return agreement.Bootstrap(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
+	return cluster.Bootstrap(Options(cfg, string(dir)), content, keys, config.Fingerprint(content))
 }
 
 // ReclaimSeat assigns the seat of the voter that runs on a state folder to its present log, because
 // its earlier log is lost.
 func ReclaimSeat(dir appliance.Dir) error {
-	var r agreement.Reply
-	if err := dir.Settings(agreement.Command{Do: "seat"}, &r); err != nil {
+	var r cluster.Reply
+	if err := dir.Settings(cluster.Command{Do: "seat"}, &r); err != nil {
 		return err
 	}
 	if r.Error != "" {
@@ -155,26 +155,26 @@
 
 // Rebootstrap creates a new cluster from the remains of a lost one. The voter of the state folder
 // dir becomes its first voter.
-func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (agree.Record, error) {
+func Rebootstrap(dir appliance.Dir, lost uint64, others []string, by string) (clusterstate.Record, error) {
 	cfg, err := dir.Load()
 	if err != nil {
-		return agree.Record{}, err
+		return clusterstate.Record{}, err
 	}
 	if _, votes := cfg.Agree.Voters[cfg.Name]; !votes {
-		return agree.Record{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is not a voter", cfg.Name)}
+		return clusterstate.Record{}, &config.Fault{Key: "agree.voters", Text: fmt.Sprintf("%q is not a voter", cfg.Name)}
 	}
-	return agreement.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
+	return cluster.Rebootstrap(Options(cfg, string(dir)), lost, others, by)
 }
 
-// openAgreement opens the agreement node and returns the configuration to start with: if this
+// openAgreement opens the cluster node and returns the configuration to start with: if this
 // dispatcher has acted on an agreed version before, that version replaces the settings of the file.
 func (p *program) openAgreement(cfg config.Config, folder string) (*agreementAdapter, config.Config, error) {
 	a := &agreementAdapter{p: p, applyRequests: make(chan applyRequest), file: cfg}
 	opt := Options(cfg, folder)
 	if cfg.Ledger != nil {
-		opt.Handlers = map[string]agreement.Handler{ledgerCall: a.ledgerCall}
+		opt.Handlers = map[string]cluster.Handler{ledgerCall: a.ledgerCall}
 	}
-	node, err := agreement.Open(opt)
+	node, err := cluster.Open(opt)
 	if err != nil {
 		return nil, cfg, err
 	}
@@ -219,7 +219,7 @@
 
 // Check returns why this dispatcher can't use the content of a version, or nil. The content may be
 // faulty or not fit this dispatcher's own file.
-func (a *agreementAdapter) Check(content string) *agree.Fault {
+func (a *agreementAdapter) Check(content string) *clusterstate.Fault {
 	a.mu.Lock()
 	file := a.file
 	a.mu.Unlock()
@@ -232,8 +232,8 @@
 	return config.AgreeFault(err)
 }
 
-// TakeUp puts a version in force under a lease. Open requests stay open.
-func (a *agreementAdapter) Activate(v agree.Version, lease *agree.Lease) error {
+// Activate puts a version in force under a lease. Open requests stay open.
+func (a *agreementAdapter) Activate(v clusterstate.Version, lease *clusterstate.Lease) error {
 	a.mu.Lock()
 	cfg, err := a.file.WithSettings(v.Content)
 	a.mu.Unlock()
@@ -261,7 +261,7 @@
 	return err
 }
 
-// TakeList applies an agreed replica list and the number of live dispatchers.
+// ApplyList applies an agreed replica list and the number of live dispatchers.
 func (a *agreementAdapter) ApplyList(l membership.List, live int, hasShare bool) error {
 	if !a.lists.applyAgreed(l, live, hasShare) {
 		return nil
@@ -282,21 +282,21 @@
 	return a.apply(cfg, nil, content)
 }
 
-// Read starts or stops reading discovery on behalf of all dispatchers.
+// SetReading starts or stops reading discovery on behalf of all dispatchers.
 func (a *agreementAdapter) SetReading(on bool) {
 	if a.lists != nil {
 		a.lists.setReading(on)
 	}
 }
 
-// Alone is called when there is no lease: no other dispatcher reads discovery for this one.
+// LeaseLost is called when there is no lease: no other dispatcher reads discovery for this one.
 func (a *agreementAdapter) LeaseLost() {
 	if a.lists != nil {
 		a.lists.startReadingAlone()
 	}
 }
 
-// Deaf reports whether this dispatcher reads discovery and gets no answers.
+// RegistrySilent reports whether this dispatcher reads discovery and gets no answers.
 func (a *agreementAdapter) RegistrySilent() bool { return a.lists != nil && a.lists.discoveryFailing() }
 
 // fillConsole adds the recovery stage and the reason for a missing lease to a console reply.
@@ -324,7 +324,7 @@
 	return phase.String()
 }
 
-// Serves returns for how long the program has served without the restrictions of recovery.
+// ServingTime returns for how long the program has served without the restrictions of recovery.
 func (a *agreementAdapter) ServingTime() time.Duration {
 	if a.recovery == nil {
 		return 0
@@ -332,7 +332,7 @@
 	return a.recovery.servingFor()
 }
 
-// Bears returns the known capacity of replicas by kind; nil if nothing uses it.
+// WarmRates returns the known capacity of replicas by kind; nil if nothing uses it.
 func (a *agreementAdapter) WarmRates() map[string]float64 {
 	if a.recovery == nil {
 		return nil
@@ -361,9 +361,9 @@
 
 // runCommand answers an operator's command.
 func (a *agreementAdapter) runCommand(text []byte) []byte {
-	var c agreement.Command
+	var c cluster.Command
 	err := jsoniter.Unmarshal(text, &c)
-	r := agreement.Reply{}
+	r := cluster.Reply{}
 	if err != nil {
 		r.Error = err.Error()
 	} else {
@@ -382,7 +382,7 @@
 	return answer
 }
 
-// metrics emits the agreement metrics for the admin endpoint.
+// metrics emits the cluster's metrics for the admin endpoint.
 func (a *agreementAdapter) metrics(emit func(name string, value int, kind string)) {
 	o := a.node.Status()
 	emit("agreement.version", int(o.Version), "g")
--- a/internal/proving/faults.go
+++ b/internal/proving/faults.go
@@ -8,11 +8,11 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"standpulley/internal/agree"
-	"standpulley/internal/agreement"
 	"standpulley/internal/boltfile"
-	"standpulley/internal/bookkeeping"
+	"standpulley/internal/cluster"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/dispatch"
+	"standpulley/internal/intentlog"
 	"standpulley/internal/ledger"
 	"standpulley/internal/membership"
 	"standpulley/internal/program"
@@ -37,10 +37,10 @@
 		program.AgreementHooks.RenewedAt = func(_, now time.Duration) time.Duration { return now }
 	}},
 	"lease-without-end": {Description: "a lease never expires", inject: func() {
-		program.AgreementHooks.Lease = func(l *agree.Lease) { l.Extend(1000*time.Hour, agree.TimingOf(time.Second)) }
+		program.AgreementHooks.Lease = func(l *clusterstate.Lease) { l.Extend(1000*time.Hour, clusterstate.TimingOf(time.Second)) }
 	}},
 	"no-wait": {Description: "a version comes into force without waiting for members that may still act on the one before", inject: func() {
-		program.AgreementHooks.Leases = func(t *agree.LeaseTable) {
+		program.AgreementHooks.Leases = func(t *clusterstate.LeaseTable) {
 			t.AllLeasesKnown = 0
 			for _, m := range t.Members {
 				m.LeaseEnd, m.Fault = 0, nil
@@ -48,14 +48,14 @@
 		}
 	}},
 	"turned-down-in-force": {Description: "a version that was turned down comes into force", inject: func() {
-		program.AgreementHooks.Entry = func(_ *agree.Record, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(_ *clusterstate.Record, e *clusterstate.Entry) {
 			if e.TurnDown != nil {
-				*e = agree.Entry{Activate: &agree.Activate{Number: e.TurnDown.Number}}
+				*e = clusterstate.Entry{Activate: &clusterstate.Activate{Number: e.TurnDown.Number}}
 			}
 		}
 	}},
 	"number-again": {Description: "a version number is reused for another content", inject: func() {
-		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *clusterstate.Record, e *clusterstate.Entry) {
 			if e.Propose != nil && b.LastNumber > 1 && b.LastNumber%2 == 0 {
 				b.LastNumber--
 			}
@@ -68,10 +68,10 @@
 		program.AgreementHooks.Stale = func(bool) bool { return false }
 	}},
 	"entries-unwritten": {Description: "log entries are acknowledged but not written", inject: func() {
-		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyLogWriter{Log: l, loseEntries: true} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) cluster.LogWriter { return &lossyLogWriter{Log: l, loseEntries: true} }
 	}},
 	"vote-unwritten": {Description: "votes and terms are sent but not written", inject: func() {
-		program.AgreementHooks.LogWriter = func(l *raftlog.Log) agreement.LogWriter { return &lossyLogWriter{Log: l} }
+		program.AgreementHooks.LogWriter = func(l *raftlog.Log) cluster.LogWriter { return &lossyLogWriter{Log: l} }
 	}},
 	"wall-clock-back": {Description: "the wall clock is an hour behind", inject: func() {
 		program.AgreementHooks.WallClock = func() time.Time { return time.Now().Add(-time.Hour) }
@@ -97,15 +97,15 @@
 		}
 	}, Harmless: true},
 	"recovery-early-instructions": {Description: "instructions are admitted before it is known which ones may have run: the ledger must refuse them", inject: func() {
-		program.RecoveryHooks.OverrideManner = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
+		program.RecoveryHooks.OverridePermissions = func(m recovery.Permissions) recovery.Permissions { m.AcceptAtMostOnce = m.AcceptRequests; return m }
 	}, Harmless: true},
 	"recovery-refound-forgets-acts": {Description: "a new cluster omits versions that dispatchers acted on and that its log lacks", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(before, next *agree.Record) {
+		program.AgreementHooks.Rebootstrap = func(before, next *clusterstate.Record) {
 			*next, _ = before.Rebootstrap(next.Cluster, next.RequiredSeats, next.Seats[0], nil, "fault")
 		}
 	}},
 	"recovery-refound-forgets-orders": {Description: "a new cluster omits the operators' orders in force", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
+		program.AgreementHooks.Rebootstrap = func(_, next *clusterstate.Record) {
 			next.Orders = nil
 			for id, e := range next.List.Entries {
 				e.State = membership.InService
@@ -114,12 +114,12 @@
 		}
 	}},
 	"recovery-refound-numbers-again": {Description: "a new cluster restarts its version numbers", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) { next.LastNumber = 1 }
+		program.AgreementHooks.Rebootstrap = func(_, next *clusterstate.Record) { next.LastNumber = 1 }
 	}},
 	"recovery-refound-old-version": {Description: "a new cluster reverts to version 1", inject: func() {
-		program.AgreementHooks.Rebootstrap = func(_, next *agree.Record) {
-			next.InForce().State = agree.Superseded
-			next.InForceNumber, next.Versions[0].State = 1, agree.InForce
+		program.AgreementHooks.Rebootstrap = func(_, next *clusterstate.Record) {
+			next.InForce().State = clusterstate.Superseded
+			next.InForceNumber, next.Versions[0].State = 1, clusterstate.InForce
 		}
 	}},
 	"list-own-drain-ignored": {Description: "a dispatcher ignores a drain that its own registry agent reports", inject: func() {
@@ -146,11 +146,11 @@
 	"list-orders-free": {Description: "operators' orders are recorded but not obeyed", inject: func() {
 		program.AgreementHooks.Limits = func(l *membership.Limits) { l.IgnoreOrders = true }
 	}},
-	"ledger-early": {Description: "an attempt is sent while its intent is still being recorded", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SendBeforeRecorded = true })},
-	"ledger-unsynced": {Description: "intents are acknowledged before they are on disk", inject: ledgerOptions(func(o *bookkeeping.Options) {
-		o.Durability = bookkeeping.DurabilityProcess
+	"ledger-early": {Description: "an attempt is sent while its intent is still being recorded", inject: ledgerOptions(func(o *intentlog.Options) { o.Hooks.SendBeforeRecorded = true })},
+	"ledger-unsynced": {Description: "intents are acknowledged before they are on disk", inject: ledgerOptions(func(o *intentlog.Options) {
+		o.Durability = intentlog.DurabilityProcess
 	})},
-	"ledger-unchecked": {Description: "an intent is granted in spite of other attempts with the same key, and repeats don't look for them", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unchecked": {Description: "an intent is granted in spite of other attempts with the same key, and repeats don't look for them", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
 		o.Hooks.Reply = func(r *ledger.Reply) {
 			if !r.Granted {
@@ -158,7 +158,7 @@
 			}
 		}
 	})},
-	"ledger-prefers-never": {Description: "an intent without a known outcome counts as one that never ran", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-prefers-never": {Description: "an intent without a known outcome counts as one that never ran", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Op = func(op *ledger.Op) { op.Exclusive = false }
 		o.Hooks.Reply = func(r *ledger.Reply) {
 			r.Entry = r.Entry.Clone()
@@ -169,14 +169,14 @@
 			}
 		}
 	})},
-	"ledger-one-holder": {Description: "one ledger holder is enough to record an intent", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-one-holder": {Description: "one ledger holder is enough to record an intent", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Tally = func(c *ledger.Tally) { c.Require(1) }
 	})},
-	"ledger-unfilled": {Description: "a new ledger file, or an old copy, counts as complete", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.AssumeComplete = true })},
-	"ledger-soon": {Description: "ledger entries are removed after a tenth of a second", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unfilled": {Description: "a new ledger file, or an old copy, counts as complete", inject: ledgerOptions(func(o *intentlog.Options) { o.Hooks.AssumeComplete = true })},
+	"ledger-soon": {Description: "ledger entries are removed after a tenth of a second", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Limits.Retention = 100 * time.Millisecond
 	})},
-	"ledger-unclear-is-yes": {Description: "an attempt is sent even though too few ledger holders answered", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-unclear-is-yes": {Description: "an attempt is sent even though too few ledger holders answered", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Verdict = func(_ ledger.Op, v ledger.Verdict) ledger.Verdict {
 			if v == ledger.Unclear {
 				return ledger.Yes
@@ -184,7 +184,7 @@
 			return v
 		}
 	})},
-	"ledger-lost-is-never": {Description: "a broken connection counts as proof that the attempt did not run", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-lost-is-never": {Description: "a broken connection counts as proof that the attempt did not run", inject: ledgerOptions(func(o *intentlog.Options) {
 		o.Hooks.Outcome = func(out logic.Outcome, o ledger.Outcome) ledger.Outcome {
 			if out != logic.Delivered {
 				return ledger.NeverRan
@@ -192,7 +192,7 @@
 			return o
 		}
 	})},
-	"ledger-own-keys": {Description: "dispatchers use different ledger keys for the same instruction", inject: ledgerOptions(func(o *bookkeeping.Options) {
+	"ledger-own-keys": {Description: "dispatchers use different ledger keys for the same instruction", inject: ledgerOptions(func(o *intentlog.Options) {
 		name := o.Name
 		o.Hooks.Op = func(op *ledger.Op) {
 			for i := range name {
@@ -200,9 +200,9 @@
 			}
 		}
 	})},
-	"ledger-forgets": {Description: "the ledger on disk is not read at the start", inject: ledgerOptions(func(o *bookkeeping.Options) { o.Hooks.SkipLoad = true })},
+	"ledger-forgets": {Description: "the ledger on disk is not read at the start", inject: ledgerOptions(func(o *intentlog.Options) { o.Hooks.SkipLoad = true })},
 	"base-unchecked": {Description: "a proposal is accepted whatever version it was made from", inject: func() {
-		program.AgreementHooks.Entry = func(b *agree.Record, e *agree.Entry) {
+		program.AgreementHooks.Entry = func(b *clusterstate.Record, e *clusterstate.Entry) {
 			if e.Propose != nil {
 				e.Propose.Base = b.InForceNumber
 			}
@@ -211,7 +211,7 @@
 }
 
 // ledgerOptions returns a function that injects a fault by changing the options of the ledger.
-func ledgerOptions(change func(*bookkeeping.Options)) func() {
+func ledgerOptions(change func(*intentlog.Options)) func() {
 	return func() { program.LedgerHooks.Options = change }
 }
 
--- a/internal/proving/fleet.go
+++ b/internal/proving/fleet.go
@@ -15,9 +15,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/appliance"
-	"standpulley/internal/standin"
+	"standpulley/internal/cluster"
+	"standpulley/internal/fake"
 )
 
 // Program is the program that runs a dispatcher, and additions to its environment.
@@ -46,7 +46,7 @@
 	Dispatchers []*Dispatcher
 	voters      []string
 	relays      map[[2]string]*Relay // from a dispatcher to a voter
-	replicas    []standin.Entry
+	replicas    []fake.Entry
 	registry    *registry // nil where dispatchers don't agree on lists
 	start       time.Time
 
@@ -105,7 +105,7 @@
 
 // NewFleet writes the files of a script's dispatchers and sets up the links. It starts no
 // dispatcher.
-func NewFleet(s Script, program Program, folder string, replicas, spare []standin.Entry) (*Fleet, error) {
+func NewFleet(s Script, program Program, folder string, replicas, spare []fake.Entry) (*Fleet, error) {
 	f := &Fleet{program: program, folder: folder, relays: map[[2]string]*Relay{}, replicas: replicas, start: time.Now(), downtimes: map[string][][2]time.Duration{}}
 	total := s.Voters + s.Others
 	ports, err := freePorts(3 * total)
@@ -309,8 +309,8 @@
 }
 
 // SendCommand sends a settings command to a dispatcher, as the command line does.
-func (f *Fleet) SendCommand(d *Dispatcher, c agreement.Command) (agreement.Reply, error) {
-	var r agreement.Reply
+func (f *Fleet) SendCommand(d *Dispatcher, c cluster.Command) (cluster.Reply, error) {
+	var r cluster.Reply
 	err := d.dir.Settings(c, &r)
 	return r, err
 }
@@ -335,7 +335,7 @@
 			if !d.Running() || d.stopped.Load() {
 				continue
 			}
-			if r, err := f.SendCommand(d, agreement.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
+			if r, err := f.SendCommand(d, cluster.Command{Do: "own"}); err == nil && r.Status != nil && r.Status.Leader == d.Name {
 				return []*Dispatcher{d}
 			}
 		}
@@ -351,7 +351,7 @@
 			if !d.Running() || d.stopped.Load() || time.Now().After(end) {
 				continue
 			}
-			if r, err := f.SendCommand(d, agreement.Command{Do: "view", ViewFilter: agreement.ViewFilter{Section: agreement.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
+			if r, err := f.SendCommand(d, cluster.Command{Do: "view", ViewFilter: cluster.ViewFilter{Section: cluster.SectionSettings}}); err == nil && r.View != nil && len(r.View.RegistryReaders) > 0 {
 				return f.resolve(r.View.RegistryReaders[0])
 			}
 		}
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -14,13 +14,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"standpulley/internal/agreement"
 	"standpulley/internal/boltfile"
+	"standpulley/internal/cluster"
+	"standpulley/internal/fake"
 	"standpulley/internal/front/once"
 	"standpulley/internal/ledger"
-	"standpulley/internal/ledgerlog"
+	"standpulley/internal/ledgerstore"
 	"standpulley/internal/program"
-	"standpulley/internal/standin"
 )
 
 // Instruction is one instruction as its client means it. It is sent under a key, and again under
@@ -74,7 +74,7 @@
 }
 
 // countRun counts an execution of an instruction at a writer.
-func (o *instructionSet) countRun(x *standin.Exchange) {
+func (o *instructionSet) countRun(x *fake.Exchange) {
 	name := string(x.Req.Body())
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -159,8 +159,8 @@
 		err = errors.New("off")
 	}
 	for end := time.Now().Add(eventualTimeout); time.Now().Before(end) && !off; time.Sleep(100 * time.Millisecond) {
-		var r agreement.Reply
-		if r, err = o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
+		var r cluster.Reply
+		if r, err = o.fleet.SendCommand(o.fleet.Dispatchers[0], cluster.Command{Do: program.LedgerUnknown}); err == nil && r.Error == "" {
 			for _, row := range r.Ledger {
 				listed[row.Key.String()] = true
 			}
@@ -182,7 +182,7 @@
 			var h fasthttp.RequestHeader
 			h.Set("Idempotency-Key", name)
 			key, _ := once.Key(&h, "", nil)
-			r, err := o.fleet.SendCommand(o.fleet.Dispatchers[0], agreement.Command{Do: program.LedgerShow, ID: key.String()})
+			r, err := o.fleet.SendCommand(o.fleet.Dispatchers[0], cluster.Command{Do: program.LedgerShow, ID: key.String()})
 			if err == nil && r.Error == "" && len(r.Ledger) == 1 {
 				instr.LedgerStatus, instr.StatusRead = r.Ledger[0].Entry.Status(), true
 			}
@@ -227,7 +227,7 @@
 
 // applyLedgerStep runs a script step on a dispatcher's ledger file.
 func (f *Fleet) applyLedgerStep(s Step, d *Dispatcher) error {
-	path := ledgerlog.Path(string(d.dir))
+	path := ledgerstore.Path(string(d.dir))
 	copyPath := path + ".copy"
 	remove := func(path string) error {
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/proving/propose.go
+++ b/internal/proving/propose.go
@@ -7,8 +7,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"standpulley/internal/agree"
-	"standpulley/internal/agreement"
+	"standpulley/internal/cluster"
+	"standpulley/internal/clusterstate"
 	"standpulley/internal/config"
 )
 
@@ -61,8 +61,8 @@
 }
 
 // buildCommand makes the command of a proposal from the settings record.
-func buildCommand(s Step, d *Dispatcher, view *agreement.View) (c agreement.Command, err error) {
-	c = agreement.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
+func buildCommand(s Step, d *Dispatcher, view *cluster.View) (c cluster.Command, err error) {
+	c = cluster.Command{Do: "propose", Base: view.Record.InForceNumber, By: d.Name}
 	if s.Do == doRollback {
 		if v := view.Record.Version(s.Base); v != nil {
 			c.Content, c.RollbackTo = v.Content, s.Base
@@ -94,7 +94,7 @@
 	// conflict with another proposal
 	conflict := strings.Contains(r.Error, "is under way") || strings.Contains(r.Error, "in force since")
 	switch {
-	case err != nil || strings.HasPrefix(r.Error, agreement.ErrOutcomeUnknown.Error()):
+	case err != nil || strings.HasPrefix(r.Error, cluster.ErrOutcomeUnknown.Error()):
 		op.Unknown = true
 		p.recordOperation(op)
 	case r.Error == "":
@@ -124,7 +124,7 @@
 			return
 		}
 		switch v.State {
-		case agree.InForce, agree.Superseded:
+		case clusterstate.InForce, clusterstate.Superseded:
 			now := p.fleet.Now()
 			p.mu.Lock()
 			if _, ok := p.acknowledgedAt[number]; !ok {
@@ -137,7 +137,7 @@
 				p.problemf("version %d (%s=%s) is in force, expected the error: %s", number, s.Key, s.Value, s.WantError)
 			}
 			return
-		case agree.TurnedDown, agree.Withdrawn:
+		case clusterstate.TurnedDown, clusterstate.Withdrawn:
 			if s.WantError == "" {
 				p.problemf("version %d (%s=%s): %s by %s: %v", number, s.Key, s.Value, v.State, v.Member, v.Fault)
 			} else if s.WantError != "?" && v.Fault != nil && !strings.Contains(v.Fault.Error(), s.WantError) {
