--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink hosts instances of the decision module on the simulator's wire.
+// Command benchlink connects instances of the decision module to a simulator. It reads batches of
+// events from standard input and writes the actions of the instances to standard output.
 package main
 
 import (
@@ -31,10 +32,10 @@
 			return nil
 		}
 		if err == io.EOF {
-			err = fmt.Errorf("the input ends within batch %s", batch)
+			err = fmt.Errorf("input ends within batch %s", batch)
 		}
 		if err != nil {
-			return fault(w, m.Instance, batch, err)
+			return reportError(w, m.Instance, batch, err)
 		}
 		switch m.Kind {
 		case wire.Begin:
@@ -42,7 +43,7 @@
 			continue
 		case wire.End:
 			if !inBatch {
-				return fmt.Errorf("a batch ends that has not begun")
+				return fmt.Errorf("end of a batch that has not begun")
 			}
 			inBatch = false
 			if err := w.EndBatch(batch); err != nil {
@@ -52,7 +53,7 @@
 		case wire.Attach:
 			l, err := logic.New(m.Settings, m.Seed)
 			if err != nil {
-				return fault(w, m.Instance, batch, err)
+				return reportError(w, m.Instance, batch, err)
 			}
 			routers[m.Instance] = l
 		case wire.Crash:
@@ -72,11 +73,12 @@
 	}
 }
 
-// fault tells the simulator of an error where an instance is known to name, and returns it.
-func fault(w *wire.Writer, instance int, batch string, err error) error {
+// reportError reports an error to the simulator if it concerns a known instance, and returns the
+// error.
+func reportError(w *wire.Writer, instance int, batch string, err error) error {
 	if instance >= 0 {
 		if w.InternalError(instance, err.Error()) == nil && batch != "" {
-			_ = w.EndBatch(batch) // the process ends with the error itself
+			_ = w.EndBatch(batch) // the process exits with the original error anyway
 		}
 	}
 	return err
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFaultsAreReported(t *testing.T) {
+func TestErrorsAreReported(t *testing.T) {
 	for in, want := range map[string]string{
 		"BEGIN_BATCH\tclock_us=5\tn=1\nATTACH\ti=0\tsiblings=0\nEOF_BATCH\n": "setting",
 		"BEGIN_BATCH\tclock_us=5\tn=1\nJOB_IN\ti=0\tcorr=q\ttalk=!\n":        "line 2: field talk",
@@ -35,7 +35,7 @@
 			t.Errorf("%q: %v, want %q", in, err, want)
 		}
 		if strings.Contains(in, "i=0") && !strings.Contains(out.String(), "INTERNAL_ERROR\ti=0") {
-			t.Errorf("%q: no fault on the wire: %q", in, out.String())
+			t.Errorf("%q: no INTERNAL_ERROR in the output: %q", in, out.String())
 		}
 	}
 }
--- a/cmd/proving/ledger.go
+++ b/cmd/proving/ledger.go
@@ -15,7 +15,7 @@
 	"standpulley/internal/proving"
 )
 
-// ledgerMeasureCmd prints the tables of docs/ledger.md.
+// ledgerMeasureCmd measures the ledger and prints the tables for its documentation.
 type ledgerMeasureCmd struct {
 	Rates []int         `default:"50,500,2000" help:"Instructions a second."`
 	Span  time.Duration `default:"5s" help:"For each rate."`
@@ -27,26 +27,26 @@
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, rate := range l.Rates {
 		for _, mode := range []string{"", "process", "site", "disk"} {
-			if err := l.mode(c, rate, mode); err != nil {
+			if err := l.measureMode(c, rate, mode); err != nil {
 				return err
 			}
 		}
 	}
-	return l.open()
+	return l.measureOpen()
 }
 
-func (l ledgerMeasureCmd) mode(c *cli, rate int, mode string) error {
-	s := proving.Script{Name: "ledger", Voters: 3, Within: "2s", Alone: "safe", Last: "0s", Ledger: mode}
-	return bench(c, s, func(b *proving.Bench) error {
-		if mode != "" {
-			time.Sleep(time.Second) // until all holders are whole
+func (l ledgerMeasureCmd) measureMode(c *cli, rate int, measureMode string) error {
+	s := proving.Script{Name: "ledger", Voters: 3, Within: "2s", Alone: "safe", Last: "0s", Ledger: measureMode}
+	return withBench(c, s, func(b *proving.Bench) error {
+		if measureMode != "" {
+			time.Sleep(time.Second) // until all ledger keeps are complete
 		}
-		b.SendInstructions(rate, time.Second) // connections are there by then
+		b.SendInstructions(rate, time.Second) // opens the connections before the measurement
 		type figures struct {
 			commits, bytes, entries int64
-			p50, p99                time.Duration // the worst
+			p50, p99                time.Duration // the highest of all dispatchers
 		}
-		look := func() (sum figures, err error) {
+		sumFigures := func() (sum figures, err error) {
 			for _, d := range b.Dispatchers {
 				f, err := b.LedgerFigures(d)
 				if err != nil {
@@ -59,32 +59,32 @@
 		}
 		var before, after figures
 		var err error
-		if mode != "" {
-			if before, err = look(); err != nil {
+		if measureMode != "" {
+			if before, err = sumFigures(); err != nil {
 				return err
 			}
 		}
-		took, failed := b.SendInstructions(rate, l.Span)
-		if mode != "" {
-			if after, err = look(); err != nil {
+		latencies, failed := b.SendInstructions(rate, l.Span)
+		if measureMode != "" {
+			if after, err = sumFigures(); err != nil {
 				return err
 			}
 		}
-		slices.Sort(took)
-		name := mode
+		slices.Sort(latencies)
+		name := measureMode
 		if name == "" {
 			name = "off"
 		}
 		n := float64(max(after.entries-before.entries, 1))
 		round := func(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
-		fmt.Printf("| %d | %s | %v | %v | %d | %v | %v | %.2f | %.0f |\n", rate, name, round(proving.Percentile(took, 0.5)), round(proving.Percentile(took, 0.99)), failed,
+		fmt.Printf("| %d | %s | %v | %v | %d | %v | %v | %.2f | %.0f |\n", rate, name, round(proving.Percentile(latencies, 0.5)), round(proving.Percentile(latencies, 0.99)), failed,
 			round(after.p50), round(after.p99), float64(after.commits-before.commits)/n, float64(after.bytes-before.bytes)/n)
 		return nil
 	})
 }
 
-// open measures how long a ledger takes to open that holds many entries, and its memory.
-func (l ledgerMeasureCmd) open() error {
+// measureOpen measures how long a ledger with many entries takes to open, and its memory.
+func (l ledgerMeasureCmd) measureOpen() error {
 	folder, err := os.MkdirTemp("", "ledger-")
 	if err != nil {
 		return err
--- a/cmd/proving/lists.go
+++ b/cmd/proving/lists.go
@@ -12,8 +12,8 @@
 	"standpulley/internal/proving"
 )
 
-// listsCmd prints the tables of docs/lists-in-versions.md: dispatchers that agree on lists beside such that go by their own
-// registers alone, on the same scripts and seeds.
+// listsCmd prints tables that compare dispatchers with an agreed list of replicas to dispatchers
+// that each use their own registry agent alone, on the same scripts and seeds.
 type listsCmd struct {
 	Sizes   []int    `default:"3,15,40" help:"Numbers of processes."`
 	Changes int      `default:"30" help:"Changes of the register for each size."`
@@ -26,8 +26,8 @@
 
 const listsWithin = time.Second
 
-// modes are the two ways that are compared.
-var modes = []struct {
+// listModes are the two modes that are compared.
+var listModes = []struct {
 	name  string
 	apart bool
 }{{"each alone", true}, {"agreed lists", false}}
@@ -36,7 +36,7 @@
 	for _, part := range []struct {
 		name string
 		run  func(*cli) error
-	}{{"lag", l.lag}, {"load", l.load}, {"herd", l.herd}, {"crowd", l.crowd}, {"worth", l.worth}} {
+	}{{"lag", l.measureLag}, {"load", l.measureLoad}, {"herd", l.measureRestart}, {"crowd", l.measureManyMembers}, {"worth", l.measureWorth}} {
 		if len(l.Only) > 0 && !slices.Contains(l.Only, part.name) {
 			continue
 		}
@@ -48,44 +48,45 @@
 	return nil
 }
 
-func (l listsCmd) fleet(c *cli, size, rate int, apart bool, f func(b *proving.Bench) error) error {
+func (l listsCmd) withFleet(c *cli, size, rate int, apart bool, f func(b *proving.Bench) error) error {
 	s := proving.Script{Name: "lists", Voters: 3, Within: listsWithin.String(), Alone: l.Alone, Rate: rate, Last: "0s", Lists: true, Standalone: apart}
 	if size >= 10 {
 		s.Voters = 5
 	}
 	s.Others = size - s.Voters
-	return bench(c, s, f)
+	return withBench(c, s, f)
 }
 
-func atOnce(int) time.Duration { return 0 }
+func noDelay(int) time.Duration { return 0 }
 
-// lag measures from a change of the register until the last dispatcher goes by it, where all agents hear at once and where
-// each hears after a time of its own.
-func (l listsCmd) lag(c *cli) error {
+// measureLag measures the time from a change of the registry until the last dispatcher uses it,
+// first with agents that report the change at once, then with agents that each report it after a
+// random delay.
+func (l listsCmd) measureLag(c *cli) error {
 	fmt.Println("| from the register's change to the last dispatcher | processes | changes | p50 | p99 | longest |\n| --- | --- | --- | --- | --- | --- |")
-	for _, late := range []time.Duration{0, 5 * time.Second} {
+	for _, maxDelay := range []time.Duration{0, 5 * time.Second} {
 		for _, size := range l.Sizes {
-			for _, mode := range modes {
-				err := l.fleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
+			for _, mode := range listModes {
+				err := l.withFleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
 					r := rand.New(rand.NewPCG(1, uint64(size)))
-					var took []time.Duration
+					var durations []time.Duration
 					n := l.Changes
-					if late > 0 {
+					if maxDelay > 0 {
 						n = 5
 					}
 					for i := range n {
-						d, err := b.ChangeWeight(2+float64(i%2), func(int) time.Duration { return rand01(r, late) })
+						d, err := b.ChangeWeight(2+float64(i%2), func(int) time.Duration { return randUpTo(r, maxDelay) })
 						if err != nil {
 							return err
 						}
-						took = append(took, d)
+						durations = append(durations, d)
 						time.Sleep(100 * time.Millisecond)
 					}
-					word := mode.name
-					if late > 0 {
-						word += fmt.Sprintf(", agents up to %v late", late)
+					label := mode.name
+					if maxDelay > 0 {
+						label += fmt.Sprintf(", agents up to %v late", maxDelay)
 					}
-					row(fmt.Sprintf("%s | %d", word, size), took)
+					printRow(fmt.Sprintf("%s | %d", label, size), durations)
 					return nil
 				})
 				if err != nil {
@@ -97,17 +98,18 @@
 	return nil
 }
 
-func rand01(r *rand.Rand, most time.Duration) time.Duration {
+func randUpTo(r *rand.Rand, most time.Duration) time.Duration {
 	return time.Duration(r.Float64() * float64(most))
 }
 
-// load measures what is asked of the register at rest, and while it changes each second.
-func (l listsCmd) load(c *cli) error {
+// measureLoad measures the load on the registry while nothing changes, and while a weight changes
+// every second.
+func (l listsCmd) measureLoad(c *cli) error {
 	const span = 12 * time.Second
 	fmt.Println("| asked of the register | processes | calls a second at rest | while it changes each second | bytes a second at rest | while it changes |\n| --- | --- | --- | --- | --- | --- |")
 	for _, size := range l.Sizes {
-		for _, mode := range modes {
-			err := l.fleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
+		for _, mode := range listModes {
+			err := l.withFleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
 				time.Sleep(2 * time.Second)
 				var calls, bytes [2]float64
 				for kind := range 2 {
@@ -133,15 +135,16 @@
 	return nil
 }
 
-// herd has all dispatchers end and start at once before a register that takes few calls a second.
-func (l listsCmd) herd(c *cli) error {
-	const took, span = 10, 20 * time.Second
-	fmt.Printf("| all start at once, the register takes %d calls a second | processes | answered | turned away | all serve after |\n| --- | --- | --- | --- | --- |\n", took)
-	for _, mode := range modes {
+// measureRestart kills all dispatchers and starts them at the same time with a registry that
+// answers few calls per second.
+func (l listsCmd) measureRestart(c *cli) error {
+	const callLimit, span = 10, 20 * time.Second
+	fmt.Printf("| all start at once, the register takes %d calls a second | processes | answered | turned away | all serve after |\n| --- | --- | --- | --- | --- |\n", callLimit)
+	for _, mode := range listModes {
 		size := l.Sizes[len(l.Sizes)-1]
-		err := l.fleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
+		err := l.withFleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
 			b.KillAll(b.Dispatchers)
-			b.LimitRegistry(took)
+			b.LimitRegistry(callLimit)
 			a0, w0, _ := b.RegistryLoad()
 			began := time.Now()
 			if err := b.StartAll(b.Dispatchers); err != nil {
@@ -150,10 +153,10 @@
 			if err := b.WaitServing(); err != nil {
 				return err
 			}
-			all := time.Since(began)
+			servingAfter := time.Since(began)
 			time.Sleep(max(span-time.Since(began), 0))
 			a1, w1, _ := b.RegistryLoad()
-			fmt.Printf("| %s | %d | %d | %d | %v |\n", mode.name, size, a1-a0, w1-w0, all.Round(10*time.Millisecond))
+			fmt.Printf("| %s | %d | %d | %d | %v |\n", mode.name, size, a1-a0, w1-w0, servingAfter.Round(10*time.Millisecond))
 			return nil
 		})
 		if err != nil {
@@ -163,50 +166,52 @@
 	return nil
 }
 
-// crowd measures the lag with many members, which share one process here.
-func (l listsCmd) crowd(c *cli) error {
-	return l.fleet(c, 3, 0, false, func(b *proving.Bench) error {
+// measureManyMembers measures the lag with many members. They share the process of this command.
+func (l listsCmd) measureManyMembers(c *cli) error {
+	return l.withFleet(c, 3, 0, false, func(b *proving.Bench) error {
 		log.SetOutput(io.Discard) // each member logs as a dispatcher does
 		defer log.SetOutput(os.Stderr)
-		crowd, err := b.AddMembers(l.Crowd)
+		members, err := b.AddMembers(l.Crowd)
 		if err != nil {
-			crowd.Close() // those that have begun
+			members.Close() // those that were added before the error
 			return err
 		}
-		defer crowd.Close()
-		if _, err := crowd.WaitVersion(1); err != nil {
+		defer members.Close()
+		if _, err := members.WaitVersion(1); err != nil {
 			return err
 		}
-		time.Sleep(2 * listsWithin) // until all are counted
+		time.Sleep(2 * listsWithin) // until every member is counted in the cluster
 		fmt.Println("| from the register's change to the last dispatcher | processes | changes | p50 | p99 | longest |\n| --- | --- | --- | --- | --- | --- |")
-		var took []time.Duration
+		var durations []time.Duration
 		a0, w0, _ := b.RegistryLoad()
 		begin := time.Now()
 		for i := range l.Changes {
 			began := time.Now()
-			if _, err := b.ChangeWeight(2+float64(i%2), atOnce); err != nil {
+			if _, err := b.ChangeWeight(2+float64(i%2), noDelay); err != nil {
 				return err
 			}
 			number, err := b.ListVersion()
 			if err != nil {
 				return err
 			}
-			if err := crowd.WaitList(number); err != nil {
+			if err := members.WaitList(number); err != nil {
 				return err
 			}
-			took = append(took, time.Since(began))
+			durations = append(durations, time.Since(began))
 			time.Sleep(100 * time.Millisecond)
 		}
 		a1, w1, _ := b.RegistryLoad()
-		row(fmt.Sprintf("agreed lists | %d", l.Crowd+3), took)
+		printRow(fmt.Sprintf("agreed lists | %d", l.Crowd+3), durations)
 		fmt.Printf("\nasked of the register meanwhile: %.1f calls a second, of %d changes in %v\n", float64(a1+w1-a0-w0)/time.Since(begin).Seconds(), l.Changes,
 			time.Since(begin).Round(time.Second))
 		return nil
 	})
 }
 
-// worth plays the same day with both ways: replicas are replaced one by one, each loses its power 2 s after it drains.
-func (l listsCmd) worth(c *cli) error {
+// measureWorth measures the share of the possible credit that each mode earns under the same
+// sequence of events: replicas are replaced one by one, and each loses power 2 s after it starts to
+// drain.
+func (l listsCmd) measureWorth(c *cli) error {
 	const size, rate, span = 10, 20, 16 * time.Second
 	fmt.Println("| worth served, 10 processes | seed | each alone | agreed lists | of alone |\n| --- | --- | --- | --- | --- |")
 	for _, condition := range []string{"no fault", "register up to 5 s late", "readers killed", "half killed", "split"} {
@@ -216,8 +221,8 @@
 			}
 			var got [2]float64
 			var readers []string
-			for _, kind := range []int{1, 0} { // the agreed one first: it tells who reads
-				err := l.fleet(c, size, rate, modes[kind].apart, func(b *proving.Bench) error {
+			for _, kind := range []int{1, 0} { // agreed lists first: that run names the dispatchers that read the registry
+				err := l.withFleet(c, size, rate, listModes[kind].apart, func(b *proving.Bench) error {
 					r := rand.New(rand.NewPCG(uint64(seed), 21))
 					late := time.Duration(0)
 					if condition == "register up to 5 s late" {
@@ -233,7 +238,7 @@
 						}
 					}
 					from := b.Now()
-					if err := l.day(b, condition, readers, func(int) time.Duration { return rand01(r, late) }, from); err != nil {
+					if err := l.playDay(b, condition, readers, func(int) time.Duration { return randUpTo(r, late) }, from); err != nil {
 						return err
 					}
 					time.Sleep(from + span - b.Now())
@@ -250,46 +255,46 @@
 	return nil
 }
 
-// day is what happens in worth.
-func (l listsCmd) day(b *proving.Bench, condition string, readers []string, late func(int) time.Duration, from time.Duration) error {
+// playDay plays the events that measureWorth measures under.
+func (l listsCmd) playDay(b *proving.Bench, condition string, readers []string, late func(int) time.Duration, from time.Duration) error {
 	var failed error
-	note := func(err error) {
+	recordErr := func(err error) {
 		if err != nil && failed == nil {
 			failed = err
 		}
 	}
 	until := func(at time.Duration) { time.Sleep(from + at - b.Now()) }
-	gone := []string{"reader-0", "writer-2", "reader-1", "writer-3"}
-	trouble := func() (undo func()) {
+	replaced := []string{"reader-0", "writer-2", "reader-1", "writer-3"}
+	startFault := func() (endFault func()) {
 		switch condition {
 		case "readers killed":
-			some := b.DispatchersNamed(readers...)
-			b.KillAll(some)
-			return func() { note(b.StartAll(some)) }
+			affected := b.DispatchersNamed(readers...)
+			b.KillAll(affected)
+			return func() { recordErr(b.StartAll(affected)) }
 		case "half killed":
-			some := b.Dispatchers[len(b.Dispatchers)/2:]
-			b.KillAll(some)
-			return func() { note(b.StartAll(some)) }
+			affected := b.Dispatchers[len(b.Dispatchers)/2:]
+			b.KillAll(affected)
+			return func() { recordErr(b.StartAll(affected)) }
 		case "split":
 			b.SetPartition(true)
 			return func() { b.SetPartition(false) }
 		}
 		return func() {}
 	}
-	undo := func() {}
-	for i, replica := range gone {
+	endFault := func() {}
+	for i, replica := range replaced {
 		at := time.Duration(1+3*i) * time.Second
 		until(at)
-		note(b.ChangeRegistry("", "new", late))
-		note(b.ChangeRegistry(replica, "terminating", late))
+		recordErr(b.ChangeRegistry("", "new", late))
+		recordErr(b.ChangeRegistry(replica, "terminating", late))
 		if i == 1 {
-			undo = trouble()
+			endFault = startFault()
 		}
 		until(at + 2*time.Second)
 		b.HangReplica(replica)
-		note(b.ChangeRegistry(replica, "gone", late))
+		recordErr(b.ChangeRegistry(replica, "gone", late))
 		if i == 2 {
-			undo()
+			endFault()
 		}
 	}
 	return failed
--- a/cmd/proving/main.go
+++ b/cmd/proving/main.go
@@ -1,5 +1,5 @@
-// Command proving tries several processes of the program together, with faults on the links between them and on the
-// processes, and judges from outside whether the promise was kept.
+// Command proving runs several dispatcher processes together, injects faults into the links between
+// them and into the processes, and judges from outside whether the rules were kept.
 package main
 
 import (
@@ -37,12 +37,13 @@
 	Faults  faultsCmd        `cmd:"" help:"Put in each fault on purpose and count the seeds until it is found."`
 }
 
-// asDispatcher has this program stand for a dispatcher with a fault in it.
-const asDispatcher = "PROVING_AS_DISPATCHER"
+// dispatcherEnv is the environment variable that makes this program run as a dispatcher with an
+// injected fault.
+const dispatcherEnv = "PROVING_AS_DISPATCHER"
 
 func main() {
 	log.SetFlags(log.Ltime | log.Lmicroseconds)
-	if os.Getenv(asDispatcher) != "" {
+	if os.Getenv(dispatcherEnv) != "" {
 		if err := proving.RunDispatcher(os.Args[1:]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -61,8 +62,8 @@
 	k.FatalIfErrorf(k.Run(&c))
 }
 
-// subject is the program that a script is played with.
-func (c *cli) subject(s proving.Script) (proving.Program, error) {
+// program returns the program that a script is played with.
+func (c *cli) program(s proving.Script) (proving.Program, error) {
 	if s.Fault == "" && !s.PowerLoss {
 		path, err := filepath.Abs(c.Binary)
 		return proving.Program{Path: path}, err
@@ -71,20 +72,21 @@
 		return proving.Program{}, fmt.Errorf("no such fault: %s", s.Fault)
 	}
 	self, err := os.Executable()
-	return proving.Program{Path: self, Env: []string{asDispatcher + "=1"}}, err
+	return proving.Program{Path: self, Env: []string{dispatcherEnv + "=1"}}, err
 }
 
-// try plays one script and judges it. Where the fleet did not come up, as a port was taken meanwhile, it tries once more.
-func (c *cli) try(s proving.Script) (proving.Judgement, error) {
-	j, err := c.once(s)
+// playWithRetry plays one script and judges the record. If the fleet does not start, because
+// another process took one of its ports, it tries once more.
+func (c *cli) playWithRetry(s proving.Script) (proving.Judgement, error) {
+	j, err := c.play(s)
 	if errors.Is(err, proving.ErrStart) && s.Fault == "" {
-		j, err = c.once(s)
+		j, err = c.play(s)
 	}
 	return j, err
 }
 
-func (c *cli) once(s proving.Script) (proving.Judgement, error) {
-	subject, err := c.subject(s)
+func (c *cli) play(s proving.Script) (proving.Judgement, error) {
+	subject, err := c.program(s)
 	if err != nil {
 		return proving.Judgement{}, err
 	}
@@ -98,14 +100,14 @@
 	}
 	j := proving.Judge(record)
 	if !proving.IsLinearizable(history) {
-		j.Findings = append(j.Findings, proving.Finding{Rule: "register", Text: "no order of the proposals explains what was read"})
+		j.Findings = append(j.Findings, proving.Finding{Rule: "register", Text: "the proposals and reads are not linearizable"})
 	}
 	if len(j.Findings) > 0 && c.Keep != "" {
 		to := filepath.Join(c.Keep, s.Name)
 		if err := os.MkdirAll(c.Keep, 0o755); err != nil {
 			return j, err
 		}
-		_ = os.RemoveAll(to) // of an earlier trial
+		_ = os.RemoveAll(to) // left by an earlier trial
 		if err := os.Rename(folder, to); err != nil {
 			return j, err
 		}
@@ -114,7 +116,7 @@
 	return j, os.RemoveAll(folder)
 }
 
-func print(s proving.Script, j proving.Judgement) {
+func printJudgement(s proving.Script, j proving.Judgement) {
 	fmt.Printf("%-28s acts %6d  served %5d  refused %5d  failed %4d  unheard %4d  longest contradiction %v of %s  cold %.2f\n", s.Name, j.Actions, j.Served, j.Refused,
 		j.Failed, j.Unanswered, j.LongestContradiction.Round(time.Millisecond), s.Within, j.PeakColdLoad)
 	if j.Instructions.Sent > 0 {
@@ -125,7 +127,7 @@
 	}
 }
 
-var errFound = errors.New("the promise was not kept")
+var errViolation = errors.New("rules were violated")
 
 type playCmd struct {
 	Files []string `arg:"" help:"Scripts."`
@@ -138,21 +140,21 @@
 		if err != nil {
 			return err
 		}
-		j, err := c.try(s)
+		j, err := c.playWithRetry(s)
 		if err != nil {
 			return err
 		}
-		print(s, j)
+		printJudgement(s, j)
 		found = found || len(j.Findings) > 0
 	}
 	if found {
-		return errFound
+		return errViolation
 	}
 	return nil
 }
 
-// shape is what scripts are drawn for.
-type shape struct {
+// scriptOptions are the flags that scripts are generated from.
+type scriptOptions struct {
 	Voters int           `default:"5" help:"Dispatchers that vote."`
 	Others int           `default:"10" help:"Further ones."`
 	Within time.Duration `default:"1s" help:"The promise's time."`
@@ -162,14 +164,14 @@
 	Fault  string        `help:"A fault to put in on purpose."`
 }
 
-func (s shape) draw(seed uint64) proving.Script {
+func (s scriptOptions) draw(seed uint64) proving.Script {
 	script := proving.Generate(seed, proving.GeneratorOptions{Voters: s.Voters, Others: s.Others, Within: s.Within, Lists: s.Lists, Ledger: s.Ledger, OrderedRecovery: s.Order})
 	script.Fault = s.Fault
 	return script
 }
 
 type drawCmd struct {
-	shape
+	scriptOptions
 	Seed uint64 `arg:""`
 }
 
@@ -179,7 +181,7 @@
 }
 
 type seedsCmd struct {
-	shape
+	scriptOptions
 	From     uint64 `arg:""`
 	To       uint64 `arg:""`
 	Parallel int    `default:"2" help:"Trials at once."`
@@ -191,17 +193,17 @@
 	var all proving.Judgement
 	bins := make([]int, 11) // of the longest contradiction, in tenths of Within
 	found, broken := 0, 0
-	room := make(chan struct{}, max(s.Parallel, 1))
+	slots := make(chan struct{}, max(s.Parallel, 1))
 	var work sync.WaitGroup
 	for seed := s.From; seed <= s.To; seed++ {
-		room <- struct{}{}
+		slots <- struct{}{}
 		work.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			script := s.draw(seed)
-			j, err := c.try(script)
+			j, err := c.playWithRetry(script)
 			mu.Lock()
 			defer mu.Unlock()
-			_ = bar.Add(1) // a terminal that is gone misses nothing
+			_ = bar.Add(1) // a terminal that is gone is not an error
 			if err != nil {
 				broken++
 				fmt.Println(err)
@@ -209,7 +211,7 @@
 			}
 			if len(j.Findings) > 0 {
 				found++
-				print(script, j)
+				printJudgement(script, j)
 			}
 			all.Actions += j.Actions
 			all.Served += j.Served
@@ -233,19 +235,19 @@
 		fmt.Printf("the most that a cold replica was sent in a span, of what the rule allows: %.2f\n", all.PeakColdLoad)
 	}
 	if found+broken > 0 {
-		return errFound
+		return errViolation
 	}
 	return nil
 }
 
 type faultsCmd struct {
-	shape
+	scriptOptions
 	Most     int      `default:"40" help:"Seeds for each fault, at most."`
 	Parallel int      `default:"4" help:"Trials at once."`
 	Only     []string `help:"These faults alone."`
 }
 
-// Run tries each fault with seeds, and where none finds it with the scripts that have a name.
+// Run plays each fault with generated scripts, and with the named scripts that can detect it.
 func (f faultsCmd) Run(c *cli) error {
 	names := f.Only
 	if len(names) == 0 {
@@ -273,7 +275,7 @@
 			s.Fault = name
 			scripts = append(scripts, s)
 		}
-		by, rule, tried := f.first(c, scripts)
+		by, rule, tried := f.firstFinding(c, scripts)
 		harmless := proving.Faults[name].Harmless
 		switch {
 		case by == "" && !harmless:
@@ -289,13 +291,13 @@
 		}
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d faults were not judged rightly", missed)
+		return fmt.Errorf("%d faults were not detected, or were detected although they are harmless", missed)
 	}
 	return nil
 }
 
-// first gives the first script, in order, that finds something.
-func (f faultsCmd) first(c *cli, scripts []proving.Script) (by, rule string, tried int) {
+// firstFinding returns the first script, in order, whose trial has a finding or fails to start.
+func (f faultsCmd) firstFinding(c *cli, scripts []proving.Script) (by, rule string, tried int) {
 	for len(scripts) > 0 {
 		some := scripts[:min(f.Parallel, len(scripts))]
 		scripts = scripts[len(some):]
@@ -303,7 +305,7 @@
 		var work sync.WaitGroup
 		for i, s := range some {
 			work.Go(func() {
-				if j, err := c.try(s); err != nil {
+				if j, err := c.playWithRetry(s); err != nil {
 					rules[i] = "start: " + err.Error()
 				} else if len(j.Findings) > 0 {
 					rules[i] = j.Findings[0].String()
--- a/cmd/proving/scale.go
+++ b/cmd/proving/scale.go
@@ -23,37 +23,38 @@
 	Length   time.Duration `default:"21s" help:"Of the traffic."`
 }
 
-// bound is what the large fleet's figure may be, against the usual one's.
+// bound limits a figure of the large fleet by the same figure of the usual fleet.
 type bound struct {
-	name         string
-	large, usual float64
-	ratio, plus  float64
-	perThousand  float64
-	least        bool // the figure must not be under it
+	name          string
+	large, usual  float64
+	ratio, offset float64
+	perThousand   float64
+	minimum       bool // the limit is a lower one
 }
 
 func (b bound) allowed(replicas int) float64 {
-	return b.ratio*b.usual + b.plus + b.perThousand*float64(replicas)/1000
+	return b.ratio*b.usual + b.offset + b.perThousand*float64(replicas)/1000
 }
 
-func (b bound) kept(replicas int) bool {
-	if b.least {
+func (b bound) holds(replicas int) bool {
+	if b.minimum {
 		return b.large >= b.allowed(replicas)
 	}
 	return b.large <= b.allowed(replicas)
 }
 
-// Run plays one dispatcher before a fleet of the usual size and before a large one, and prints what it needed.
+// Run plays one dispatcher with a fleet of the usual size and one with a large fleet, and prints
+// the resources that each needed.
 func (s *scaleCmd) Run(c *cli) error {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
 		return err
 	}
-	usual, usualServed, usualBroken, err := s.one(s.Usual, binary, c.Keep)
+	usual, usualServed, usualBroken, err := s.playFleet(s.Usual, binary, c.Keep)
 	if err != nil {
 		return err
 	}
-	large, served, broken, err := s.one(s.Replicas, binary, c.Keep)
+	large, served, broken, err := s.playFleet(s.Replicas, binary, c.Keep)
 	if err != nil {
 		return err
 	}
@@ -70,7 +71,7 @@
 	failed := usualBroken + broken
 	for _, b := range bounds {
 		verdict := ""
-		if !b.kept(s.Replicas) {
+		if !b.holds(s.Replicas) {
 			verdict = "  falls short"
 			failed++
 		}
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// one plays one fleet, and prints the rules that were broken.
-func (s *scaleCmd) one(replicas int, binary, keep string) (costs soak.Costs, served float64, broken int, err error) {
+// playFleet plays one fleet and prints the violated rules.
+func (s *scaleCmd) playFleet(replicas int, binary, keep string) (costs soak.Costs, served float64, broken int, err error) {
 	folder, err := os.MkdirTemp("", "scale-")
 	if err != nil {
 		return costs, 0, 0, err
@@ -99,10 +100,10 @@
 		replicas, f.Requests, f.Served, f.Refused, f.Failed, f.ClientClosed, f.Unanswered, f.ClosedUnread, f.LongestHeld.Round(time.Millisecond), f.DelayedStreams, rec.Stall.Round(time.Millisecond))
 	printFindings(findings)
 	if keep == "" {
-		_ = os.RemoveAll(folder) // a temporary folder
+		_ = os.RemoveAll(folder) // a leftover temporary folder does no harm
 	} else {
 		to := soak.LargeRunDir(keep, scenario)
-		_ = os.RemoveAll(to) // of an earlier run
+		_ = os.RemoveAll(to) // left by an earlier run
 		if err := errors.Join(os.MkdirAll(keep, 0o755), os.Rename(folder, to)); err != nil {
 			return costs, 0, 0, err
 		}
@@ -110,7 +111,7 @@
 	return costs, float64(f.Served) / float64(max(f.Requests-f.ClientClosed-f.ClosedUnread, 1)), len(findings), nil
 }
 
-// printFindings prints how often each rule was broken, and the first cases.
+// printFindings prints how often each rule was violated, and the first three findings of each.
 func printFindings(findings []soak.Finding) {
 	count := map[string]int{}
 	for _, f := range findings {
--- a/cmd/proving/soak.go
+++ b/cmd/proving/soak.go
@@ -19,7 +19,7 @@
 	Beside int           `default:"2" help:"Seeds that are played at once."`
 }
 
-// Run plays seeds and prints a line for each, with the rules that were broken.
+// Run plays the seeds and prints a line for each, followed by its findings.
 func (s *soakCmd) Run(c *cli) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -30,14 +30,14 @@
 		return err
 	}
 	var wait sync.WaitGroup
-	var mu sync.Mutex // for the output and the sums
+	var mu sync.Mutex // guards the output and the counts
 	broken, played := 0, 0
-	room := make(chan bool, max(s.Beside, 1))
+	slots := make(chan bool, max(s.Beside, 1))
 	for seed := s.From; seed <= s.To; seed++ {
-		room <- true
+		slots <- true
 		wait.Go(func() {
-			defer func() { <-room }()
-			findings, text := s.one(seed, soak.Program{Dispatcher: binary, Replica: self}, c.Keep)
+			defer func() { <-slots }()
+			findings, text := s.playSeed(seed, soak.Program{Dispatcher: binary, Replica: self}, c.Keep)
 			mu.Lock()
 			defer mu.Unlock()
 			played++
@@ -50,13 +50,13 @@
 	wait.Wait()
 	fmt.Printf("%d seeds, %d of them with broken rules\n", played, broken)
 	if broken > 0 {
-		return fmt.Errorf("rules were broken")
+		return fmt.Errorf("rules were violated")
 	}
 	return nil
 }
 
-// one plays a seed and gives what was found.
-func (s *soakCmd) one(seed uint64, p soak.Program, keep string) (int, string) {
+// playSeed plays one seed and returns the number of findings and the text to print.
+func (s *soakCmd) playSeed(seed uint64, p soak.Program, keep string) (int, string) {
 	folder, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		return 1, err.Error() + "\n"
@@ -79,7 +79,7 @@
 		text += "    " + finding.String() + "\n"
 	}
 	if len(findings) == 0 || keep == "" {
-		_ = os.RemoveAll(folder) // a temporary folder
+		_ = os.RemoveAll(folder) // a leftover temporary folder does no harm
 		return len(findings), text
 	}
 	if err := os.WriteFile(filepath.Join(folder, "story.txt"), []byte(scenario.Describe()), 0o600); err != nil {
@@ -87,7 +87,7 @@
 	}
 	to := soak.RunDir(keep, seed)
 	if err := os.MkdirAll(keep, 0o755); err == nil {
-		_ = os.RemoveAll(to) // of an earlier run
+		_ = os.RemoveAll(to) // left by an earlier run
 		if err := os.Rename(folder, to); err == nil {
 			folder = to
 		}
--- a/example/toyfleet/main.go
+++ b/example/toyfleet/main.go
@@ -1,5 +1,6 @@
-// Command toyfleet is a fleet to try the dispatcher with: readers, writers and a discovery agent on loopback
-// addresses. A reader takes a moment for each prompt; a writer streams back the words that it was asked.
+// Command toyfleet runs a fake fleet to try the dispatcher with: readers, writers and a discovery
+// agent on loopback addresses. A reader's time depends on the length of the prompt. A writer streams
+// the last message of the request back, word by word.
 package main
 
 import (
@@ -59,7 +60,7 @@
 	<-stop
 }
 
-// words are those of the last message.
+// words returns the words of the answer: those of the last message.
 func words(body []byte) []string {
 	var q struct {
 		Messages []struct {
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,9 +1,11 @@
-// Command knownred decides whether a failed run of "go test" may pass: only where every failure is a test that the file of known
-// failures lists. Build errors, panics, data races and failures of no test never pass.
+// Command knownred decides whether a failed run of "go test" may pass: only if every failed test is
+// in the file of known failures. Build errors, panics, data races and failures outside of tests never
+// pass.
 //
 //	knownred KNOWN-RED.txt LOG
 //
-// A line of the file is "package.Test, cause, issue"; a subtest is named with its path. It exits 0 and prints the known failures, or 1 and prints the others.
+// A line of the file is "package.Test, cause, issue"; a subtest is named by its path. The command
+// prints the known failures and exits 0, or prints the first error and exits 1.
 package main
 
 import (
@@ -17,7 +19,7 @@
 	"strings"
 )
 
-const most = 3 // known failures at a time
+const maxListed = 3 // known failures that may be listed at the same time
 
 func main() {
 	if len(os.Args) != 3 {
@@ -59,21 +61,21 @@
 	return nil
 }
 
-// parseList gives the tests of the file of known failures.
+// parseList returns the tests in the file of known failures.
 func parseList(text string) (tests []string, err error) {
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		parts := strings.SplitN(line, ",", 3)
-		if len(parts) != 3 || !strings.Contains(parts[0], ".Test") {
+		fields := strings.SplitN(line, ",", 3)
+		if len(fields) != 3 || !strings.Contains(fields[0], ".Test") {
 			return nil, fmt.Errorf("%q is not \"package.Test, cause, issue\"", line)
 		}
-		tests = append(tests, strings.TrimSpace(parts[0]))
+		tests = append(tests, strings.TrimSpace(fields[0]))
 	}
-	if len(tests) > most {
-		return nil, fmt.Errorf("%d tests are listed, and no more than %d may be", len(tests), most)
+	if len(tests) > maxListed {
+		return nil, fmt.Errorf("%d tests are listed, at most %d are allowed", len(tests), maxListed)
 	}
 	return tests, nil
 }
@@ -81,25 +83,27 @@
 var (
 	failedTest    = regexp.MustCompile(`^\s*--- FAIL: (Test\S+)`)
 	failedPackage = regexp.MustCompile(`^FAIL\t(\S+)\t[0-9.]+s$`)
-	never         = regexp.MustCompile(`^(panic: |fatal error: |WARNING: DATA RACE|FAIL\t\S+ \[|# \S+)`)
+	neverAccepted = regexp.MustCompile(`^(panic: |fatal error: |WARNING: DATA RACE|FAIL\t\S+ \[|# \S+)`)
 )
 
-// leaves leaves out tests that failed with one of their subtests: those must be listed by themselves.
-func leaves(tests []string) []string {
+// dropParents drops tests that failed because of one of their subtests: the subtest must be listed
+// itself.
+func dropParents(tests []string) []string {
 	return slices.DeleteFunc(slices.Clone(tests), func(test string) bool {
 		return slices.ContainsFunc(tests, func(other string) bool { return strings.HasPrefix(other, test+"/") })
 	})
 }
 
-// failures gives the failed tests of a run, each as "package.Test". A package that failed with no failed test is an error.
+// failures returns the failed tests of a run, each as "package.Test". A package that failed without
+// a failed test is an error.
 func failures(log io.Reader) (failed []string, err error) {
-	var tests []string // of the package whose closing line has not come yet
+	var tests []string // failed tests of the package whose result line has not been read yet
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		line := lines.Text()
-		if never.MatchString(line) {
-			return nil, fmt.Errorf("%q never passes", line)
+		if neverAccepted.MatchString(line) {
+			return nil, fmt.Errorf("%q is never accepted as a known failure", line)
 		}
 		if m := failedTest.FindStringSubmatch(line); m != nil {
 			tests = append(tests, m[1])
@@ -107,9 +111,9 @@
 		}
 		if m := failedPackage.FindStringSubmatch(line); m != nil {
 			if len(tests) == 0 {
-				return nil, fmt.Errorf("%s failed, and none of its tests did", m[1])
+				return nil, fmt.Errorf("%s failed without a failed test", m[1])
 			}
-			for _, test := range leaves(tests) {
+			for _, test := range dropParents(tests) {
 				failed = append(failed, m[1]+"."+test)
 			}
 			tests = nil
@@ -119,10 +123,10 @@
 		return nil, err
 	}
 	if len(tests) > 0 {
-		return nil, fmt.Errorf("%s failed in a package that did not end", tests[0])
+		return nil, fmt.Errorf("%s failed, but its package has no result line", tests[0])
 	}
 	if len(failed) == 0 {
-		return nil, errors.New("the run failed, and no test of it did")
+		return nil, errors.New("the run failed without a failed test")
 	}
 	return failed, nil
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -31,7 +31,7 @@
 	Done          time.Time
 	Tokens        int
 	Complete      bool
-	StreamError   string // a token of another request or out of order, or an early end of the stream
+	StreamError   string        // a token of another request or out of order, or an early end of the stream
 	MaxEventDelay time.Duration // longest time between a replica's write of a token and the client's read
 	EndReason     string        // how the connection ended, if the answer is not complete
 }
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -43,7 +43,7 @@
 type conn struct {
 	near, far net.Conn // far is nil if the connection was never forwarded
 	silent    bool     // drops all data; guarded by Link.mu
-	id        string // of the last attempt sent on the connection; used only by the goroutine that reads near
+	id        string   // of the last attempt sent on the connection; used only by the goroutine that reads near
 }
 
 // NewLink listens at addr and forwards connections to the server at to.
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -33,12 +33,12 @@
 const (
 	Received      ReportKind = "taken"    // the last byte of a call has arrived
 	ReadDone      ReportKind = "read"     // a reader has finished the prefill and holds its state
-	Fetch         ReportKind = "fetch" // a writer asks for the state; the registry says whether it is held
+	Fetch         ReportKind = "fetch"    // a writer asks for the state; the registry says whether it is held
 	StreamStarted ReportKind = "ran"      // a writer begins to stream its answer
 	Ended         ReportKind = "ended"    // an attempt is over, whichever side ended it
 	Finished      ReportKind = "finished" // a writer has written its stream completely
 	Released      ReportKind = "released" // a call to release held state has arrived
-	Abandoned     ReportKind = "gave up" // reported by the link: a dispatcher ended an attempt on a silent connection
+	Abandoned     ReportKind = "gave up"  // reported by the link: a dispatcher ended an attempt on a silent connection
 )
 
 // Report is one report about a replica.
