--- a/cmd/proving/ledger.go
+++ b/cmd/proving/ledger.go
@@ -35,10 +35,10 @@
 	return l.measureOpen()
 }
 
-func (l ledgerMeasureCmd) measureMode(c *cli, rate int, measureMode string) error {
-	s := proving.Script{Name: "ledger", Voters: 3, Within: "2s", Alone: "safe", Last: "0s", Ledger: measureMode}
+func (l ledgerMeasureCmd) measureMode(c *cli, rate int, mode string) error {
+	s := proving.Script{Name: "ledger", Voters: 3, Within: "2s", Alone: "safe", Last: "0s", Ledger: mode}
 	return withBench(c, s, func(b *proving.Bench) error {
-		if measureMode != "" {
+		if mode != "" {
 			time.Sleep(time.Second) // until all ledger keeps are complete
 		}
 		b.SendInstructions(rate, time.Second) // opens the connections before the measurement
@@ -59,19 +59,19 @@
 		}
 		var before, after figures
 		var err error
-		if measureMode != "" {
+		if mode != "" {
 			if before, err = sumFigures(); err != nil {
 				return err
 			}
 		}
 		latencies, failed := b.SendInstructions(rate, l.Span)
-		if measureMode != "" {
+		if mode != "" {
 			if after, err = sumFigures(); err != nil {
 				return err
 			}
 		}
 		slices.Sort(latencies)
-		name := measureMode
+		name := mode
 		if name == "" {
 			name = "off"
 		}
--- a/cmd/proving/lists.go
+++ b/cmd/proving/lists.go
@@ -28,8 +28,8 @@
 
 // listModes are the two modes that are compared.
 var listModes = []struct {
-	name  string
-	apart bool
+	name       string
+	standalone bool
 }{{"each alone", true}, {"agreed lists", false}}
 
 func (l listsCmd) Run(c *cli) error {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-func (l listsCmd) withFleet(c *cli, size, rate int, apart bool, f func(b *proving.Bench) error) error {
-	s := proving.Script{Name: "lists", Voters: 3, Within: listsWithin.String(), Alone: l.Alone, Rate: rate, Last: "0s", Lists: true, Standalone: apart}
+func (l listsCmd) withFleet(c *cli, size, rate int, standalone bool, f func(b *proving.Bench) error) error {
+	s := proving.Script{Name: "lists", Voters: 3, Within: listsWithin.String(), Alone: l.Alone, Rate: rate, Last: "0s", Lists: true, Standalone: standalone}
 	if size >= 10 {
 		s.Voters = 5
 	}
@@ -67,7 +67,7 @@
 	for _, maxDelay := range []time.Duration{0, 5 * time.Second} {
 		for _, size := range l.Sizes {
 			for _, mode := range listModes {
-				err := l.withFleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
+				err := l.withFleet(c, size, 0, mode.standalone, func(b *proving.Bench) error {
 					r := rand.New(rand.NewPCG(1, uint64(size)))
 					var durations []time.Duration
 					n := l.Changes
@@ -109,7 +109,7 @@
 	fmt.Println("| asked of the register | processes | calls a second at rest | while it changes each second | bytes a second at rest | while it changes |\n| --- | --- | --- | --- | --- | --- |")
 	for _, size := range l.Sizes {
 		for _, mode := range listModes {
-			err := l.withFleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
+			err := l.withFleet(c, size, 0, mode.standalone, func(b *proving.Bench) error {
 				time.Sleep(2 * time.Second)
 				var calls, bytes [2]float64
 				for kind := range 2 {
@@ -142,7 +142,7 @@
 	fmt.Printf("| all start at once, the register takes %d calls a second | processes | answered | turned away | all serve after |\n| --- | --- | --- | --- | --- |\n", callLimit)
 	for _, mode := range listModes {
 		size := l.Sizes[len(l.Sizes)-1]
-		err := l.withFleet(c, size, 0, mode.apart, func(b *proving.Bench) error {
+		err := l.withFleet(c, size, 0, mode.standalone, func(b *proving.Bench) error {
 			b.KillAll(b.Dispatchers)
 			b.LimitRegistry(callLimit)
 			a0, w0, _ := b.RegistryLoad()
@@ -212,7 +212,7 @@
 // sequence of events: replicas are replaced one by one, and each loses power 2 s after it starts to
 // drain.
 func (l listsCmd) measureWorth(c *cli) error {
-	const size, rate, span = 10, 20, 16 * time.Second
+	const size, rate, length = 10, 20, 16 * time.Second
 	fmt.Println("| worth served, 10 processes | seed | each alone | agreed lists | of alone |\n| --- | --- | --- | --- | --- |")
 	for _, condition := range []string{"no fault", "register up to 5 s late", "readers killed", "half killed", "split"} {
 		for seed := range l.Seeds {
@@ -222,26 +222,26 @@
 			var got [2]float64
 			var readers []string
 			for _, kind := range []int{1, 0} { // agreed lists first: that run names the dispatchers that read the registry
-				err := l.withFleet(c, size, rate, listModes[kind].apart, func(b *proving.Bench) error {
+				err := l.withFleet(c, size, rate, listModes[kind].standalone, func(b *proving.Bench) error {
 					r := rand.New(rand.NewPCG(uint64(seed), 21))
-					late := time.Duration(0)
+					maxDelay := time.Duration(0)
 					if condition == "register up to 5 s late" {
-						late = 5 * time.Second
+						maxDelay = 5 * time.Second
 					}
 					if kind == 1 {
-						some, err := b.Readers()
+						registryReaders, err := b.Readers()
 						if err != nil {
 							return err
 						}
-						for _, d := range some {
+						for _, d := range registryReaders {
 							readers = append(readers, d.Name)
 						}
 					}
 					from := b.Now()
-					if err := l.playDay(b, condition, readers, func(int) time.Duration { return randUpTo(r, late) }, from); err != nil {
+					if err := l.playDay(b, condition, readers, func(int) time.Duration { return randUpTo(r, maxDelay) }, from); err != nil {
 						return err
 					}
-					time.Sleep(from + span - b.Now())
+					time.Sleep(from + length - b.Now())
 					got[kind], _ = b.EarnedShare(b.Dispatchers, from, b.Now())
 					return nil
 				})
@@ -256,7 +256,7 @@
 }
 
 // playDay plays the events that measureWorth measures under.
-func (l listsCmd) playDay(b *proving.Bench, condition string, readers []string, late func(int) time.Duration, from time.Duration) error {
+func (l listsCmd) playDay(b *proving.Bench, condition string, readers []string, delay func(int) time.Duration, from time.Duration) error {
 	var failed error
 	recordErr := func(err error) {
 		if err != nil && failed == nil {
@@ -285,14 +285,14 @@
 	for i, replica := range replaced {
 		at := time.Duration(1+3*i) * time.Second
 		until(at)
-		recordErr(b.ChangeRegistry("", "new", late))
-		recordErr(b.ChangeRegistry(replica, "terminating", late))
+		recordErr(b.ChangeRegistry("", "new", delay))
+		recordErr(b.ChangeRegistry(replica, "terminating", delay))
 		if i == 1 {
 			endFault = startFault()
 		}
 		until(at + 2*time.Second)
 		b.HangReplica(replica)
-		recordErr(b.ChangeRegistry(replica, "gone", late))
+		recordErr(b.ChangeRegistry(replica, "gone", delay))
 		if i == 2 {
 			endFault()
 		}
--- a/cmd/proving/main.go
+++ b/cmd/proving/main.go
@@ -86,7 +86,7 @@
 }
 
 func (c *cli) play(s proving.Script) (proving.Judgement, error) {
-	subject, err := c.program(s)
+	program, err := c.program(s)
 	if err != nil {
 		return proving.Judgement{}, err
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return proving.Judgement{}, err
 	}
-	record, history, err := proving.Play(s, subject, folder)
+	record, history, err := proving.Play(s, program, folder)
 	if err != nil {
 		return proving.Judgement{}, fmt.Errorf("%s: %w (its files: %s)", s.Name, err, folder)
 	}
@@ -164,7 +164,7 @@
 	Fault  string        `help:"A fault to put in on purpose."`
 }
 
-func (s scriptOptions) draw(seed uint64) proving.Script {
+func (s scriptOptions) generate(seed uint64) proving.Script {
 	script := proving.Generate(seed, proving.GeneratorOptions{Voters: s.Voters, Others: s.Others, Within: s.Within, Lists: s.Lists, Ledger: s.Ledger, OrderedRecovery: s.Order})
 	script.Fault = s.Fault
 	return script
@@ -176,7 +176,7 @@
 }
 
 func (d drawCmd) Run(*cli) error {
-	fmt.Print(d.draw(d.Seed))
+	fmt.Print(d.generate(d.Seed))
 	return nil
 }
 
@@ -199,7 +199,7 @@
 		slots <- struct{}{}
 		work.Go(func() {
 			defer func() { <-slots }()
-			script := s.draw(seed)
+			script := s.generate(seed)
 			j, err := c.playWithRetry(script)
 			mu.Lock()
 			defer mu.Unlock()
@@ -253,7 +253,7 @@
 	if len(names) == 0 {
 		names = slices.Sorted(maps.Keys(proving.Faults))
 	}
-	missed := 0
+	misjudged := 0
 	for _, name := range names {
 		f.Fault = name
 		var scripts []proving.Script
@@ -262,7 +262,7 @@
 			f.Ledger = "site"
 		}
 		for seed := range f.Most {
-			scripts = append(scripts, f.draw(uint64(seed+1)))
+			scripts = append(scripts, f.generate(uint64(seed+1)))
 		}
 		named, err := proving.NamedScripts()
 		if err != nil {
@@ -275,48 +275,48 @@
 			s.Fault = name
 			scripts = append(scripts, s)
 		}
-		by, rule, tried := f.firstFinding(c, scripts)
+		foundBy, finding, tried := f.firstFinding(c, scripts)
 		harmless := proving.Faults[name].Harmless
 		switch {
-		case by == "" && !harmless:
-			missed++
+		case foundBy == "" && !harmless:
+			misjudged++
 			fmt.Printf("%-22s NOT FOUND in %d scripts: %s\n", name, tried, proving.Faults[name].Description)
-		case by == "":
+		case foundBy == "":
 			fmt.Printf("%-22s rightly nothing found in %d scripts: %s\n", name, tried, proving.Faults[name].Description)
 		default:
-			fmt.Printf("%-22s found by %s after %d scripts: %.150s\n", name, by, tried, rule)
+			fmt.Printf("%-22s found by %s after %d scripts: %.150s\n", name, foundBy, tried, finding)
 			if harmless {
-				missed++
+				misjudged++
 			}
 		}
 	}
-	if missed > 0 {
-		return fmt.Errorf("%d faults were not detected, or were detected although they are harmless", missed)
+	if misjudged > 0 {
+		return fmt.Errorf("%d faults were not detected, or were detected although they are harmless", misjudged)
 	}
 	return nil
 }
 
 // firstFinding returns the first script, in order, whose trial has a finding or fails to start.
-func (f faultsCmd) firstFinding(c *cli, scripts []proving.Script) (by, rule string, tried int) {
+func (f faultsCmd) firstFinding(c *cli, scripts []proving.Script) (by, finding string, tried int) {
 	for len(scripts) > 0 {
 		some := scripts[:min(f.Parallel, len(scripts))]
 		scripts = scripts[len(some):]
-		rules := make([]string, len(some))
+		findings := make([]string, len(some))
 		var work sync.WaitGroup
 		for i, s := range some {
 			work.Go(func() {
 				if j, err := c.playWithRetry(s); err != nil {
-					rules[i] = "start: " + err.Error()
+					findings[i] = "start: " + err.Error()
 				} else if len(j.Findings) > 0 {
-					rules[i] = j.Findings[0].String()
+					findings[i] = j.Findings[0].String()
 				}
 			})
 		}
 		work.Wait()
 		for i, s := range some {
 			tried++
-			if rules[i] != "" {
-				return s.Name, rules[i], tried
+			if findings[i] != "" {
+				return s.Name, findings[i], tried
 			}
 		}
 	}
--- a/cmd/proving/measure.go
+++ b/cmd/proving/measure.go
@@ -37,7 +37,7 @@
 
 // withBench starts the fleet of a script, calls f with it and stops it.
 func withBench(c *cli, s proving.Script, f func(b *proving.Bench) error) error {
-	subject, err := c.program(s)
+	program, err := c.program(s)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	b, err := proving.NewBench(s, subject, folder)
+	b, err := proving.NewBench(s, program, folder)
 	if b != nil {
 		defer b.Close()
 	}
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -119,7 +119,7 @@
 	case syscall.SIGTERM:
 		if process.TermSent.IsZero() {
 			process.TermSent = time.Now()
-			time.AfterFunc(frontDelay, func() { d.mu.Lock(); d.removed = d.removed || d.current() == process; d.mu.Unlock() })
+			time.AfterFunc(balancerDelay, func() { d.mu.Lock(); d.removed = d.removed || d.current() == process; d.mu.Unlock() })
 		}
 	case syscall.SIGKILL:
 		process.KillSent, d.removed = time.Now(), true
@@ -137,8 +137,8 @@
 // handlers.
 const execTimeMax = 100 * time.Millisecond
 
-// frontDelay is how long after SIGTERM a load balancer keeps sending new connections.
-const frontDelay = 300 * time.Millisecond
+// balancerDelay is how long after SIGTERM a load balancer keeps sending new connections.
+const balancerDelay = 300 * time.Millisecond
 
 // killAfter returns how long after SIGTERM an operator may send SIGKILL at the earliest: the
 // longest deadline, but at most 3 s, plus 0.7 s.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -125,14 +125,14 @@
 func (r *run) drainReplica(f fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	left := map[string]int{}
+	inService := map[string]int{}
 	for _, e := range r.entries {
 		if e.State == "in_service" {
-			left[e.Kind]++
+			inService[e.Kind]++
 		}
 	}
 	i := f.Target % len(r.entries)
-	if e := &r.entries[i]; e.State == "in_service" && left[e.Kind] > 2 {
+	if e := &r.entries[i]; e.State == "in_service" && inService[e.Kind] > 2 {
 		r.entries = slices.Clone(r.entries)
 		r.entries[i].State = "terminating"
 		for _, d := range r.dispatchers {
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -17,13 +17,13 @@
 const (
 	Forwarded  NewConnectionMode = iota // they are forwarded to the server
 	Blackholed                          // they are accepted, but all data sent on them is dropped
-	Pending                             // they are not accepted until the mode changes
+	Pending                             // they hang in connect until the mode changes
 	Reset                               // they are reset
 )
 
 // Link is a TCP proxy between dispatchers and one server that imitates network faults: connections
-// that stop responding without an error, are reset, or are never accepted. Its methods may be
-// called from any goroutine.
+// that stop responding without an error, are reset, or hang in connect. Its methods may be called
+// from any goroutine.
 type Link struct {
 	Addr string // address that dispatchers connect to
 
@@ -127,9 +127,9 @@
 )
 
 // listen sets the length of the accept queue.
-func (l *Link) listen(most int) {
+func (l *Link) listen(queueLen int) {
 	if raw, err := l.ln.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), most) })
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), queueLen) })
 	}
 }
 
