--- a/cmd/proving/main.go
+++ b/cmd/proving/main.go
@@ -299,11 +299,11 @@
 // firstFinding returns the first script, in order, whose trial has a finding or fails to start.
 func (f faultsCmd) firstFinding(c *cli, scripts []proving.Script) (by, finding string, tried int) {
 	for len(scripts) > 0 {
-		some := scripts[:min(f.Parallel, len(scripts))]
-		scripts = scripts[len(some):]
-		findings := make([]string, len(some))
+		batch := scripts[:min(f.Parallel, len(scripts))]
+		scripts = scripts[len(batch):]
+		findings := make([]string, len(batch))
 		var work sync.WaitGroup
-		for i, s := range some {
+		for i, s := range batch {
 			work.Go(func() {
 				if j, err := c.playWithRetry(s); err != nil {
 					findings[i] = "start: " + err.Error()
@@ -313,7 +313,7 @@
 			})
 		}
 		work.Wait()
-		for i, s := range some {
+		for i, s := range batch {
 			tried++
 			if findings[i] != "" {
 				return s.Name, findings[i], tried
--- a/cmd/proving/measure.go
+++ b/cmd/proving/measure.go
@@ -106,20 +106,20 @@
 func (m measureCmd) measureAfterKill(c *cli) error {
 	fmt.Println("| one killed just before, of 15 | versions | p50 | p99 | longest |\n| --- | --- | --- | --- | --- |")
 	return m.withFleet(c, 15, 0, "safe", func(b *proving.Bench) error {
-		for _, who := range []int{14, 4} {
+		for _, killed := range []int{14, 4} {
 			var durations []time.Duration
 			for range max(m.Changes/4, 3) {
-				b.Kill(b.Dispatchers[who])
+				b.Kill(b.Dispatchers[killed])
 				d, err := b.ProposeChange()
 				if err != nil {
 					return err
 				}
 				durations = append(durations, d)
-				if err := b.Restart(b.Dispatchers[who]); err != nil {
+				if err := b.Restart(b.Dispatchers[killed]); err != nil {
 					return err
 				}
 			}
-			printRow(b.Dispatchers[who].Name, durations)
+			printRow(b.Dispatchers[killed].Name, durations)
 		}
 		return nil
 	})
@@ -142,8 +142,8 @@
 
 const idleTime = 10 * time.Second
 
-func (m measureCmd) measureResources(b *proving.Bench, size int, who []int) error {
-	for _, i := range slices.Compact(who) {
+func (m measureCmd) measureResources(b *proving.Bench, size int, indexes []int) error {
+	for _, i := range slices.Compact(indexes) {
 		d := b.Dispatchers[i]
 		before, err := b.Status(d)
 		if err != nil {
@@ -185,7 +185,7 @@
 // measureWorth compares the credit earned in periods in which versions change with periods in which
 // none does. The periods alternate within one run.
 func (m measureCmd) measureWorth(c *cli) error {
-	const stretch, rounds = 5 * time.Second, 3
+	const periodLength, rounds = 5 * time.Second, 3
 	fmt.Println("| stretches of 5 s, in turn | worth served | p50 | p99 |\n| --- | --- | --- | --- |")
 	return m.withFleet(c, 15, 20, "safe", func(b *proving.Bench) error {
 		type span struct {
@@ -196,7 +196,7 @@
 		for range rounds {
 			for kind := range 2 {
 				s := span{from: b.Now()}
-				for end := s.from + stretch; b.Now() < end; {
+				for end := s.from + periodLength; b.Now() < end; {
 					if kind == 1 {
 						if _, err := b.ProposeChange(); err != nil {
 							return err
@@ -229,29 +229,29 @@
 // measureNoMajority compares what dispatchers serve before and while a majority of the voters is
 // down.
 func (m measureCmd) measureNoMajority(c *cli) error {
-	const gone = 8 * time.Second
+	const downTime = 8 * time.Second
 	fmt.Println("| alone | worth served before | while two of three voters are dead | acts beyond the lease |\n| --- | --- | --- | --- |")
 	for _, mode := range []string{"stop", "safe", "hold"} {
 		err := m.withFleet(c, 4, 20, mode, func(b *proving.Bench) error {
-			left := b.Dispatchers[2:]
+			remaining := b.Dispatchers[2:]
 			from := b.Now()
 			time.Sleep(3 * time.Second)
 			dead := b.Now()
 			b.Kill(b.Dispatchers[0])
 			b.Kill(b.Dispatchers[1])
-			time.Sleep(gone)
+			time.Sleep(downTime)
 			to := b.Now()
-			before, _ := b.EarnedShare(left, from, dead)
-			after, _ := b.EarnedShare(left, dead+m.Within, to)
-			late := int64(0)
-			for _, d := range left {
+			before, _ := b.EarnedShare(remaining, from, dead)
+			after, _ := b.EarnedShare(remaining, dead+m.Within, to)
+			lateActions := int64(0)
+			for _, d := range remaining {
 				o, err := b.Status(d)
 				if err != nil {
 					return err
 				}
-				late += o.LateActs
+				lateActions += o.LateActs
 			}
-			fmt.Printf("| %s | %.3f | %.3f | %d |\n", mode, before, after, late)
+			fmt.Printf("| %s | %.3f | %.3f | %d |\n", mode, before, after, lateActions)
 			return nil
 		})
 		if err != nil {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -43,8 +43,8 @@
 	next     int
 
 	classes  func() []class
-	sessions int // number of sessions that requests are spread over
-	open     sync.WaitGroup
+	sessions int            // number of sessions that requests are spread over
+	running  sync.WaitGroup // goroutines of the clients
 	stop     chan struct{}
 }
 
@@ -74,7 +74,7 @@
 // generate sends requests to the dispatcher at a fixed average rate, whether or not it answers (an
 // open-loop load).
 func (g *group) generate(perSecond float64) {
-	defer g.clients.open.Done()
+	defer g.clients.running.Done()
 	for {
 		wait := time.Duration((0.2 + 1.6*g.float()) / perSecond * float64(time.Second))
 		select {
@@ -82,9 +82,9 @@
 			return
 		case <-time.After(wait):
 		}
-		g.clients.open.Add(1)
+		g.clients.running.Add(1)
 		go func() {
-			defer g.clients.open.Done()
+			defer g.clients.running.Done()
 			if g.float() < openAheadShare {
 				g.askOnIdleConn()
 			} else {
@@ -280,7 +280,7 @@
 // holdIdleConns opens up to size connections to the dispatcher and sends nothing on them until the
 // channel fires or the clients stop.
 func (g *group) holdIdleConns(size int, until <-chan time.Time) {
-	defer g.clients.open.Done()
+	defer g.clients.running.Done()
 	var idle []net.Conn
 	for range size {
 		if c, err := net.DialTimeout("tcp", g.target.listen, time.Second); err == nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -41,7 +41,7 @@
 	end := r.markFaulty(n)
 	defer end()
 	switch f.Kind {
-	case linkBlackhole: // new connections work
+	case linkBlackhole: // affects only the open connections
 		n.link.Blackhole()
 		time.Sleep(f.Duration) // the affected connections stay silent afterwards
 	case linkPartition:
@@ -63,8 +63,8 @@
 		r.restartReplica(n, f.Duration)
 	case badAnswers:
 		share := 0.1 + 0.6*f.Size
-		ways := []Behavior{{Error: share}, {Full: share}, {Break: share}, {BreakStream: share}, {Hang: share}, {Slow: 4}}
-		r.registry.setBehavior(n.cfg.Name, ways[f.Target/len(r.nodes)%len(ways)])
+		behaviors := []Behavior{{Error: share}, {Full: share}, {Break: share}, {BreakStream: share}, {Hang: share}, {Slow: 4}}
+		r.registry.setBehavior(n.cfg.Name, behaviors[f.Target/len(r.nodes)%len(behaviors)])
 		time.Sleep(f.Duration)
 		r.registry.setBehavior(n.cfg.Name, Behavior{})
 	}
@@ -173,7 +173,7 @@
 		d.agent.SetOverloaded(false)
 	case idleClients:
 		r.markIdleClients(d)
-		r.clients.open.Add(1)
+		r.clients.running.Add(1)
 		g.holdIdleConns(r.scenario.Sockets, time.After(f.Duration))
 	case partialRequests:
 		r.sendPartialRequests(d, g)
--- a/internal/soak/large.go
+++ b/internal/soak/large.go
@@ -48,7 +48,7 @@
 	LargeLength = zoneSilentStart + zoneSilentFor + 4*time.Second
 )
 
-// localReplica is a replica in the process of the test.
+// localReplica is a replica in the same process as the harness.
 type localReplica struct {
 	*fake.Replica
 	entry fake.Entry
@@ -149,7 +149,7 @@
 	}
 	g := &group{clients: r.clients, target: d, draw: rand.New(rand.NewPCG(r.scenario.Seed, 0))}
 	r.groups = append(r.groups, g)
-	r.clients.open.Add(1)
+	r.clients.running.Add(1)
 	go g.generate(r.scenario.Rate)
 	return nil
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -115,7 +115,7 @@
 // awaitClients stops the clients and waits until the limit for holding state has passed.
 func (r *run) awaitClients() {
 	close(r.clients.stop)
-	r.clients.open.Wait()
+	r.clients.running.Wait()
 	time.Sleep(releaseWait)
 }
 
@@ -229,7 +229,7 @@
 		return fmt.Errorf("dispatchers: %w", err)
 	}
 	for _, g := range r.groups {
-		r.clients.open.Add(1)
+		r.clients.running.Add(1)
 		go g.generate(r.scenario.Rate)
 	}
 	return nil
@@ -273,7 +273,7 @@
 	if r.scenario.Shutdown.IdleClients {
 		for i, g := range r.groups {
 			r.markIdleClients(r.dispatchers[i])
-			r.clients.open.Add(1)
+			r.clients.running.Add(1)
 			go g.holdIdleConns(r.scenario.Sockets, stopIdle)
 		}
 		time.Sleep(connectTime)
@@ -319,12 +319,12 @@
 
 // Describe returns the scenario as text, with one line for each fault.
 func (s Scenario) Describe() string {
-	var all strings.Builder
-	fmt.Fprintf(&all, "seed %d: %d dispatchers, %d readers, %d writers, %.0f requests a second each, %d sockets, classes %v\n", s.Seed, s.Dispatchers,
+	var text strings.Builder
+	fmt.Fprintf(&text, "seed %d: %d dispatchers, %d readers, %d writers, %.0f requests a second each, %d sockets, classes %v\n", s.Seed, s.Dispatchers,
 		s.Readers, s.Writers, s.Rate, s.Sockets, s.Classes)
 	for _, f := range s.Faults {
-		fmt.Fprintln(&all, f)
+		fmt.Fprintln(&text, f)
 	}
-	fmt.Fprintf(&all, "in the end %v, %.3f s apart, crowd %v\n", signalSeries(s.Shutdown.SignalSeries), s.Shutdown.Pause.Seconds(), s.Shutdown.IdleClients)
-	return all.String()
+	fmt.Fprintf(&text, "in the end %v, %.3f s apart, crowd %v\n", signalSeries(s.Shutdown.SignalSeries), s.Shutdown.Pause.Seconds(), s.Shutdown.IdleClients)
+	return text.String()
 }
