--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -32,7 +32,7 @@
 	queries         []string      // query strings of all requests so far
 	overloaded      bool
 	unresponsive    bool
-	limiter         *rate.Limiter // limit of the discovery service that all agents share; nil if there is none
+	limiter         *rate.Limiter // of the discovery service that all agents share; may be nil
 	requests        [2]int        // accepted, refused
 	bytesSent       int
 	servedVersion   int64                // version of the full list that was served last
@@ -40,7 +40,7 @@
 	removalServedAt map[string]time.Time // by replica, see RemovalServedAt
 
 	changedIn   map[string]int64 // by replica, the version that last changed it, from deltasSince on
-	deltasSince int64            // oldest version for which a delta can be served; 0 if no deltas are served
+	deltasSince int64            // oldest version for which a delta can be served; 0 if there is none
 }
 
 // StartAgent starts an agent that listens at addr and serves the given list as version 1.
@@ -146,7 +146,8 @@
 }
 
 // RemovalServedAt returns when the agent first served a list in which a replica that it had served
-// as in service no longer was, or the zero time if it has not served such a list.
+// as in service no longer was, or the zero time if it has not served such a list. Serving the replica
+// as in service again clears the time.
 func (a *Agent) RemovalServedAt(replica string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -21,7 +21,8 @@
 	Header                 map[string]string
 }
 
-// Replica is a fake replica. A script, the function given to Start, answers each request but DELETE.
+// Replica is a fake replica. A script, the function given to Start, answers each request but DELETE,
+// which is answered with status 204.
 type Replica struct {
 	Addr string
 
--- a/internal/fleetmodel/fair_test.go
+++ b/internal/fleetmodel/fair_test.go
@@ -38,7 +38,7 @@
 					for _, fraction := range []float64{0.1, 0.25} {
 						longest, all := r.Answered(class, fraction)
 						if longest < c.part*all {
-							t.Errorf("seed %d, class %d: %.3f of the longest %.2f are answered, %.3f of all", seed+1, class, longest, fraction, all)
+							t.Errorf("seed %d, class %d: %.3f of the requests with the longest prompts (share %.2f of the class) are answered, %.3f of all", seed+1, class, longest, fraction, all)
 						}
 						summary += fmt.Sprintf("  %.3f of %.3f", longest, all)
 					}
--- a/internal/fleetmodel/report.go
+++ b/internal/fleetmodel/report.go
@@ -34,9 +34,9 @@
 	WastedReads                  int     // reads that finished after their router had given them up
 	Dials                        int     // new connections, including failed ones
 	Probes                       int     // probes that routers sent
-	FailedDials                  int     // new connections to a replica that was down or at its limit, or for an ended attempt
+	FailedDials                  int     // new connections that failed, as the replica was down or at its limit
 	BrokenStreams                int     // streams broken because their writer was killed
-	uncachedTokens, promptTokens float64 // of all reads: tokens that were not cached, and tokens of the whole prompts
+	uncachedTokens, promptTokens float64 // of all reads: uncached tokens, and tokens of the whole prompts
 	settings                     logic.Settings
 	warmUpRow                    Row // requests of the warm-up
 	results                      []result
