--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -32,7 +32,8 @@
 	reachedReplica  bool             // an attempt that has ended may have reached its replica
 	held            heldState        // state that a reader holds
 	orphaned        bool             // a read ended without reporting whether it left state behind
-	// unresolved tells that a read was given up and may continue if its replica did not notice.
+	// unresolved is set if a read was given up and may continue, as its replica may not have
+	// noticed.
 	unresolved bool
 	// uncertainSince is the send time of the first attempt that may have run or may still be
 	// running.
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -99,8 +99,8 @@
 
 func (c *Counts) countTaken(*request) { c.update(func(t *Totals) { t.Taken++ }) }
 
-// countSent counts an attempt that is sent. It is only logged: the ring gets an entry when the
-// attempt ends.
+// countSent counts and logs an attempt that is sent. The ring of recent entries gets its entry only
+// when the attempt ends.
 func (c *Counts) countSent(at *attempt) {
 	c.update(func(t *Totals) { t.Attempts++ })
 	log.Printf("%s attempt %d sent to %s", at.request.id, at.number, at.server)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -82,8 +82,8 @@
 type Result struct {
 	Outcome logic.Outcome
 	Tokens  int64 // with ReadDone: prompt tokens that were found in the cache of the reader
-	// NoState tells that no state is left at the reader: with Full there was none to fetch, with
-	// any other outcome the attempt has taken it.
+	// NoState is set if no state is left at the reader: with Full there was none to fetch, with any
+	// other outcome the attempt has fetched it.
 	NoState    bool
 	NoLease    bool   // with NotSent: the dispatcher had no lease that allows sending
 	ClientGone bool   // with NotSent: the client had closed its connection
--- a/internal/dispatch/held.go
+++ b/internal/dispatch/held.go
@@ -22,8 +22,8 @@
 	timerID    int             // number of the active release timer
 	// stateID is the number of the state, incremented when it is read, fetched or released.
 	stateID int
-	// releasePending tells that the end of an attempt is held back until the state that it may have
-	// left is released.
+	// releasePending is set while the end of an attempt is not passed on to the decision module,
+	// because the state that it may have left is not released yet.
 	releasePending bool
 }
 
@@ -35,7 +35,7 @@
 	// fail to respond before one answers.
 	releaseWait = 100 * time.Millisecond
 	// releaseRepeatDelay is the time after which the release at the end of a request is repeated: a
-	// read may end at its replica just after the first call came there.
+	// read may end at its replica just after the first call arrived there.
 	releaseRepeatDelay = 150 * time.Millisecond
 )
 
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -17,8 +17,8 @@
 	Begin(until time.Time, then func(end func(logic.Outcome), err error))
 }
 
-// MayHaveRun is an error of Begin that tells that an earlier attempt ran or may have run. The
-// request is then failed and not refused, as retrying would be of no use.
+// MayHaveRun is an error of Begin, returned if an earlier attempt ran or may have run. The request
+// then fails and is not refused, as retrying would be of no use.
 type MayHaveRun interface {
 	error
 	MayHaveRun() bool
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -14,8 +14,8 @@
 type Lease interface {
 	// MayAdmit returns an error if a new request must not be admitted.
 	MayAdmit(q Admission) error
-	// MaySend returns an error if an attempt must not be sent now. The argument once tells that the
-	// class must not run twice, and again that an earlier attempt of the request may have run.
+	// MaySend returns an error if an attempt must not be sent now. The argument once is true if the
+	// class must not run twice, and again is true if an earlier attempt of the request may have run.
 	MaySend(once, again bool) error
 	// AtMostOnce reports whether every class must be treated as one that must not run twice.
 	AtMostOnce() bool
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -10,7 +10,7 @@
 )
 
 // This file is the only place that decides whether a step is allowed for a request: whether an
-// attempt may be sent, may repeat an earlier one and may still leave, whether an answer may say
+// attempt may be sent, may repeat an earlier one and may still send its first byte, whether an answer may say
 // that retrying is harmless, whether held state may be released, and whether the request may be
 // forgotten. These decisions rest on proof only, never on the apparent success of a local call:
 // written bytes may not have arrived, a connection closed here may still be open on the other side,
--- a/internal/fleetmodel/report.go
+++ b/internal/fleetmodel/report.go
@@ -26,7 +26,7 @@
 // Report is the result of a run.
 type Report struct {
 	Rows                         []Row
-	Served                       float64 // worth of answers, late ones times LateWorth, over worth of all requests
+	Served                       float64 // as operators count it: worth of answers, late ones times LateWorth, over worth of all requests
 	BudgetUse                    float64 // highest load of a cold replica, as a share of its budget in slow start
 	BudgetUseWithMargin          float64 // the same, with a margin for chance; over 1 the replica is overloaded
 	Cancelled                    int     // attempts that routers cancelled before their timeout
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -105,8 +105,8 @@
 	return best
 }
 
-// aimOf is the seconds within which the first token is wanted, or within which the client gives up
-// if that is sooner.
+// aimOf is the time in seconds within which the first token is wanted, or within which the client
+// gives up if that is sooner.
 func (l *Router) aimOf(r *request) float64 {
 	aim := r.class.Aim.Seconds() + r.class.AimPer1K.Seconds()*float64(r.PromptTokens)/1000
 	left := min(aim-(l.now-r.firstTried).Seconds(), r.Remaining.Seconds())
--- a/logic/health.go
+++ b/logic/health.go
@@ -10,8 +10,8 @@
 	maxConsecutiveErrors = 3                      // consecutive errors that count as a failure of the server
 	errorPrior           = 10.0                   // attempts without an error assumed in addition to those seen
 	errorPenalty         = 4.0                    // added to a writer's load, in shares of its memory, for an error rate of 1
-	fullBackoffFactor    = 20                     // and for this multiple of the time that the "full" answer took, if that is longer
-	minFullBackoff       = 150 * time.Millisecond // a server that answered "full" is skipped for at least this long
+	fullBackoffFactor    = 20                     // a server that answered "full" is skipped for this multiple of the time that the answer took ...
+	minFullBackoff       = 150 * time.Millisecond // ... and for at least this long
 )
 
 // tenantClass is the key for backpressure: a tenant and a class of requests.
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -304,8 +304,8 @@
 
 // TestOverdueDependsOnMeanReadTime checks that a reader that has not answered is overdue if reads
 // are usually short, but not if every read takes long. It guards against mass cancellation of
-// reads, which congested large fleets, where a router hears from a given reader only about once a
-// minute.
+// reads, which congested large fleets, where a given reader answers a given router only about
+// once a minute.
 func TestOverdueDependsOnMeanReadTime(t *testing.T) {
 	for _, meanRead := range []float64{0.05, 0.6, 0} { // 0: a router that has just started, and no read has ended yet
 		l := newRouter(t, settings(), entry("r1", "r", 1), entry("w1", "w", 1))
--- a/logic/readrate.go
+++ b/logic/readrate.go
@@ -28,7 +28,7 @@
 	return perToken
 }
 
-// externalWait is the seconds that recent reads waited beyond this router's own queue there,
+// externalWait is the time in seconds that recent reads waited beyond this router's own queue there,
 // because of requests from other routers. A reader without a recent read counts as the mean of the
 // others.
 func (l *Router) externalWait(s *server) float64 {
@@ -37,7 +37,8 @@
 }
 
 // backlog is the number of prompt tokens waiting at a reader: those that this router sent, or if
-// higher the number that the reader reported, less what it has read since.
+// higher the number that the reader reported, plus what this router has sent since, less what the
+// reader has read since.
 func (l *Router) backlog(s *server, perToken float64) float64 {
 	own := float64(s.unreadTokens)
 	if s.reportAt == 0 || l.now-s.reportAt > queueDecay || !(s.report.TokensWaiting > 0) {
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -1,6 +1,6 @@
 package logic
 
-// Retries: their budget, timeouts, and the rule on repeats.
+// Retries: their budget, the cancellation of overdue attempts, and the rule on repeats.
 
 const (
 	retryShare    = 0.2  // allowed retries of overdue attempts, as a share of arrivals ...
@@ -30,12 +30,12 @@
 	return true
 }
 
-// overdueAfter is the seconds after which an attempt is overdue. With a shorter limit, attempts at
+// overdueAfter is the time in seconds after which an attempt is overdue. With a shorter limit, attempts at
 // healthy servers would time out, and retries from a whole fleet would become a retry storm.
 //
-// If this router rarely hears from a server, the mean time of all recent reads says more than the
-// silence of that server, so the limit is a multiple of the mean where that is longer. A router with
-// a partial view does not know the queues, where a read behind a long prompt takes many times as
+// If a server rarely answers this router, because it is rarely sent anything, the mean time of all
+// recent reads says more than the lack of an answer from that server, so the limit is a multiple of
+// the mean where that is longer. A router with a partial view does not know the queues, where a read behind a long prompt takes many times as
 // long as most. If reads usually take so much of the first-token target that a retry elsewhere would
 // be late too, their deviation is added. An overtaken attempt, whose server has answered later ones,
 // is not queued, so the deviation is left out.
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -44,9 +44,9 @@
 }
 
 // withinColdBudget reports whether a request may be sent to a server under the limit on the total
-// load that all routers send to a cold server. The load that a warm server of its kind serves for
-// each arrival here stands for this router's share of a server's capacity, and earns credit for
-// sends. The initial credit is a random fraction of one send that depends on the seed, so that where
+// load that all routers send to a cold server. This router's share of the server's capacity is
+// estimated from the load that a warm server of its kind serves for each arrival here, and is earned
+// as credit for sends. The initial credit is a random fraction of one send that depends on the seed, so that where
 // the share is far below one send per window, a few of the routers may send in each window.
 func (l *Router) withinColdBudget(s *server) bool {
 	if !l.cold(s) {
@@ -65,7 +65,7 @@
 }
 
 // arrivalShare is the part of this router's arrivals that a warm server of the kind of s with
-// weight 1 serves, and the share of the allowed load that may be sent on the strength of it. A
+// weight 1 serves, and the share of the allowed load that may be sent by this estimate. A
 // router with few arrivals assumes that they are spread evenly. Summed over all routers that is
 // right, whereas each router's own observations would starve new servers after routers restart.
 // While no server of the kind is warm, the last known rate of the warm ones is used.
--- a/logic/writer.go
+++ b/logic/writer.go
@@ -10,8 +10,9 @@
 )
 
 // load is the estimated share of a writer's memory in use: the mean over all writers, corrected by
-// this router's own tokens there and by the writer's latest report, weighted by its age. The own
-// tokens stand for those of all routers only to the extent that many writes there are this router's.
+// this router's own tokens there and by the writer's latest report, weighted by its age. The
+// correction by own tokens assumes that the other routers hold as many there, so its weight grows
+// with the number of this router's open writes at the writer.
 func (l *Router) load(s *server) float64 {
 	memory := max(s.memoryTokens, 1) * s.Weight
 	siblings := float64(l.set.Siblings)
