--- a/internal/dispatch/clientgone_test.go
+++ b/internal/dispatch/clientgone_test.go
@@ -8,9 +8,9 @@
 	"standpulley/logic"
 )
 
-// Guards: no attempt starts at either stage once the client has gone, even while the core is too
-// busy to process the message about it. Here that message stays in the inbox while the attempt
-// comes to its first byte.
+// TestNoAttemptStartsAfterClientIsGone checks that no attempt starts at either stage once the
+// client has gone, even while the core is too busy to process the message about it. Here that
+// message stays in the inbox while the attempt is about to send its first byte.
 func TestNoAttemptStartsAfterClientIsGone(t *testing.T) {
 	for _, stage := range []logic.Role{logic.Reader, logic.Writer} {
 		for _, how := range []string{"reported by the watch", "seen on the connection"} {
--- a/internal/dispatch/delay_test.go
+++ b/internal/dispatch/delay_test.go
@@ -10,7 +10,8 @@
 
 func (s slowStep) apply(*Dispatcher) { time.Sleep(time.Duration(s)) }
 
-// A blocked core shows in the delays of both messages and timers.
+// TestDelaysShowSlowCore checks that a blocked core shows in the delays of both messages and
+// timers.
 func TestDelaysShowSlowCore(t *testing.T) {
 	d, _ := newCore(t, 9)
 	const blocked = 2 * lagThreshold
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Guards: a stream that begins after the final answer, or after its attempt was given up, is closed
-// and reaches nobody.
+// TestLateStreamIsClosed checks that a stream that begins after the final answer, or after its
+// attempt was given up, is closed and reaches nobody.
 func TestLateStreamIsClosed(t *testing.T) {
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "a", "safe")
@@ -170,8 +170,8 @@
 	}
 }
 
-// Guards: whatever the decision module decides, a request that must not run twice is neither sent
-// again nor refused once it may have run.
+// TestRepeatRule checks that whatever the decision module decides, a request that must not run
+// twice is neither sent again nor refused once it may have run.
 func TestRepeatRule(t *testing.T) {
 	for _, o := range []logic.Outcome{logic.ConnectionLost, logic.TimedOut, logic.ServerError, logic.Cancelled} {
 		d, _ := newCore(t, 9)
@@ -199,8 +199,9 @@
 	}
 }
 
-// Guards: a request that must not run twice is sent again after an outcome that proves that it
-// never ran. A broken read is not a run, so such a request may be refused.
+// TestRetryAfterProofThatAttemptNeverRan checks that a request that must not run twice is sent
+// again after an outcome that proves that it never ran. A broken read is not a run, so such a
+// request may be refused.
 func TestRetryAfterProofThatAttemptNeverRan(t *testing.T) {
 	for _, o := range []logic.Outcome{logic.Full, logic.ConnectFailed, logic.NotSent} {
 		d, _ := newCore(t, 9)
@@ -221,8 +222,8 @@
 	}
 }
 
-// Guards: if a client leaves while a read is in flight, the read is given up and the state that it
-// left is released.
+// TestClientDisconnectDuringRead checks that if a client leaves while a read is in flight, the read
+// is given up and the state that it left is released.
 func TestClientDisconnectDuringRead(t *testing.T) {
 	d, rel := newCore(t, 9)
 	k, p := submit(d, "a", "unsafe")
@@ -237,7 +238,8 @@
 	}
 }
 
-// Guards: the table of open requests is bounded, and no two open requests have the same id.
+// TestAdmission checks that the table of open requests is bounded, and no two open requests have
+// the same id.
 func TestAdmission(t *testing.T) {
 	d, _ := newCore(t, 1)
 	submit(d, "a", "safe")
@@ -252,8 +254,9 @@
 	}
 }
 
-// Guards: a client that asks for the rest of a stream had an attempt that ran, here or at another
-// dispatcher. A refusal would wrongly promise that retrying is harmless.
+// TestResumedRequestIsNeverRefused checks that a request for the rest of a stream is never refused.
+// An attempt of it has run, here or at another dispatcher, so a refusal would wrongly promise that
+// retrying is harmless.
 func TestResumedRequestIsNeverRefused(t *testing.T) {
 	d, _ := newCore(t, 1)
 	p := &fakePayload{}
@@ -273,8 +276,8 @@
 	}
 }
 
-// Guards: a request that must not run twice is not refused while an attempt is in flight, even at a
-// reader. A refusal would break the rule on repeats.
+// TestNoRefusalWhileAttemptIsInFlight checks that a request that must not run twice is not refused
+// while an attempt is in flight, even at a reader. A refusal would break the rule on repeats.
 func TestNoRefusalWhileAttemptIsInFlight(t *testing.T) {
 	for class, want := range map[string]Verdict{"safe": Refused, "unsafe": Failed} {
 		d, _ := newCore(t, 9)
@@ -289,7 +292,8 @@
 	}
 }
 
-// Guards: a draining replica gets no new attempt, whatever the decision module decides.
+// TestNoNewAttemptToDrainingReplica checks that a draining replica gets no new attempt, whatever
+// the decision module decides.
 func TestNoNewAttemptToDrainingReplica(t *testing.T) {
 	d, _ := newCore(t, 9)
 	_, p := submit(d, "a", "safe")
@@ -314,7 +318,8 @@
 	}
 }
 
-// Guards: unanswered requests get their answer before SIGKILL comes, and live streams are not cut.
+// TestAnswerPending checks that AnswerPending, which is called shortly before SIGKILL, answers all
+// unanswered requests and cuts no live stream.
 func TestAnswerPending(t *testing.T) {
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "streams", "safe")
@@ -338,9 +343,9 @@
 	}
 }
 
-// Guards: SIGKILL would cut streams at a time when their clients may find no other dispatcher.
-// Streams whose clients ask another dispatcher for the rest are closed before that, one by one, the
-// youngest first. All other streams continue.
+// TestCloseResumable checks that streams whose clients ask another dispatcher for the rest are
+// closed before SIGKILL comes, one by one, the youngest first. SIGKILL would cut them at a time
+// when their clients may find no other dispatcher. All other streams continue.
 func TestCloseResumable(t *testing.T) {
 	d, _ := newCore(t, 9)
 	now := time.Now()
@@ -373,7 +378,8 @@
 	}
 }
 
-// Guards: requests and replaced replicas must not leave memory behind that adds up over a day.
+// TestHeapDoesNotGrow guards against memory that requests and replaced replicas leave behind and
+// that adds up over a day.
 func TestHeapDoesNotGrow(t *testing.T) {
 	d, _ := newCore(t, 9)
 	now := time.Now()
--- a/internal/dispatch/inbox_test.go
+++ b/internal/dispatch/inbox_test.go
@@ -8,8 +8,9 @@
 	"standpulley/logic"
 )
 
-// Guards against a fault seen in large fleets: the end of a stream was passed on to the client only
-// after a lagging core had taken the message about it, because the inbox was full.
+// TestStreamEndDoesNotWaitForSlowCore guards against a fault seen in large fleets: the end of a
+// stream was passed on to the client only after a lagging core had taken the message about it,
+// because the inbox was full.
 func TestStreamEndDoesNotWaitForSlowCore(t *testing.T) {
 	d, _ := newCore(t, 9)
 	k, p := submit(d, "a", "safe")
@@ -40,8 +41,8 @@
 
 func (s recordingMessage) apply(*Dispatcher) { *s.processed = append(*s.processed, s.name) }
 
-// A lagging core first processes messages about accepted requests, then due timers, and then one
-// new request.
+// TestFollowUpsComeBeforeNewRequests checks that a lagging core first processes messages about
+// accepted requests, then due timers, and then one new request.
 func TestFollowUpsComeBeforeNewRequests(t *testing.T) {
 	d, _ := newCore(t, 9)
 	var processed []string
@@ -59,8 +60,8 @@
 	}
 }
 
-// Guards against a fault seen in large fleets: timers that were always due again kept the core from
-// processing messages for seconds.
+// TestDueTimersDoNotStarveMessages guards against a fault seen in large fleets: timers that were
+// always due again kept the core from processing messages for seconds.
 func TestDueTimersDoNotStarveMessages(t *testing.T) {
 	d, _ := newCore(t, 9)
 	var again func()
@@ -81,7 +82,8 @@
 	}
 }
 
-// An endless flow of messages does not keep timers from running.
+// TestMessagesDoNotStarveTimers checks that an endless flow of messages does not keep timers from
+// running.
 func TestMessagesDoNotStarveTimers(t *testing.T) {
 	d, _ := newCore(t, 9)
 	var processed []string
@@ -95,9 +97,9 @@
 	}
 }
 
-// A core that cannot keep up refuses new requests that have waited too long, without sending
-// anything. A core that was blocked for a moment catches up instead. A request for the rest of a
-// stream is not refused.
+// TestNewRequestsAreRefusedUnderOverload checks that a core that cannot keep up refuses new
+// requests that have waited too long, without sending anything. A core that was blocked for a
+// moment catches up instead. A request for the rest of a stream is not refused.
 func TestNewRequestsAreRefusedUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -129,8 +131,9 @@
 	}
 }
 
-// If a client leaves while its request still waits for a lagging core, it gets its answer, nothing
-// is sent for it, and another open request with the same id is not affected.
+// TestClientLeavesBeforeRequestIsAdmitted checks that if a client leaves while its request still
+// waits for a lagging core, it gets its answer, nothing is sent for it, and another open request
+// with the same id is not affected.
 func TestClientLeavesBeforeRequestIsAdmitted(t *testing.T) {
 	d, _ := newCore(t, 9)
 	first, p := submit(d, "a", "safe")
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -24,9 +24,10 @@
 
 func (ranBefore) MayHaveRun() bool { return true }
 
-// Guards: nothing of an attempt is sent before its intent is recorded. A request whose intent
-// cannot be recorded is refused, as it never ran. It fails if an earlier attempt may have run. A
-// request that was given up in the meantime is not sent.
+// TestNothingIsSentBeforeIntentIsRecorded checks that nothing of an attempt is sent before its
+// intent is recorded. A request whose intent cannot be recorded is refused, as it never ran. It
+// fails if an earlier attempt may have run. A request that was given up in the meantime is not
+// sent.
 func TestNothingIsSentBeforeIntentIsRecorded(t *testing.T) {
 	diskErr, ranErr := errors.New("disk failure"), ranBefore{errors.New("already ran")}
 	for name, x := range map[string]struct {
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -22,9 +22,9 @@
 	return d
 }
 
-// Guards: a request whose repeats only some replicas discard was refused after it may have run, if
-// the end of the program or a deadline ended it and not the decision module. Its client would have
-// repeated it at any replica.
+// TestRefusalOfKeyedRequestThatMayHaveRun guards against a fault in which a request whose repeats
+// only some replicas discard was refused after it may have run, if the end of the program or a
+// deadline ended it and not the decision module. Its client would have repeated it at any replica.
 func TestRefusalOfKeyedRequestThatMayHaveRun(t *testing.T) {
 	for scope, want := range map[logic.Scope]Verdict{logic.AllServers: Refused, logic.SameZone: Failed, logic.SameCell: Failed} {
 		for name, ran := range map[string]func(*Dispatcher, *fakePayload){
@@ -46,9 +46,9 @@
 	}
 }
 
-// Guards: the decision module checks the time window, but connecting uses up part of it. A request
-// that may have run is sent again only while the window is open. The first attempt may always be
-// sent.
+// TestRepeatIsSentOnlyWithinWindow checks that a request that may have run is sent again only while
+// the window is open. The decision module checks the window, but connecting uses up part of it. The
+// first attempt may always be sent.
 func TestRepeatIsSentOnlyWithinWindow(t *testing.T) {
 	for _, window := range []time.Duration{time.Hour, 30 * time.Second} {
 		d := keyedCore(t, logic.AllServers, window)
--- a/internal/dispatch/lease_test.go
+++ b/internal/dispatch/lease_test.go
@@ -26,8 +26,9 @@
 
 var errNoLease = errors.New("no lease")
 
-// Guards: without a lease no request is admitted and no attempt is sent. An admitted request gets
-// its answer at once: a refusal if it cannot have run, a failure if it may have.
+// TestWithoutLease checks that without a lease no request is admitted and no attempt is sent. An
+// admitted request gets its answer at once: a refusal if it cannot have run, a failure if it may
+// have.
 func TestWithoutLease(t *testing.T) {
 	d, _ := newCore(t, 9)
 	lease := &fakeLease{}
@@ -64,9 +65,9 @@
 	}
 }
 
-// Guards: under a lease that allows each request only one run, no class is sent again without proof
-// that it never ran. An open request whose class changes to one that must not run twice follows the
-// new rule.
+// TestStricterRepeats checks that under a lease that allows each request only one run, no class is
+// sent again without proof that it never ran. An open request whose class changes to one that must
+// not run twice follows the new rule.
 func TestStricterRepeats(t *testing.T) {
 	d, _ := newCore(t, 9)
 	lease := &fakeLease{}
@@ -96,10 +97,10 @@
 	}
 }
 
-// Guards: an attempt is not sent once its server was withdrawn, even if it was routed before and
-// was still connecting, or if this process was stopped for a while. This holds under a lease that
-// was renewed with the later list, and without a lease. The request is sent to another server at
-// once, as it never ran.
+// TestNoAttemptToWithdrawnServers checks that an attempt is not sent once its server was withdrawn,
+// even if it was routed before and was still connecting, or if this process was stopped for a
+// while. This holds under a lease that was renewed with the later list, and without a lease. The
+// request is sent to another server at once, as it never ran.
 func TestNoAttemptToWithdrawnServers(t *testing.T) {
 	for name, list := range map[string]func(at Server) Update{
 		"drained":                  func(at Server) Update { at.Availability = logic.Draining; return Update{Servers: []Server{at}} },
--- a/internal/dispatch/permit_test.go
+++ b/internal/dispatch/permit_test.go
@@ -10,7 +10,8 @@
 // violations returns the number of violations of a rule.
 func violations(d *Dispatcher, rule Cause) int { return d.Counts.Causes()[RuleViolated][rule] }
 
-// Violations of each rule are counted at run time, and steps that follow the rules are not.
+// TestViolationsAreCounted checks that violations of each rule are counted at run time, and that
+// steps that follow the rules are not.
 func TestViolationsAreCounted(t *testing.T) {
 	for _, breaks := range []bool{false, true} {
 		d, _, _ := newClockedCore(t)
--- a/internal/dispatch/probe_test.go
+++ b/internal/dispatch/probe_test.go
@@ -18,8 +18,8 @@
 	p.asked, p.reply = append(p.asked, addr), append(p.reply, then)
 }
 
-// Guards: probes are sent only to servers in service, and their answers reach the decision module.
-// Without a prober no answer is awaited.
+// TestProbesAreSentAndAnswered checks that probes are sent only to servers in service, and their
+// answers reach the decision module. Without a prober no answer is awaited.
 func TestProbesAreSentAndAnswered(t *testing.T) {
 	set := logic.Settings{Siblings: 300, MaxAttempts: 3, CanCancel: true, CanProbe: true, Classes: classes, ReleaseWithin: 500 * time.Millisecond,
 		RampTime: time.Second, FallTime: time.Second, FallMultiple: 2, Kinds: []logic.Kind{{Name: "r", Role: logic.Reader}, {Name: "w", Role: logic.Writer}}}
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards: a zone that is cut off, whose replicas let every call time out, costs a release only one
-// try, so that held state is released in time.
+// TestReleaseOrderAlternatesZones checks that a zone that is cut off, whose replicas let every call
+// time out, costs a release only one try, so that held state is released in time.
 func TestReleaseOrderAlternatesZones(t *testing.T) {
 	d, _ := newCore(t, 9)
 	d.settings.Zone = "own"
@@ -39,9 +39,10 @@
 	}
 }
 
-// Guards against a fault seen in large fleets: each release sorted all replicas again, which took
-// the core some milliseconds. The ranking is kept until a list or the settings change. A release
-// tries a bounded number of replicas, and part of them differ from release to release.
+// TestReleaseOrderIsCachedInLargeFleet guards against a fault seen in large fleets: each release
+// sorted all replicas again, which took the core some milliseconds. The ranking is kept until a
+// list or the settings change. A release tries a bounded number of replicas, and part of them
+// differ from release to release.
 func TestReleaseOrderIsCachedInLargeFleet(t *testing.T) {
 	d, _ := newCore(t, 9)
 	list := Update{Full: true}
@@ -74,9 +75,10 @@
 	}
 }
 
-// Guards: the state that a read has left is released in time while the attempt to fetch it cannot
-// connect, and also after its bytes were sent: an open connection may be dead without notice, and
-// then the bytes reach nobody. Once the writer has answered, the state was fetched.
+// TestHeldStateIsReleasedUntilFetchIsProven checks that the state that a read has left is released
+// in time while the attempt to fetch it cannot connect, and also after its bytes were sent: an open
+// connection may be dead without notice, and then the bytes reach nobody. Once the writer has
+// answered, the state was fetched.
 func TestHeldStateIsReleasedUntilFetchIsProven(t *testing.T) {
 	for name, c := range map[string]struct {
 		fetch    func(d *Dispatcher, p *fakePayload)
@@ -104,9 +106,10 @@
 	}
 }
 
-// Guards: if a writer disappears while an attempt waits there, the state is left behind and no
-// error is seen. The release is repeated for as long as the attempt is in flight, and made at once
-// if the attempt ends without proof of a fetch. After that the prompt is read again.
+// TestHeldStateIsReleasedAgainWhileFetchIsInFlight covers a writer that disappears while an attempt
+// waits there, which leaves the state behind without an error. The release is repeated for as long
+// as the attempt is in flight, and made at once if the attempt ends without proof of a fetch. After
+// that the prompt is read again.
 func TestHeldStateIsReleasedAgainWhileFetchIsInFlight(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	_, p := submit(d, "a", "safe")
@@ -129,8 +132,9 @@
 	}
 }
 
-// Guards: a series of retries that each failed at once restarted the release timer each time, so
-// that state was held for the sum of their times.
+// TestFastFailingRetriesDoNotDelayRelease guards against a fault in which a series of retries that
+// each failed at once restarted the release timer each time, so that state was held for the sum of
+// their times.
 func TestFastFailingRetriesDoNotDelayRelease(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	_, p := submit(d, "a", "safe")
@@ -148,8 +152,8 @@
 	}
 }
 
-// A writer that rejects the fetch proves that it received it. The time for which state may be held
-// restarts with that answer.
+// TestStateIsKeptAfterWriterRejectsFetch checks that the time for which state may be held restarts
+// when a writer rejects the fetch, as this answer proves that the fetch arrived there.
 func TestStateIsKeptAfterWriterRejectsFetch(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	_, p := submit(d, "a", "safe")
@@ -169,9 +173,9 @@
 	}
 }
 
-// Guards: the state that a read may have left, whose connection broke just as it ended, was
-// released only at the end of the request. Nobody fetches that state while further attempts cannot
-// connect.
+// TestStateOfBrokenReadIsReleasedInTime guards against a fault in which, after the connection of a
+// read had broken just as the read ended, the state that the read may have left was released only at
+// the end of the request. Nobody fetches that state while further attempts cannot connect.
 func TestStateOfBrokenReadIsReleasedInTime(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	k, p := submit(d, "a", "safe")
@@ -187,9 +191,10 @@
 	noFurtherAnswer(t, k)
 }
 
-// Guards: the state of a read whose connection had broken was released only if the request was not
-// served. The read may end at its replica after another read of the request was fetched and
-// answered, and that fetch releases only what is there by then.
+// TestStateOfBrokenReadIsReleasedAfterAnswer guards against a fault in which the state of a read
+// whose connection had broken was released only if the request was not served. The read may end at
+// its replica after another read of the request was fetched and answered, and that fetch releases
+// only what is there by then.
 func TestStateOfBrokenReadIsReleasedAfterAnswer(t *testing.T) {
 	for _, broken := range []bool{true, false} {
 		d, rel, advance := newClockedCore(t)
@@ -227,9 +232,10 @@
 	w.ids, w.confirm = append(w.ids, id), append(w.confirm, then)
 }
 
-// Guards: a second read whose bytes were sent counted as arrived, and kept the state of the first
-// read from being released. So the prompt is read again only after that release is confirmed. While
-// a read is in flight nothing is released, because its own state would be released too.
+// TestRereadWaitsForReleaseAfterBrokenRead guards against a fault in which a second read whose
+// bytes were sent counted as arrived, and kept the state of the first read from being released. So
+// the prompt is read again only after that release is confirmed. While a read is in flight nothing
+// is released, because its own state would be released too.
 func TestRereadWaitsForReleaseAfterBrokenRead(t *testing.T) {
 	for _, o := range []logic.Outcome{logic.ConnectionLost, logic.TimedOut, logic.Cancelled} {
 		d, _, advance := newClockedCore(t)
@@ -252,10 +258,10 @@
 	}
 }
 
-// Guards: a fetch that ends without proof after its state was released may have kept the state from
-// being released. The prompt is read again only once that state is released too. A client that
-// leaves meanwhile gets its answer at once, and the program is not idle until the release is
-// confirmed.
+// TestRereadWaitsForReleaseAfterFailedFetch checks that the prompt is read again only once its
+// state is released, if a fetch ends without proof after the release call: the fetch may have kept
+// the state from being released until then. A client that leaves meanwhile gets its answer at once,
+// and the program is not idle until the release is confirmed.
 func TestRereadWaitsForReleaseAfterFailedFetch(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		d, _, advance := newClockedCore(t)
@@ -285,9 +291,10 @@
 	}
 }
 
-// Guards: a read that was given up may continue if its replica hangs or does not notice, and end
-// seconds later. Its state was then never released. The replica is now polled until it answers,
-// even after the request was answered, and once it has answered it is asked once more.
+// TestStateOfAbandonedReadIsReleased guards against a fault in which the state of a read that was
+// given up was never released: the read may continue if its replica hangs or does not notice, and
+// end seconds later. The replica is now polled until it answers, even after the request was
+// answered, and once it has answered it is asked once more.
 func TestStateOfAbandonedReadIsReleased(t *testing.T) {
 	for _, served := range []bool{false, true} {
 		d, _, advance := newClockedCore(t)
@@ -330,8 +337,9 @@
 	}
 }
 
-// Guards: the holder of the state was not asked first if the request was refused right before,
-// because the request had already been removed from the table.
+// TestReleaseOfRefusedRequestAsksHolderFirst guards against a fault in which the holder of the
+// state was not asked first if the request was refused right before, because the request had
+// already been removed from the table.
 func TestReleaseOfRefusedRequestAsksHolderFirst(t *testing.T) {
 	d, _ := newCore(t, 9)
 	asked := &recordingReleaser{}
@@ -345,8 +353,9 @@
 	}
 }
 
-// Guards: the program exited while held state still had to be released: at the end of an attempt
-// whose client already had its answer, and once more a moment later.
+// TestNotIdleWhileStateIsHeld guards against a fault in which the program exited while held state
+// still had to be released: at the end of an attempt whose client already had its answer, and once
+// more a moment later.
 func TestNotIdleWhileStateIsHeld(t *testing.T) {
 	d, rel, advance := newClockedCore(t)
 	idle := func() bool { d.Phases.mu.Lock(); defer d.Phases.mu.Unlock(); return d.Phases.open == 0 }
@@ -371,7 +380,8 @@
 	}
 }
 
-// A release asks the reader that holds the state first, even if the reader is no longer listed.
+// TestReleaseAsksHolderFirst checks that a release asks the reader that holds the state first, even
+// if the reader is no longer listed.
 func TestReleaseAsksHolderFirst(t *testing.T) {
 	d, _ := newCore(t, 9)
 	asked := &recordingReleaser{}
@@ -404,9 +414,9 @@
 	then(true)
 }
 
-// Guards: a release was called even for a request that had reached no replica because every
-// connection was in use. Those calls took the connections that the releases of held state were
-// waiting for.
+// TestNoReleaseForRequestThatReachedNoReplica guards against a fault in which a release was called
+// even for a request that had reached no replica because every connection was in use. Those calls
+// took the connections that the releases of held state were waiting for.
 func TestNoReleaseForRequestThatReachedNoReplica(t *testing.T) {
 	for _, c := range []struct {
 		outcome logic.Outcome
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -20,8 +20,9 @@
 	}
 }
 
-// An open request keeps the rule on repeats, the window and the deadline of its class as it was at
-// admission, even if new settings change or remove the class. Limits apply at once.
+// TestOpenRequestsKeepTheirClass checks that an open request keeps the rule on repeats, the window
+// and the deadline of its class as it was at admission, even if new settings change or remove the
+// class. Limits apply at once.
 func TestOpenRequestsKeepTheirClass(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
@@ -53,8 +54,8 @@
 	}
 }
 
-// An open request keeps the time window for repeats under which it was admitted, whether it is
-// longer or shorter than the new one.
+// TestOpenRequestsKeepTheirWindow checks that an open request keeps the time window for repeats
+// under which it was admitted, whether it is longer or shorter than the new one.
 func TestOpenRequestsKeepTheirWindow(t *testing.T) {
 	for _, windows := range [][2]time.Duration{{30 * time.Second, time.Hour}, {time.Hour, 30 * time.Second}} {
 		d := keyedCore(t, logic.AllServers, windows[0])
--- a/internal/dispatch/simultaneous_test.go
+++ b/internal/dispatch/simultaneous_test.go
@@ -7,8 +7,9 @@
 	"standpulley/logic"
 )
 
-// The deadline and the first event of an answer come at the same instant, in either order. There is
-// one answer, and a stream that comes second is closed.
+// TestDeadlineAndAnswerAtSameInstant checks that there is one answer if the deadline and the first
+// event of an answer come at the same instant, in either order, and that a stream that comes second
+// is closed.
 func TestDeadlineAndAnswerAtSameInstant(t *testing.T) {
 	for _, deadlineFirst := range []bool{true, false} {
 		d, _ := newCore(t, 9)
@@ -39,8 +40,8 @@
 	}
 }
 
-// A client leaves while its request is parked because no server can take it. No attempt starts
-// after that, even when servers return.
+// TestClientLeavesWhileRequestIsParked checks that no attempt starts after a client has left while
+// its request was parked because no server could take it, even when servers return.
 func TestClientLeavesWhileRequestIsParked(t *testing.T) {
 	d, _ := newCore(t, 9)
 	now := time.Now()
@@ -69,8 +70,8 @@
 	}
 }
 
-// A list update replaces the address of a listed server. An attempt that was routed to the old
-// address is not sent.
+// TestChangedAddressWithdrawsOldEntry checks that an attempt is not sent if a list update has
+// replaced the address of its server since it was routed.
 func TestChangedAddressWithdrawsOldEntry(t *testing.T) {
 	d, _ := newCore(t, 9)
 	_, p := submit(d, "a", "safe")
@@ -87,9 +88,9 @@
 	}
 }
 
-// A client that repeats a refused request at once, under the same id, makes a new request. It is
-// refused again or served, and answered once each time. While the first request with an id is open
-// the second one fails, and the first continues.
+// TestImmediateRetryAfterRefusal checks that a client that repeats a refused request at once, under
+// the same id, makes a new request. It is refused again or served, and answered once each time.
+// While the first request with an id is open the second one fails, and the first continues.
 func TestImmediateRetryAfterRefusal(t *testing.T) {
 	d, _ := newCore(t, 1)
 	open, p := submit(d, "a", "safe")
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -33,8 +33,9 @@
 
 var wallSteps = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
-// Guards: the age of a replica is computed once. A later step of the wall clock does not make the
-// replica look older or younger, even if another list names it again.
+// TestWallClockStepKeepsKnownAge checks that the age of a replica is computed once. A later step of
+// the wall clock does not make the replica look older or younger, even if another list names it
+// again.
 func TestWallClockStepKeepsKnownAge(t *testing.T) {
 	for _, step := range wallSteps {
 		d, wall, advance := newSteppedCore(t)
@@ -53,8 +54,8 @@
 	}
 }
 
-// Guards: a newly listed replica never counts as older than it is, whatever the wall clock shows,
-// and it counts as younger by at most the step of the clock.
+// TestNewReplicaIsNeverDatedTooOld checks that a newly listed replica never counts as older than it
+// is, whatever the wall clock shows, and it counts as younger by at most the step of the clock.
 func TestNewReplicaIsNeverDatedTooOld(t *testing.T) {
 	for _, step := range wallSteps {
 		d, wall, advance := newSteppedCore(t)
@@ -70,8 +71,8 @@
 	}
 }
 
-// Guards: a replica counts as just started if its start lies in the future, or so far back that an
-// earlier list would have contained it.
+// TestImplausibleStartCountsAsJustStarted checks that a replica counts as just started if its start
+// lies in the future, or so far back that an earlier list would have contained it.
 func TestImplausibleStartCountsAsJustStarted(t *testing.T) {
 	d, wall, advance := newSteppedCore(t)
 	listOne("x", time.Time{}).apply(d)
@@ -88,8 +89,8 @@
 	}
 }
 
-// Guards: replicas that were known before discovery answered keep the age given in their list, even
-// a long one.
+// TestFirstListsAreTrusted checks that replicas that were known before discovery answered keep the
+// age given in their list, even a long one.
 func TestFirstListsAreTrusted(t *testing.T) {
 	d, wall, _ := newSteppedCore(t)
 	d.applyList(listOne("x", wall.read().Add(-time.Hour)))
@@ -102,7 +103,7 @@
 	}
 }
 
-// Guards: replicas that come and go for days must not leave start times behind.
+// TestStartTimesExpire checks that replicas that come and go for days leave no start times behind.
 func TestStartTimesExpire(t *testing.T) {
 	d, wall, advance := newSteppedCore(t)
 	for range 50 {
@@ -114,8 +115,8 @@
 	}
 }
 
-// Guards: the clock of the decision module runs with the monotonic clock, and its times convert
-// back to times with a monotonic reading.
+// TestModuleClockIsMonotonic checks that the clock of the decision module runs with the monotonic
+// clock, and its times convert back to times with a monotonic reading.
 func TestModuleClockIsMonotonic(t *testing.T) {
 	d, wall, advance := newSteppedCore(t)
 	before := d.now()
--- a/internal/dispatch/unresolved_test.go
+++ b/internal/dispatch/unresolved_test.go
@@ -7,11 +7,11 @@
 	"standpulley/logic"
 )
 
-// Guards: a read of a request that must not run twice was given up and sent to another reader. If
-// its connection was dead without notice or its machine cut off, the close of the connection never
-// arrived: the first read continued, and two were in flight. Such a request is sent again only if
-// the replica ended the connection or answered. It is not refused either, as nothing proves that
-// the read is over.
+// TestAbandonedReadMayStillRun guards against a fault in which a read of a request that must not
+// run twice was given up and sent to another reader. If its connection was dead without notice or
+// its machine cut off, the close of the connection never arrived: the first read continued, and two
+// were in flight. Such a request is sent again only if the replica ended the connection or
+// answered. It is not refused either, as nothing proves that the read is over.
 func TestAbandonedReadMayStillRun(t *testing.T) {
 	for _, c := range []struct {
 		class string
@@ -36,7 +36,8 @@
 	}
 }
 
-// The core enforces this rule by itself, whatever the decision module decides. Here the module
+// TestCoreDoesNotRepeatAbandonedRead checks that the core by itself never repeats a read that was
+// given up if the request must not run twice, whatever the decision module decides. Here the module
 // assumes that a read ends when it is given up.
 func TestCoreDoesNotRepeatAbandonedRead(t *testing.T) {
 	d, _, _ := newClockedCore(t)
@@ -57,8 +58,8 @@
 	}
 }
 
-// Where only some replicas discard repeats, a read that was given up starts the time window that
-// limits later attempts.
+// TestAbandonedReadOpensRepeatWindow checks that if replicas discard repeats within a time
+// window, a read that was given up starts this window, which limits later attempts.
 func TestAbandonedReadOpensRepeatWindow(t *testing.T) {
 	d := keyedCore(t, logic.AllServers, 30*time.Second)
 	_, p := submit(d, "a", "keyed")
--- a/internal/fleetmodel/batching_test.go
+++ b/internal/fleetmodel/batching_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Checks days at the site with batching readers, where the cost of a long prompt grows faster than its
-// length and few writers serve many readers. Each bound lies between the result of an earlier version
-// of the decisions and the current one. The comments give the means over the seeds: the earlier one,
-// and the current one where it follows.
+// TestBatchingDays checks days at the site with batching readers, where the cost of a long prompt
+// grows faster than its length and few writers serve many readers. Each bound lies between the
+// result of an earlier version of the decisions and the current one. The comments give the means
+// over the seeds: the earlier one, and the current one where it follows.
 func TestBatchingDays(t *testing.T) {
 	for _, c := range []struct {
 		day    Day
--- a/internal/fleetmodel/fair_test.go
+++ b/internal/fleetmodel/fair_test.go
@@ -17,10 +17,10 @@
 	return d
 }
 
-// The requests with the longest prompts of a class are answered at least two thirds as often as all
-// requests of the class on a quiet day, and half as often on other days. The share of sessions without
-// any answer exceeds the one expected by chance by at most 0.12. Runs at two sites whose classes,
-// repeat rules and deadlines differ.
+// TestRefusalsAreFair checks that the requests with the longest prompts of a class are answered at
+// least two thirds as often as all requests of the class on a quiet day, and half as often on other
+// days. The share of sessions without any answer exceeds the one expected by chance by at most
+// 0.12. The test runs at two sites whose classes, repeat rules and deadlines differ.
 func TestRefusalsAreFair(t *testing.T) {
 	for _, c := range []struct {
 		day  Day
--- a/internal/fleetmodel/fleetmodel_test.go
+++ b/internal/fleetmodel/fleetmodel_test.go
@@ -18,11 +18,11 @@
 	return r
 }
 
-// Checks each day, as the mean of two seeds: the share of worth served, the share answered in time in
-// the last ten seconds, which is low in a congestion collapse that sustains itself, and that cold
-// replicas stay well below overload. An earlier version of the decisions did not allow for how little
-// of the traffic each router sees; where it collapsed, the bounds lie between its results and the
-// current ones.
+// TestDays checks each day, as the mean of two seeds: the share of worth served, the share answered
+// in time in the last ten seconds, which is low in a congestion collapse that sustains itself, and
+// that cold replicas stay well below overload. An earlier version of the decisions did not allow
+// for how little of the traffic each router sees; where it collapsed, the bounds lie between its
+// results and the current ones.
 func TestDays(t *testing.T) {
 	bounds := map[string]struct{ served, tail float64 }{
 		"calm": {0.98, 0.98}, "roll": {0.83, 0.82}, "join": {0.75, 0.77}, "zone-back": {0.94, 0.93},
@@ -47,7 +47,8 @@
 	}
 }
 
-// The same day and seed give the same report; another seed gives another one.
+// TestRunsRepeat checks that the same day and seed give the same report; another seed gives another
+// one.
 func TestRunsRepeat(t *testing.T) {
 	t.Parallel()
 	d := RollingUpdate().Half()
@@ -61,7 +62,8 @@
 	}
 }
 
-// A reader of the model finds the cached part of a prompt and evicts the least recently used entries.
+// TestReaderCache checks that a reader of the model finds the cached part of a prompt and evicts
+// the least recently used entries.
 func TestReaderCache(t *testing.T) {
 	m := &Model{day: Calm(), now: start, byID: map[string]*replica{}}
 	s := &replica{m: m, role: logic.Reader, cache: map[cacheKey]*cacheEntry{}, memoryTokens: 10000}
--- a/internal/fleetmodel/large_test.go
+++ b/internal/fleetmodel/large_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Checks the days of the large fleet at three sizes, as the mean of four seeds, or of two at 300
-// routers. An earlier version of the decisions let established sessions move to new servers. At 80
-// routers each bound on the end of the day, and at 300 routers that of join-vast, lies between the
-// results of that version and the current ones. At 3 routers both versions decide alike, and the
-// bounds guard the current results. At 300 routers herd-vast and zone-vast have bounds too; that of
-// herd-vast is lower than before.
+// TestLargeFleetDays checks the days of the large fleet at three sizes, as the mean of four seeds,
+// or of two at 300 routers. An earlier version of the decisions let established sessions move to
+// new servers. At 80 routers each bound on the end of the day, and at 300 routers that of
+// join-vast, lies between the results of that version and the current ones. At 3 routers both
+// versions decide alike, and the bounds guard the current results. At 300 routers herd-vast and
+// zone-vast have bounds too; that of herd-vast is lower than before.
 func TestLargeFleetDays(t *testing.T) {
 	for _, c := range []struct {
 		day          Day
--- a/internal/fleetmodel/power_test.go
+++ b/internal/fleetmodel/power_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Power fails everywhere and returns. At the end the fleet must serve as before, and cold replicas must
-// stay far below overload. With the admission limits of package recovery, a small site must serve more
-// than without them. At 80 routers the limits cost little, and no cold replica comes near its budget.
-// At 300 routers each router's share of the traffic is too small to measure warm rates from; this is
-// listed as open in docs/recovery.md.
+// TestPowerLoss covers a power failure of the whole fleet. At the end the fleet must serve as
+// before, and cold replicas must stay far below overload. With the admission limits of package
+// recovery, a small site must serve more than without them. At 80 routers the limits cost little,
+// and no cold replica comes near its budget. At 300 routers each router's share of the traffic is
+// too small to measure warm rates from; this is listed as open in docs/recovery.md.
 func TestPowerLoss(t *testing.T) {
 	for _, c := range []struct {
 		routers    int
--- a/internal/fleetmodel/surge_test.go
+++ b/internal/fleetmodel/surge_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// All routers together keep within the slow-start budget of each cold server, new or restarted, plus a
-// margin for chance, as counted at the server: with 3, 20 and 30 routers, some of which receive several
-// times the mean traffic, during a burst, at two sites.
+// TestColdServersUnderASurge checks that all routers together keep within the slow-start budget of
+// each cold server, new or restarted, plus a margin for chance, as counted at the server: with 3,
+// 20 and 30 routers, some of which receive several times the mean traffic, during a burst, at two
+// sites.
 func TestColdServersUnderASurge(t *testing.T) {
 	for _, c := range []struct {
 		day   Day
@@ -29,9 +30,9 @@
 	}
 }
 
-// The budget of a server in slow start is kept for any number of routers, from one to hundreds, with
-// uneven traffic among them, replacements in waves, zones that restart cold, and servers that return
-// errors, which cause further attempts.
+// TestSlowStartBudgetForAnyNumberOfRouters checks that the budget of a server in slow start is kept
+// for any number of routers, from one to hundreds, with uneven traffic among them, replacements in
+// waves, zones that restart cold, and servers that return errors, which cause further attempts.
 func TestSlowStartBudgetForAnyNumberOfRouters(t *testing.T) {
 	days := []Day{Surge(1), Surge(2), atSecondSite(Surge(1)), atSecondSite(Surge(2))}
 	for _, routers := range []int{1, 2, 3, 30, 80, 300} {
--- a/logic/choices.go
+++ b/logic/choices.go
@@ -111,7 +111,9 @@
 
 // readiness reports whether a request may be sent to a server now: the server is listed, has not
 // answered "full" recently, is within the budget for cold servers and is not ejected. After the
-// ejection time one real request at a time tries the server, as probes may be forbidden.
+// ejection time one real request at a time tries the server, as probes may be forbidden. At a router
+// with a partial view, readers in slow start are exempt from the budget here: chooseReader limits
+// what they are sent.
 func (l *Router) readiness(r *request, s *server) readiness {
 	switch {
 	case !s.listed || !l.repeatAllowed(r, s):
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -35,10 +35,11 @@
 //
 // If a server rarely answers this router, because it is rarely sent anything, the mean time of all
 // recent reads says more than the lack of an answer from that server, so the limit is a multiple of
-// the mean where that is longer. A router with a partial view does not know the queues, where a read behind a long prompt takes many times as
-// long as most. If reads usually take so much of the first-token target that a retry elsewhere would
-// be late too, their deviation is added. An overtaken attempt, whose server has answered later ones,
-// is not queued, so the deviation is left out.
+// the mean where that is longer. A router with a partial view does not know the queues, where a
+// read behind a long prompt takes many times as long as most. If reads usually take so much of the
+// first-token target that a retry elsewhere would be late too, their deviation is added. An
+// overtaken attempt, whose server has answered later ones, is not queued, so the deviation is left
+// out.
 func (l *Router) overdueAfter(expected float64, overtaken bool) float64 {
 	typical := l.meanReadTime
 	if l.hasPartialView() && !overtaken && l.meanReadTime > l.minOverdue {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -209,7 +209,7 @@
 }
 
 // checkCold compares the sends to a cold server with the most that any warm one of its kind was
-// ever sent in a window, which stands for this router's share of the limit.
+// ever sent in a window, which is taken as this router's share of the limit.
 func (w *simulator) checkCold(e *ServerEntry) {
 	if e.Started == 0 || w.now >= e.Started+w.set.RampTime {
 		return
