--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -264,7 +264,7 @@
 		Spec: logic.Request{Class: "unsafe", Remaining: 2 * time.Second, PromptTokens: 10, Resumed: true}})
 	processAll(d)
 	if len(p.sent) != 1 {
-		t.Fatalf("%d sends", len(p.sent))
+		t.Fatalf("unexpected number of sends: %d", len(p.sent))
 	}
 	other := d.Submit(Request{ID: "b", Received: time.Now(), Payload: &fakePayload{}, Spec: logic.Request{Class: "unsafe", Remaining: time.Second, Resumed: true}})
 	processAll(d)                                        // the table has no room for it
--- a/internal/dispatch/held.go
+++ b/internal/dispatch/held.go
@@ -141,7 +141,7 @@
 func (r *request) fetching() bool { return len(r.inFlight) > 0 && !r.hasAttemptAt(logic.Reader) }
 
 // releaseOrphaned releases the state that a read may have left behind after its request ended, at
-// once and again after releaseRepeatDelay. The program stays open until both calls were made.
+// once and again after releaseRepeatDelay. The program does not exit before both calls were made.
 func (d *Dispatcher) releaseOrphaned(r *request) {
 	release := func() { d.release(r.id, r.held.addr, ReadUncertain) }
 	release()
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -76,7 +76,7 @@
 				endAttempt(d, p, logic.Delivered)
 			}
 			if a := answerOf(t, k); a.Verdict != x.verdict || a.MayRun != x.mayRun || a.Verdict == Refused && a.RetryAfter == 0 {
-				t.Errorf("%+v", a)
+				t.Errorf("unexpected answer %+v", a)
 			}
 			want := logic.Delivered
 			if x.leaves {
--- a/internal/dispatch/keyed_test.go
+++ b/internal/dispatch/keyed_test.go
@@ -60,7 +60,7 @@
 		endAttempt(d, p, logic.ServerError) // may have run
 		again := p.sent[len(p.sent)-1]
 		if len(p.sent) < 3 || again.target.BeforeSend() != nil {
-			t.Fatalf("%d sends", len(p.sent))
+			t.Fatalf("unexpected number of sends: %d", len(p.sent))
 		}
 		r := d.requests["a"]
 		r.uncertainSince = r.uncertainSince.Add(-time.Minute)
--- a/internal/dispatch/lease_test.go
+++ b/internal/dispatch/lease_test.go
@@ -48,7 +48,7 @@
 	p.sent[0].observer.Ended(Result{Outcome: logic.NotSent, NoLease: true})
 	processAll(d)
 	if a := answerOf(t, k); a.Verdict != Refused || a.RetryAfter < noLeaseRetryAfter || a.SettingsVersion != noSettingsVersion {
-		t.Errorf("%+v", a)
+		t.Errorf("unexpected answer %+v", a)
 	}
 	k, p = submit(d, "b", "safe")
 	if a := answerOf(t, k); a.Verdict != Refused || a.SettingsVersion != noSettingsVersion || len(p.sent) > 0 {
@@ -61,7 +61,7 @@
 	lease.sendErr = errNoLease
 	endAttempt(d, p, logic.ServerError)
 	if a := answerOf(t, k); a.Verdict != Failed || !a.MayRun {
-		t.Errorf("%+v", a)
+		t.Errorf("unexpected answer %+v", a)
 	}
 }
 
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -10,13 +10,13 @@
 )
 
 // This file is the only place that decides whether a step is allowed for a request: whether an
-// attempt may be sent, may repeat an earlier one and may still send its first byte, whether an answer may say
-// that retrying is harmless, whether held state may be released, and whether the request may be
-// forgotten. These decisions rest on proof only, never on the apparent success of a local call:
-// written bytes may not have arrived, a connection closed here may still be open on the other side,
-// and a clock reading is already in the past when it is used. At the end of each step the rules are
-// checked again against what happened. A violation is counted as RuleViolated and logged with the
-// request.
+// attempt may be sent, may repeat an earlier one and may still send its first byte, whether an
+// answer may say that retrying is harmless, whether held state may be released, and whether the
+// request may be forgotten. These decisions rest on proof only, never on the apparent success of a
+// local call: written bytes may not have arrived, a connection closed here may still be open on the
+// other side, and a clock reading is already in the past when it is used. At the end of each step
+// the rules are checked again against what happened. A violation is counted as RuleViolated and
+// logged with the request.
 
 // Rules that are checked at run time.
 const (
--- a/internal/dispatch/probe_test.go
+++ b/internal/dispatch/probe_test.go
@@ -48,7 +48,7 @@
 			processAll(d)
 		}
 		if len(p.sent) != 1 || prober != nil && p.sent[0].target.Server != prober.asked[0] {
-			t.Errorf("%d sends", len(p.sent))
+			t.Errorf("unexpected number of sends: %d", len(p.sent))
 		}
 		if prober == nil {
 			continue
--- a/internal/dispatch/release_test.go
+++ b/internal/dispatch/release_test.go
@@ -96,7 +96,7 @@
 		_, p := submit(d, "a", "safe")
 		endAttempt(d, p, logic.ReadDone)
 		if len(p.sent) != 2 {
-			t.Fatalf("%d sends", len(p.sent))
+			t.Fatalf("unexpected number of sends: %d", len(p.sent))
 		}
 		c.fetch(d, p)
 		advance(300 * time.Millisecond) // of the 500 ms for which state may be held
@@ -143,7 +143,7 @@
 	p.sent[1].observer.Written()
 	endAttempt(d, p, logic.ConnectionLost)
 	if len(p.sent) != 3 {
-		t.Fatalf("%d sends", len(p.sent))
+		t.Fatalf("unexpected number of sends: %d", len(p.sent))
 	}
 	p.sent[2].observer.Written()
 	advance(60 * time.Millisecond)
@@ -181,7 +181,7 @@
 	k, p := submit(d, "a", "safe")
 	endAttempt(d, p, logic.ConnectionLost)
 	if len(p.sent) != 2 {
-		t.Fatalf("%d sends", len(p.sent))
+		t.Fatalf("unexpected number of sends: %d", len(p.sent))
 	}
 	// State may be held for 500 ms. The second read is still connecting.
 	advance(300 * time.Millisecond)
@@ -206,7 +206,7 @@
 		p.sent[len(p.sent)-1].observer.Began(&fakeStream{})
 		processAll(d)
 		if a := answerOf(t, k); a.Verdict != Served {
-			t.Fatalf("%v", a.Verdict)
+			t.Fatalf("unexpected verdict %v", a.Verdict)
 		}
 		endAttempt(d, p, logic.Delivered)
 		advance(releaseRepeatDelay)
@@ -363,7 +363,7 @@
 	k.Abandon()
 	processAll(d)
 	if a := answerOf(t, k); a.Verdict != ClientLeft {
-		t.Fatalf("%v", a.Verdict)
+		t.Fatalf("unexpected verdict %v", a.Verdict)
 	}
 	k.Finish()
 	if idle() {
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -41,7 +41,7 @@
 		sent := len(p.sent)
 		updateSettings(t, d, c.change)
 		advance(100 * time.Millisecond)
-		noFurtherAnswer(t, k) // its time has not run out
+		noFurtherAnswer(t, k) // the deadline of its class at admission has not passed
 		endAttempt(d, p, logic.ConnectionLost)
 		if again := len(p.sent) > sent; again != c.again {
 			t.Errorf("%s: further attempt %v", name, again)
--- a/internal/dispatch/simultaneous_test.go
+++ b/internal/dispatch/simultaneous_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("%d sends after the client left", len(p.sent))
 	}
 	if a := answerOf(t, k); a.Verdict != ClientLeft {
-		t.Errorf("%v", a.Verdict)
+		t.Errorf("unexpected verdict %v", a.Verdict)
 	}
 }
 
@@ -84,7 +84,7 @@
 		t.Errorf("to the old address: %v", err)
 	}
 	if s := d.servers["r1"]; s.Addr != "elsewhere" || s.withdrawn.Load() {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected entry %+v", s)
 	}
 }
 
--- a/internal/dispatch/unresolved_test.go
+++ b/internal/dispatch/unresolved_test.go
@@ -49,23 +49,23 @@
 	k, p := submit(d, "a", "unsafe")
 	endAttempt(d, p, logic.Cancelled)
 	if len(p.sent) != 1 {
-		t.Errorf("%d sends", len(p.sent))
+		t.Errorf("unexpected number of sends: %d", len(p.sent))
 	}
 	d.AnswerPending()
 	processAll(d)
 	if a := answerOf(t, k); a.Verdict != Failed {
-		t.Errorf("%v", a.Verdict)
+		t.Errorf("unexpected verdict %v", a.Verdict)
 	}
 }
 
-// TestAbandonedReadOpensRepeatWindow checks that if replicas discard repeats within a time
-// window, a read that was given up starts this window, which limits later attempts.
+// TestAbandonedReadOpensRepeatWindow checks that if replicas discard repeats within a time window,
+// a read that was given up starts this window, which limits later attempts.
 func TestAbandonedReadOpensRepeatWindow(t *testing.T) {
 	d := keyedCore(t, logic.AllServers, 30*time.Second)
 	_, p := submit(d, "a", "keyed")
 	endAttempt(d, p, logic.TimedOut)
 	if len(p.sent) != 2 || p.sent[1].target.BeforeSend() != nil {
-		t.Fatalf("%d sends", len(p.sent))
+		t.Fatalf("unexpected number of sends: %d", len(p.sent))
 	}
 	r := d.requests["a"]
 	r.uncertainSince = r.uncertainSince.Add(-time.Minute)
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -30,8 +30,9 @@
 	return true
 }
 
-// overdueAfter is the time in seconds after which an attempt is overdue. With a shorter limit, attempts at
-// healthy servers would time out, and retries from a whole fleet would become a retry storm.
+// overdueAfter is the time in seconds after which an attempt is overdue. With a shorter limit,
+// attempts at healthy servers would time out, and retries from a whole fleet would become a retry
+// storm.
 //
 // If a server rarely answers this router, because it is rarely sent anything, the mean time of all
 // recent reads says more than the lack of an answer from that server, so the limit is a multiple of
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -45,9 +45,10 @@
 
 // withinColdBudget reports whether a request may be sent to a server under the limit on the total
 // load that all routers send to a cold server. This router's share of the server's capacity is
-// estimated from the load that a warm server of its kind serves for each arrival here, and is earned
-// as credit for sends. The initial credit is a random fraction of one send that depends on the seed, so that where
-// the share is far below one send per window, a few of the routers may send in each window.
+// estimated from the load that a warm server of its kind serves for each arrival here, and is
+// earned as credit for sends. The initial credit is a random fraction of one send that depends on
+// the seed, so that where the share is far below one send per window, a few of the routers may send
+// in each window.
 func (l *Router) withinColdBudget(s *server) bool {
 	if !l.cold(s) {
 		return true
