--- a/cmd/standpulley/appliance_test.go
+++ b/cmd/standpulley/appliance_test.go
@@ -67,7 +67,7 @@
 	if page := run(0, "console", "-once"); !strings.Contains(page, "second  ready") {
 		t.Errorf("console:\n%s", page)
 	}
-	// The address does not exist, so the second configuration stays.
+	// The address is invalid, so the second configuration stays in force.
 	run(exitError, "apply", writeSite(t, "third", chat, "256.0.0.1:1", list))
 	run(0, "plan", second)
 	close(finish)
--- a/internal/front/limiter.go
+++ b/internal/front/limiter.go
@@ -53,13 +53,13 @@
 	maxLingering = 8
 	// The response fits into the send buffer of a connection on which nothing was sent yet.
 	rejectWriteTimeout = 10 * time.Millisecond
-	// The request has not been read. It may continue one that has already run, so the response is
-	// 502 and not 503, which would tell the client that a retry is harmless.
+	// The request has not been read. It may ask for the rest of an answer whose request has already
+	// run, so the response is 502 and not 503, which would tell the client that a retry is harmless.
 	rejectResponse = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
-// NewConnLimiter returns a limiter for at most maxConns connections and maxBodyBytes bytes of request
-// bodies that are being read.
+// NewConnLimiter returns a limiter for at most maxConns connections and maxBodyBytes bytes of
+// request bodies that are being read.
 func NewConnLimiter(maxConns, maxBodyBytes int) *ConnLimiter {
 	return &ConnLimiter{maxConns: maxConns, maxBodyBytes: maxBodyBytes}
 }
@@ -299,7 +299,7 @@
 	return !c.removed && c.requestBegun
 }
 
-// markIdle appends the connection to the idle list; began tells that a request has begun to arrive.
+// markIdle appends the connection to the idle list; began is true if a request has begun to arrive.
 // It reports whether the caller must close the connection: keep-alives are disabled or the server
 // shuts down, and the response may have been started too early to carry "Connection: close". A
 // request that was read ahead or has already arrived is answered first.
--- a/internal/front/once/once.go
+++ b/internal/front/once/once.go
@@ -26,9 +26,9 @@
 const KeyHeader = "Idempotency-Key"
 
 // Admit returns the recorder for the attempts of an instruction, or an error if the instruction
-// must not be accepted. customer identifies the caller; repeat tells that the client marks the
-// request as a repeat. For a repeat it waits for what the other dispatchers know, for a bounded
-// time and at most until the deadline.
+// must not be accepted. customer identifies the caller; repeat is true if the client marks the
+// request as a repeat. For a repeat, or a request with a client key, Admit waits for what the other
+// dispatchers know of the instruction, for a bounded time and at most until the deadline.
 func Admit(l Ledger, h *fasthttp.RequestHeader, customer string, content []byte, repeat bool, deadline time.Time) (dispatch.IntentRecorder, error) {
 	key, named := Key(h, customer, content)
 	named = named || repeat
@@ -41,7 +41,8 @@
 }
 
 // Key returns the ledger key of an instruction: derived from the client's key if it sent one, else
-// from the content. All dispatchers derive the same key. named tells that the client sent a key.
+// from the content. All dispatchers derive the same key. named reports whether the client sent
+// one.
 func Key(h *fasthttp.RequestHeader, customer string, content []byte) (key ledger.Key, named bool) {
 	kind, text := "words", content
 	if k := h.Peek(KeyHeader); len(k) > 0 {
--- a/internal/front/platform/attempts_test.go
+++ b/internal/front/platform/attempts_test.go
@@ -12,10 +12,10 @@
 	"standpulley/logic"
 )
 
-// Counts at the replicas what runs for each repeat mode, when the first writer that gets a request
-// either breaks off after receiving all of it or refuses it. An unsafe request runs at most once; a
-// keyed one is repeated only within its scope and window; a refusal is answered only if a repeat is
-// harmless.
+// Counts the attempts that reach replicas, for each repeat mode, if the first writer that gets a
+// request either breaks off after receiving all of it or refuses it. An unsafe request runs at most
+// once; a keyed one is repeated only within its scope and window; a refusal is answered only if a
+// repeat is harmless.
 func TestAttemptsPerRepeatMode(t *testing.T) {
 	keyed := func(name string, scope logic.Scope, window time.Duration) logic.Class {
 		return logic.Class{Name: name, Aim: time.Second, Deadline: 3 * time.Second, TokenAim: 60 * time.Millisecond, Worth: 2,
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -102,8 +102,8 @@
 	f.writeAnswer(ctx, t, a, stop)
 }
 
-// lookupRetryAfter is the Retry-After where the dispatcher can't find out at present whether an
-// instruction has run.
+// lookupRetryAfter is the Retry-After of the response if the dispatcher can't find out at present
+// whether an instruction has run.
 const lookupRetryAfter = time.Second
 
 // rejectUnsent answers an instruction that is not sent because an earlier attempt at it may have
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -46,7 +46,7 @@
 	return c
 }
 
-// readAnswer reads one response; complete tells whether its body was received to the end.
+// readAnswer reads one response; complete reports whether its body was received to the end.
 func readAnswer(t *testing.T, c net.Conn) (resp *http.Response, body string, complete bool) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/front/port_test.go
+++ b/internal/front/port_test.go
@@ -10,7 +10,7 @@
 
 // Guards: connections that the kernel had accepted, and the program had not, were reset when the
 // address was closed. Here all connections wait in the kernel's queue when the shutdown begins, and
-// the time for further ones is over at once or soon.
+// the time to accept further ones is over by then or 10 ms later.
 func TestQueuedConnectionsAreHandedOutAtShutdown(t *testing.T) {
 	const waiting = 20
 	for _, wait := range []time.Duration{-time.Second, 0, 10 * time.Millisecond} {
--- a/internal/program/agreement.go
+++ b/internal/program/agreement.go
@@ -21,8 +21,8 @@
 	"standpulley/internal/membership"
 )
 
-// agreementAdapter connects the program to the cluster, which agrees on settings: it checks proposed
-// versions and puts agreed ones in force.
+// agreementAdapter connects the program to the cluster, which agrees on settings: it checks
+// proposed versions and puts agreed ones in force.
 type agreementAdapter struct {
 	p             *program
 	node          *cluster.Node
@@ -62,8 +62,8 @@
 const (
 	listBatch      = 50 * time.Millisecond     // changes from discovery are collected for this long
 	listMaxEntries = membership.MaxPartEntries // most entries that one list version changes
-	// A dispatcher that reads discovery and sent nothing for this long does not count. Its
-	// discovery service answers within 10 s.
+	// A dispatcher that reads discovery and has reported nothing for this long does not count as a
+	// reader. Its discovery service answers within 10 s.
 	listReaderTimeout = 15 * time.Second
 	// After this many state changes within listCalm a replica stays drained until it has not
 	// changed for listCalm.
@@ -289,7 +289,8 @@
 	}
 }
 
-// LeaseLost is called when there is no lease: no other dispatcher reads discovery for this one.
+// LeaseLost is called when there is no lease. This dispatcher then starts to read discovery itself,
+// as no other dispatcher reads it on its behalf.
 func (a *agreementAdapter) LeaseLost() {
 	if a.lists != nil {
 		a.lists.startReadingAlone()
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -42,7 +42,7 @@
 }
 
 // applyToStack is apply without the admin endpoint. If the current stack cannot continue under cfg,
-// a new stack replaces it and starts with its replica list.
+// a new stack replaces it and starts with the replica list of the current one.
 func (p *program) applyToStack(cfg config.Config) error {
 	before := p.current
 	if before != nil && p.agreement == nil && cfg.DiffersInDiscoveryOnly(before.cfg) {
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -38,7 +38,7 @@
 	leaveTime        = 10 * time.Second
 	learnMinRequests = 100              // requests served normally from which the capacity is learned
 	learnMaxTime     = 10 * time.Minute // with fewer requests, the capacity is learned after this time
-	capacityKey      = "bears"          // key of the stored value in the log of the cluster
+	capacityKey      = "bears"          // key of the learned capacity in the file of this dispatcher's agreement log
 )
 
 // recoveryState runs the recovery stages of this dispatcher from its start until it serves
--- a/internal/program/stack.go
+++ b/internal/program/stack.go
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// updateSettings passes the settings to the core and the fronts. It may be called from any goroutine.
+// updateSettings passes the settings to the core and the fronts. It may be called from any
+// goroutine.
 func (s *stack) updateSettings(cfg config.Config, lease dispatch.Lease) error {
 	if err := s.core.UpdateSettings(cfg.Settings, bounds(cfg.Limits), lease); err != nil {
 		return err
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -93,7 +93,7 @@
 	return g.refused
 }
 
-// Admit decides whether a tenant's request of a class is admitted. The argument retry tells that
+// Admit decides whether a tenant's request of a class is admitted. The argument retry is true if
 // the client has tried before. A class out of range counts as the nearest valid one.
 func (g *AdmissionLimiter) Admit(now time.Duration, class int, retry bool, name string) bool {
 	g.advance(now)
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -39,7 +39,7 @@
 	HasLease       bool
 	ListApplied    bool // a list of replicas is agreed on and applied here
 	ListFresh      bool // that list reflects what the registry reported after the recovery began
-	// IntentsKnown tells that a majority of the ledger holders has answered, so that it is known
+	// IntentsKnown is set once a majority of the ledger holders has answered, so that it is known
 	// which of the requests that must not run twice may have run.
 	IntentsKnown bool
 	Throttled    bool // demand exceeds the rate of the ramp
@@ -101,8 +101,8 @@
 
 // waitReason returns what the present stage waits for, empty if the stage is complete, and whether
 // its timeout has expired. There is no timeout for checked files, a majority of the voters and a
-// lease, as nothing is safe without them. What a dispatcher may do without a lease is up to the
-// setting agree.alone.
+// lease, as nothing is safe without them, and none for a list of replicas that is agreed on. What a
+// dispatcher may do without a lease is up to the setting agree.alone.
 func (m *Machine) waitReason(now time.Duration, f Facts) (reason string, expired bool) {
 	elapsed := now - m.since
 	switch m.stage {
--- a/internal/replica/answer.go
+++ b/internal/replica/answer.go
@@ -33,7 +33,7 @@
 )
 
 // readHead reads the head of the final answer and skips interim answers. If that fails, received
-// tells whether the replica had sent anything.
+// reports whether the replica had sent a part of a head, or too many interim answers.
 func (a *attempt) readHead() (received bool, err error) {
 	for range maxInterim {
 		if _, err := a.c.br.Peek(1); err != nil {
--- a/internal/replica/attempt.go
+++ b/internal/replica/attempt.go
@@ -131,7 +131,7 @@
 
 // brokenAnswer returns the result of an attempt whose answer broke off before the end of its first
 // event. If anything of the answer was received, the replica has run the attempt: it has taken the
-// state, and the connection was not silent.
+// prefill state, so none is left to fetch, and the connection was not silent.
 func (a *attempt) brokenAnswer(received bool, err error) dispatch.Result {
 	a.dropConn()
 	if !received && time.Since(a.startedAt) > suspectAfter {
--- a/internal/replica/release_test.go
+++ b/internal/replica/release_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// startServer listens and serves each connection with serve. The argument old tells whether the
+// startServer listens and serves each connection with serve. The argument old is true if the
 // connection was accepted before dead was set.
 func startServer(t *testing.T, serve func(c net.Conn, old bool), dead *atomic.Int64) string {
 	t.Helper()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -111,7 +111,7 @@
 }
 
 // An answer that is malformed before the end of its first event must soon end the attempt as
-// failed, with a result that tells that the replica has run it.
+// failed, with a result that says that the replica has run it.
 func TestMalformedBeforeFirstEvent(t *testing.T) {
 	for name, act := range map[string]func(*fake.Exchange){
 		"binary noise":       writeRaw("\x00\x01\xff\xfe noise without end"),
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -123,7 +123,7 @@
 		t.Fatalf("connection without rest: error %v, reused %v", err, other == c)
 	}
 	pool.drop(other)
-	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil { // its answer plays the unexpected one
+	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil { // its answer serves as the unexpected one
 		t.Fatal(err)
 	}
 	for isQuiet(c.Conn) { // until the answer has arrived
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -23,7 +23,7 @@
 	report logic.Report
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), names: map[string]string{}}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -24,7 +24,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Text) }
 
-// Kind tells what a message means to the process that hosts the instances.
+// Kind is what a message means to the process that hosts the instances.
 type Kind uint8
 
 // The kinds of message.
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -15,7 +15,7 @@
 	buf []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
 func (w *Writer) text(name, v string) {
