--- a/cmd/standpulley/admin_test.go
+++ b/cmd/standpulley/admin_test.go
@@ -146,7 +146,7 @@
 		if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || !strings.HasSuffix(string(text), "[DONE]\n\n") {
 			t.Errorf("%d %q %v", resp.StatusCode, text, err)
 		}
-		// Sooner than an idle connection would be closed.
+		// The connection must close before the 400 ms after which a drain closes idle ones.
 		_ = c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("connection after an answer during a drain: %v", err)
--- a/cmd/standpulley/release_test.go
+++ b/cmd/standpulley/release_test.go
@@ -71,7 +71,7 @@
 				t.Fatalf("got %q", text)
 			}
 		}
-		time.Sleep(50 * time.Millisecond) // until the connections are idle
+		time.Sleep(50 * time.Millisecond) // connections are reused only after 30 ms without a request
 		l1.Blackhole()
 		l2.Blackhole()
 		l1.SetNew(newConns)
--- a/internal/front/platform/slow_test.go
+++ b/internal/front/platform/slow_test.go
@@ -47,7 +47,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	for n := 0; n < 20; {
 		if !lines.Scan() {
-			t.Fatalf("%d events came: %v", n, lines.Err())
+			t.Fatalf("%d events arrived: %v", n, lines.Err())
 		}
 		if strings.Contains(lines.Text(), "word") {
 			n++
