--- a/cmd/proving/ledger.go
+++ b/cmd/proving/ledger.go
@@ -39,7 +39,7 @@
 	s := proving.Script{Name: "ledger", Voters: 3, Within: "2s", Alone: "safe", Last: "0s", Ledger: mode}
 	return withBench(c, s, func(b *proving.Bench) error {
 		if mode != "" {
-			time.Sleep(time.Second) // until all ledger keeps are complete
+			time.Sleep(time.Second) // until all ledger holders are complete
 		}
 		b.SendInstructions(rate, time.Second) // opens the connections before the measurement
 		type figures struct {
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// A file that the program can't serve must not replace the one in force.
+// TestFailedApplyKeepsConfiguration checks that a file that the program can't serve does not
+// replace the one in force.
 func TestFailedApplyKeepsConfiguration(t *testing.T) {
 	dir := Dir(t.TempDir())
 	good := writeSiteFile(t)
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -14,7 +14,7 @@
 	"standpulley/internal/peers"
 )
 
-// Paths of the calls between dispatchers. All bodies are JSON, but for the voters' raft frames.
+// Paths of the calls between dispatchers. All bodies are JSON, except the voters' raft frames.
 const (
 	renewCall   = "/agree/renew"
 	changesCall = "/agree/news"
--- a/internal/cluster/lists.go
+++ b/internal/cluster/lists.go
@@ -181,7 +181,7 @@
 	number  uint64                      // of the reading, which grows with each
 	changed chan struct{}
 
-	// The fields below belong to the goroutine of reportRegistry, but for the atomic ones.
+	// The fields below belong to the goroutine of reportRegistry, except the atomic ones.
 	sentEntries map[string]membership.Entry // the entries that the leader has
 	sentNumber  uint64                      // the number of the reading that brought them
 	sentTo      string                      // the voter that was the leader then
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -45,7 +45,8 @@
 	unresponsive map[string]time.Duration // when each voter last failed to answer
 
 	leaveRequests chan chan struct{}
-	// longest normal service of another dispatcher, by the last answer
+	// the longest time that another dispatcher has served normally, in milliseconds, by the last
+	// answer
 	othersServingMS atomic.Int64
 	othersWarmRates atomic.Pointer[map[string]float64] // as other dispatchers report them; nil before they did
 	// a leader has reported the list as fresh since the start of this process
@@ -196,8 +197,8 @@
 	return a, lastErr
 }
 
-// votersToAsk returns the voters in the order in which to ask them: the presumed leader first, those
-// that recently did not answer last.
+// votersToAsk returns the voters in the order in which to ask them: the presumed leader first, and
+// last those that recently did not answer.
 func (m *member) votersToAsk(leader string) []string {
 	names := m.n.voterNames(leader)
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(m.recentlyUnresponsive(a), m.recentlyUnresponsive(b)) })
--- a/internal/cluster/recover_test.go
+++ b/internal/cluster/recover_test.go
@@ -57,9 +57,10 @@
 var proposeAndActivate = []clusterstate.Entry{{Propose: &clusterstate.Propose{ID: "x", Base: 1, Content: `{"limits":{"try_limit":2}}`, Keys: map[string]string{"limits.try_limit": "2"}, Fingerprint: "p2"}},
 	{Activate: &clusterstate.Activate{Number: 2}}}
 
-// A rebootstrapped cluster holds all entries of the newest log, also those not known to be committed,
-// the version that a dispatcher acted on and that no log has, and a new cluster ID and disk. The old
-// log is kept, an interrupted attempt does no harm, and mismatched folders are refused by name.
+// TestRebootstrapFromSurvivingFolders checks that a rebootstrapped cluster holds all entries of the
+// newest log, also those not known to be committed, the version that a dispatcher acted on and that
+// no log has, and a new cluster ID and disk. The old log is kept, an interrupted attempt does no
+// harm, and mismatched folders are refused by name.
 func TestRebootstrapFromSurvivingFolders(t *testing.T) {
 	opt := bootstrapped(t, proposeAndActivate...)
 	before, err := Survey(opt.Folder)
@@ -110,8 +111,8 @@
 	}
 }
 
-// A dispatcher that leaves a lost cluster belongs to no cluster, has a new disk, and keeps its warm
-// rates.
+// TestLeaveCluster checks that a dispatcher that leaves a lost cluster belongs to no cluster, has a
+// new disk, and keeps its warm rates.
 func TestLeaveCluster(t *testing.T) {
 	opt := bootstrapped(t, proposeAndActivate...)
 	writeLog(t, opt.Folder, func(l *raftlog.Log) error { return l.SetValue(warmRatesKey, []byte(`{"w":3}`)) })
--- a/internal/clusterstate/leasetable.go
+++ b/internal/clusterstate/leasetable.go
@@ -102,8 +102,8 @@
 	return true
 }
 
-// LongestServing returns how long a dispatcher has served normally, in milliseconds: the longest of
-// all that hold a lease, but for the excepted one.
+// LongestServing returns the longest time, in milliseconds, that a dispatcher with a lease has served
+// normally. The dispatcher named by except is left out.
 func (t *LeaseTable) LongestServing(now time.Duration, except string) (longest int64) {
 	for name, m := range t.Members {
 		if name != except && now < m.LeaseEnd {
--- a/internal/clusterstate/lists_test.go
+++ b/internal/clusterstate/lists_test.go
@@ -10,8 +10,8 @@
 	"standpulley/internal/membership"
 )
 
-// A copy that is updated in bounded parts reaches the agreed list from any earlier state, while the
-// list goes on changing and some answers are lost.
+// TestPartsConvergeToTheList checks that a copy that is updated in bounded parts reaches the agreed
+// list from any earlier state, while the list goes on changing and some answers are lost.
 func TestPartsConvergeToTheList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var rec Record
@@ -77,8 +77,8 @@
 	})
 }
 
-// A copy rejects changes with a gap and a page that does not continue it. It then starts again and
-// reaches the agreed list.
+// TestCopyRestartsAfterAGap checks that a copy rejects changes with a gap and a page that does not
+// continue it, and that it then starts again and reaches the agreed list.
 func TestCopyRestartsAfterAGap(t *testing.T) {
 	var rec Record
 	var pager membership.Pager
@@ -98,7 +98,8 @@
 	}
 }
 
-// The number of kept changes is bounded by the number of their entries.
+// TestKeptChangesAreBounded checks that the kept changes are bounded by the number of their
+// entries.
 func TestKeptChangesAreBounded(t *testing.T) {
 	var rec Record
 	for n := range 40 {
--- a/internal/clusterstate/rebootstrap_test.go
+++ b/internal/clusterstate/rebootstrap_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A rebootstrapped cluster has in force the newest version that any folder knows to have been in
-// force, reuses no number, withdraws a version that was in progress, and gives no seat to an old disk.
+// TestRebootstrap checks that a rebootstrapped cluster has in force the newest version that any
+// folder knows to have been in force, reuses no number, withdraws a version that was in progress,
+// and gives no seat to an old disk.
 func TestRebootstrap(t *testing.T) {
 	rec := bootstrapped(t)
 	mustApply(t, rec, proposal("x", 1, keysWith("5", "1")))
--- a/internal/clusterstate/warmrates_test.go
+++ b/internal/clusterstate/warmrates_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A dispatcher without warm rates gets the lower median of those that dispatchers with a lease report,
-// so that one wrong report moves it little, scaled by the fraction of dispatchers that know a rate.
+// TestWarmRatesFromOtherDispatchers checks that a dispatcher without warm rates gets the lower
+// median of those that dispatchers with a lease report, so that one wrong report moves it little,
+// scaled by the fraction of dispatchers that know a rate.
 func TestWarmRatesFromOtherDispatchers(t *testing.T) {
 	rec, timing := &Record{}, TimingOf(time.Second)
 	leases := NewLeaseTable(0, timing)
--- a/internal/clusterstate/within_test.go
+++ b/internal/clusterstate/within_test.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// Simulates 300 dispatchers. Once a version is decided, no dispatcher may act on a conflicting one for
-// longer than Within. With -v, the test prints how close the seeds come to the bound;
-// -rapid.checks=1000 runs a thousand seeds.
+// TestNoConflictAfterWithin simulates 300 dispatchers. Once a version is decided, no dispatcher may
+// act on a conflicting one for longer than Within. With -v, the test prints how close the seeds come
+// to the bound; -rapid.checks=1000 runs a thousand seeds.
 func TestNoConflictAfterWithin(t *testing.T) {
 	histogram := make([]int, 11)
 	decisions := 0
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// A platform's file may use the key peers for something else. That must not prevent a start.
+// TestPeersWithoutAgreeAreIgnored checks that the key peers in a platform's file, which may mean
+// something else there, does not prevent a start.
 func TestPeersWithoutAgreeAreIgnored(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","peers":["10.0.0.1"]`, 1)), noEnv)
 	if err != nil || c.Agree.Enabled() || c.CheckNoCluster() != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,8 @@
 
 func noEnv(string) string { return "" }
 
-// The nested JSON form and the simulator's flat form of the same settings must give equal results.
+// TestNestedAndFlatSettingsAreEqual checks that the nested JSON form and the simulator's flat form
+// of the same settings give equal results.
 func TestNestedAndFlatSettingsAreEqual(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
@@ -69,7 +70,8 @@
 	}
 }
 
-// A misspelt key in an operator's file must be reported, not ignored.
+// TestUnknownKeysInOperatorFile checks that a misspelt key in an operator's file is reported, not
+// ignored.
 func TestUnknownKeysInOperatorFile(t *testing.T) {
 	text := []byte(strings.Replace(validConfig, `"name":"n0"`, `"name":"n0","chatt":{}`, 1))
 	if _, err := Parse(text, noEnv); err != nil {
@@ -83,7 +85,7 @@
 	}
 }
 
-// The configuration files that the README names must be valid.
+// TestRepositoryFilesAreValid checks the configuration files that the README names.
 func TestRepositoryFilesAreValid(t *testing.T) {
 	for _, path := range []string{"../../deploy/chat.json", "../../example/config.json"} {
 		text, err := os.ReadFile(path)
@@ -104,8 +106,8 @@
 	}
 }
 
-// A truncated file was accepted as complete, because defaults and the environment replaced the
-// missing keys.
+// TestMissingKeysAreNamed guards against a truncated file that is accepted as complete, because
+// defaults and the environment replace the missing keys.
 func TestMissingKeysAreNamed(t *testing.T) {
 	inForce, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// The watch begins with the full list, continues from the version it has, and survives an agent
-// that closes its connection or sends an unreadable list.
+// TestWatch checks that the watch begins with the full list, continues from the version it has, and
+// survives an agent that closes its connection or sends an unreadable list.
 func TestWatch(t *testing.T) {
 	entry := fake.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"}
 	a, err := fake.StartAgent("127.0.0.1:0", entry)
@@ -68,7 +68,8 @@
 	<-ended
 }
 
-// CheckKinds rejects lists that no dispatcher can use, with an error that names the cause.
+// TestCheckKinds checks that lists that no dispatcher can use are rejected, with an error that
+// names the cause.
 func TestCheckKinds(t *testing.T) {
 	kinds := []logic.Kind{{Name: "k"}}
 	entry := discovery.Entry{ID: "s", Addr: "a:1", Kind: "k", State: "in_service"}
@@ -92,9 +93,10 @@
 	}
 }
 
-// When discovery rejects calls, each of many dispatchers pauses for seconds: 80 dispatchers that
-// retried every 50 ms kept it from answering any of them for a whole day. One of few
-// dispatchers must notice the end of the overload soon.
+// TestBackoffFromOverloadedDiscovery checks that each of many dispatchers pauses for seconds when
+// discovery rejects calls: 80 dispatchers that retried every 50 ms kept discovery from answering
+// any of them for a whole day. A dispatcher that is one of few must notice the end of the overload
+// soon.
 func TestBackoffFromOverloadedDiscovery(t *testing.T) {
 	watch := func(siblings int) (*fake.Agent, chan dispatch.Update, func()) {
 		a, err := fake.StartAgent("127.0.0.1:0", fake.Entry{ID: "s", Addr: "127.0.0.1:1", Kind: "k", State: "in_service"})
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,7 +44,8 @@
 	dialTimeout  = 250 * time.Millisecond
 	maxListBytes = 4 << 20
 
-	// After a broken connection. A watch continues only if the next call comes within 200 ms.
+	// The pause after a broken connection. The watch continues only if the next call comes within
+	// 200 ms.
 	reconnectDelay       = 50 * time.Millisecond
 	backoffPerDispatcher = 100 * time.Millisecond  // after a rejected call, times the number of dispatchers that share the service
 	maxBackoff           = 2250 * time.Millisecond // limit of the exponential backoff
--- a/internal/intentlog/service_test.go
+++ b/internal/intentlog/service_test.go
@@ -202,8 +202,9 @@
 	}
 }
 
-// With one holder unreachable, intents and repeats still work. With two unreachable, repeats are
-// refused and intents are not recorded, each with the error that says so.
+// TestUnreachableHolders checks that intents are recorded and repeats are checked while one holder
+// is unreachable. While two are, repeats are refused and intents are not recorded, each with the
+// error that says so.
 func TestUnreachableHolders(t *testing.T) {
 	c := newCluster(t)
 	for _, name := range names {
@@ -212,17 +213,17 @@
 	c.cutOff("c", true)
 	a := c.services["a"]
 	if _, err := begin(a, 1); err != nil {
-		t.Errorf("one away: %v", err)
+		t.Errorf("with one holder unreachable: %v", err)
 	}
 	if err := a.CheckRepeat(key(2), in(time.Second)); err != nil {
-		t.Errorf("one away: %v", err)
+		t.Errorf("with one holder unreachable: %v", err)
 	}
 	c.cutOff("b", true)
 	if _, err := begin(a, 3); !errors.Is(err, ErrNotRecorded) || MayHaveRun(err) {
-		t.Errorf("two away: %v", err)
+		t.Errorf("with two holders unreachable: %v", err)
 	}
 	if err := a.CheckRepeat(key(4), in(time.Second)); !errors.Is(err, ErrUndetermined) {
-		t.Errorf("two away: %v", err)
+		t.Errorf("with two holders unreachable: %v", err)
 	}
 	if err := a.CheckRepeat(key(1), in(time.Second)); !errors.Is(err, ErrMayHaveRun) {
 		t.Errorf("the own holder knows an attempt that forbids the repeat: %v", err)
@@ -232,8 +233,8 @@
 	}
 }
 
-// Guards against a holder that counts as complete although its file is new or an old copy, before
-// it was refilled from the other holders.
+// TestLostAndOldFiles guards against a holder that counts as complete although its file is new or an
+// old copy, before it was refilled from the other holders.
 func TestLostAndOldFiles(t *testing.T) {
 	c := newCluster(t)
 	for _, name := range names {
@@ -292,7 +293,7 @@
 	}
 }
 
-// Guards against a flood by one customer that takes the room of the others.
+// TestFloodIsRefused guards against a flood by one customer that takes the room of the others.
 func TestFloodIsRefused(t *testing.T) {
 	c := newCluster(t)
 	for _, name := range names {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -43,8 +43,9 @@
 		(len(a.Resolutions) == 0 || reflect.DeepEqual(a.Resolutions, b.Resolutions))
 }
 
-// Merging is commutative, associative and idempotent, and never makes an attempt's outcome smaller.
-// An instruction may be sent after a merge only if every attempt is known never to have run.
+// TestMergeLaws checks that merging is commutative, associative and idempotent, and never makes an
+// attempt's outcome smaller. An instruction may be sent after a merge only if every attempt is
+// known never to have run.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := entryGen.Draw(t, "a"), entryGen.Draw(t, "b"), entryGen.Draw(t, "c")
@@ -106,8 +107,9 @@
 	}
 }
 
-// Guards against a flood by one customer that evicts entries of another customer or takes all the
-// room, and against entries that are forgotten before their retention time has passed.
+// TestLimitsAreFair guards against a flood by one customer that evicts entries of another customer
+// or takes all the room, and against entries that are forgotten before their retention time has
+// passed.
 func TestLimitsAreFair(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 1000, Retention: time.Hour, Share: 2})
 	var refusal *Refusal
@@ -151,9 +153,10 @@
 	}
 }
 
-// Whatever the holders answer and in whatever order, at most one of several dispatchers may be
-// allowed to send an instruction. An instruction that a majority of complete holders does not know
-// was never sent, and one that was recorded by a holder that lost its disk is still found.
+// TestAtMostOneOwnerIsGranted checks that at most one of several dispatchers is allowed to send an
+// instruction, whatever the holders answer and in whatever order. An instruction that a majority of
+// complete holders does not know was never sent, and one that was recorded by a holder that lost
+// its disk is still found.
 func TestAtMostOneOwnerIsGranted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "holders")
@@ -216,8 +219,8 @@
 	return all
 }
 
-// A dispatcher whose attempt is proven never to have run may send another one, and an attempt that
-// was given up must not be granted late.
+// TestRecordIntentUsesCallersKnowledge checks that a dispatcher whose attempt is proven never to
+// have run may send another one, and that an attempt that was given up is not granted late.
 func TestRecordIntentUsesCallersKnowledge(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	record := func(n int, own ...AttemptRecord) Reply {
@@ -243,8 +246,9 @@
 	}
 }
 
-// Guards against unbounded growth when one body is sent many times: the entry stays small and keeps
-// its status, and new attempts are refused when too many have unknown outcomes.
+// TestManyAttemptsOfOneEntry guards against unbounded growth when one body is sent many times: the
+// entry stays small and keeps its status, and new attempts are refused when too many have unknown
+// outcomes.
 func TestManyAttemptsOfOneEntry(t *testing.T) {
 	table := NewTable(Limits{MaxEntries: 100, Retention: time.Hour, Share: 100})
 	end := func(n int, o Outcome) {
--- a/internal/ledger/tally_test.go
+++ b/internal/ledger/tally_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// Guards against a lookup that gives up early: once two of three holders had failed to answer, the
-// verdict became Unclear, and the reply of the third holder, which knew the instruction, was
-// ignored. In every order of the replies, one that forbids a repeat must decide the verdict.
-// Without one, the verdict is Unclear only after all holders have answered or failed to.
+// TestLookupWaitsForAllHolders guards against a lookup that gives up early: once two of three
+// holders had failed to answer, the verdict became Unclear, and the reply of the third holder,
+// which knew the instruction, was ignored. In every order of the replies, a reply that forbids a
+// repeat must decide the verdict. If no reply forbids it, the verdict becomes Unclear only after
+// all holders have answered or failed to.
 func TestLookupWaitsForAllHolders(t *testing.T) {
 	a := Attempt{Owner: "a", Boot: 1, N: 1}
 	knows := &Reply{Complete: true}
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -97,8 +97,9 @@
 	}
 }
 
-// Guards against acknowledged records that are missing without an error. Wherever the file is
-// damaged or truncated, all acknowledged records must be there, or opening it must fail.
+// TestDamageAtEachOffset guards against acknowledged records that are missing without an error.
+// Wherever the file is damaged or truncated, all acknowledged records must be there, or opening it
+// must fail.
 func TestDamageAtEachOffset(t *testing.T) {
 	path := filled(t, 3)
 	intact, err := os.ReadFile(path)
@@ -151,8 +152,9 @@
 	}
 }
 
-// With a simulated disk that loses power, a record whose commit returned must be there after any
-// kill. A record whose commit did not return may be there or not, but never in part.
+// TestPowerLossLosesNothingAcknowledged checks, with a simulated disk that loses power, that a
+// record whose commit returned is there after any kill. A record whose commit did not return may be
+// there or not, but never in part.
 func TestPowerLossLosesNothingAcknowledged(t *testing.T) {
 	defer func() { boltfile.TestDisk = nil }()
 	r := rand.New(rand.NewPCG(1, 2))
@@ -223,7 +225,8 @@
 	}
 }
 
-// A record as the first version encoded it, byte for byte. Later versions must be able to read it.
+// TestFirstEncoding parses a record as the first version of the program encoded it, byte for byte.
+// Later versions must be able to read it.
 func TestFirstEncoding(t *testing.T) {
 	text := []byte{0x0a, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 7, 0x12, 1, 'c', 0x18, 0xd8, 0x36, 0x22, 0x0a, 0x0a, 2, 'v', '1', 0x10, 9, 0x18, 7, 0x20, 0}
 	r, err := Parse(text)
--- a/internal/membership/census.go
+++ b/internal/membership/census.go
@@ -15,8 +15,8 @@
 // dispatcher uses a count that is too small. A smaller count therefore takes effect at once: the
 // leader removes a dispatcher from the census only after its lease has ended. A larger count takes
 // effect at once for the dispatchers that were counted before. A new dispatcher may use nothing
-// until all others must have received the larger count, which is within after since, the time when
-// it learned that it is counted.
+// until the time within has passed since it learned that it is counted (since): by then each other
+// dispatcher has received the larger count or has lost its lease.
 func Share(living int, counted bool, since, now, within time.Duration) float64 {
 	if !counted || living == 0 || now < since+within {
 		return 0
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -249,8 +249,8 @@
 	}
 }
 
-// A dispatcher's effective list is never looser than the agreed list, nor than its own list,
-// whatever the two contain.
+// TestEffectiveIsNeverLooser checks that a dispatcher's effective list is never looser than the
+// agreed list, nor than its own list, whatever the two contain.
 func TestEffectiveIsNeverLooser(t *testing.T) {
 	entries := rapid.Custom(func(t *rapid.T) map[string]Entry {
 		all := map[string]Entry{}
@@ -278,10 +278,11 @@
 	})
 }
 
-// The shares of all dispatchers never add up to more than one, while dispatchers join, leave,
-// receive a census late and lose their leases. A dispatcher uses the last census that it received
-// until its lease ends, which is within after the next census was decided at the latest. The leader
-// removes a dispatcher from the census only after its lease has ended.
+// TestSharesNeverSumToMoreThanOne checks that the shares of all dispatchers never add up to more
+// than one, while dispatchers join, leave, receive a census late and lose their leases. A dispatcher
+// uses the last census that it received until its lease ends; the lease ends no later than the time
+// within after the next census was decided. The leader removes a dispatcher from the census only
+// after its lease has ended.
 func TestSharesNeverSumToMoreThanOne(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const within = 1000
--- a/internal/proving/cold_load.go
+++ b/internal/proving/cold_load.go
@@ -96,7 +96,7 @@
 }
 
 // meanWarmLoad returns the mean number of attempts that the warm replicas of a kind got in the span
-// that begins at from.
+// that begins at from. Replicas that got none are left out.
 func meanWarmLoad(sends map[string][]time.Duration, coldReplicas map[string]ColdReplica, kind string, from time.Duration) float64 {
 	sum, warm := 0, 0
 	for replica, times := range sends {
--- a/internal/proving/play.go
+++ b/internal/proving/play.go
@@ -174,8 +174,9 @@
 	}
 }
 
-// resolve is as Fleet.resolve, but a leader or reader stays the same for 50 ms after a script named
-// it first: a cut in both directions takes two steps.
+// resolve returns what Fleet.resolve does, except that "leader" or "reader" means the same dispatcher
+// for 50 ms after a script first named it. Both steps of a cut in two directions therefore concern
+// the same dispatcher.
 func (p *play) resolve(name string) []*Dispatcher {
 	if name != "leader" && name != "reader" {
 		return p.fleet.resolve(name)
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// A damaged file or a file of another program must fail to open, with an error that says so. A torn
-// write is dropped.
+// TestDamage checks that a damaged file or a file of another program fails to open, with an error
+// that says so, and that a torn write is dropped.
 func TestDamage(t *testing.T) {
 	path := filled(t)
 	intact, err := os.ReadFile(path)
