--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -120,8 +120,9 @@
 	e.Attempts[at].Outcome = max(e.Attempts[at].Outcome, o)
 }
 
-// trim drops attempts until at most limit are left, without changing the status: attempts that
-// never ran, and all but the last that ran. Attempts of unknown outcome are always kept.
+// trim drops attempts, down to limit if possible, without changing the status: attempts that never
+// ran, and all but the last that ran. Attempts of unknown outcome are always kept, so that more than
+// limit may be left.
 func (e *Entry) trim(limit int) {
 	ran := -1
 	for i, t := range e.Attempts {
--- a/internal/ledger/tally.go
+++ b/internal/ledger/tally.go
@@ -83,8 +83,8 @@
 func Majority(n int) int { return n/2 + 1 }
 
 // RefillQuorum returns how many complete other holders a holder that lost its data must copy from
-// before it counts as complete again. Among so many there is at least one with each entry that the
-// lost holder had recorded together with a bare majority.
+// before it counts as complete again. Of each entry that the holder recorded as part of a bare
+// majority, at least one among so many others has a copy.
 func RefillQuorum(n int) int { return n - Majority(n) + 1 }
 
 // Verdict is the result of counting the holders' replies to an Op.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -19,7 +19,7 @@
 	Batch         time.Duration            // how long readings are collected before they make a version
 	MaxEntries    int                      // most entries that one version changes; a larger change makes several versions
 	MaxAge        time.Duration            // readings that were not refreshed for this long are ignored
-	AllowRollback bool                     // accepts a registry whose version went back like any other; for fault injection in tests only
+	AllowRollback bool                     // treats a registry whose version went back like any other; for fault injection in tests only
 	IgnoreOrders  bool                     // ignores operators' orders; for fault injection in tests only
 	MaxFlaps      int                      // state changes of one entry within FlapWindow before it is damped
 	FlapWindow    time.Duration            // how long a state change counts against an entry
--- a/internal/proving/instructions.go
+++ b/internal/proving/instructions.go
@@ -193,8 +193,8 @@
 	return all
 }
 
-// checkInstructions reports instructions that ran twice, and ones that ran though the ledger rules
-// that out.
+// checkInstructions reports instructions that ran twice, instructions that ran although the ledger
+// rules that out, and instructions of unknown status that are not listed.
 func (r *Record) checkInstructions(report func(rule, format string, args ...any), j *Judgement) {
 	for _, o := range r.Instructions {
 		j.Instructions.Sent++
--- a/internal/proving/operators.go
+++ b/internal/proving/operators.go
@@ -64,8 +64,9 @@
 	p.problemf("accept at %s: %s", d.Name, text)
 }
 
-// changeFileAndReload changes a dispatcher's file and sends SIGHUP; the log must contain the text
-// that the step wants. The file is then restored.
+// changeFileAndReload changes a setting in a dispatcher's file and sends SIGHUP. If the step wants a
+// text, it waits until the log contains it. The settings in d.config are then restored; the file
+// keeps the change until it is written again.
 func (p *play) changeFileAndReload(s Step, d *Dispatcher) {
 	before := d.config["settings"].(map[string]any)
 	next, err := changeSetting(before, s.Key, s.Value)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -201,7 +201,7 @@
 	if err == nil && first < len(text) {
 		time.Sleep(time.Duration(g.float() * float64(500*time.Millisecond)))
 		_, _ = io.WriteString(c.c, text[first:])
-	} // ignore write errors: an answer may have arrived before the connection was closed
+	} // write errors are ignored: an answer may have arrived before the connection was closed
 	a.Sent = time.Now()
 	_ = c.c.SetReadDeadline(a.Sent.Add(timeout + answerSlack + readExtra))
 	if g.float() < leaveShare {
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -71,7 +71,7 @@
 	}
 	process := &Process{Started: time.Now()}
 	for !HandlesSignal(cmd.Process.Pid, syscall.SIGHUP) && time.Since(process.Started) < execTimeMax {
-		time.Sleep(time.Millisecond / 10) // a signal would end the process before its handlers are installed
+		time.Sleep(time.Millisecond / 10) // until its handlers are installed, a signal would end the process
 	}
 	d.mu.Lock()
 	d.cmd, d.processes = cmd, append(d.processes, process)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -231,8 +231,8 @@
 	}
 }
 
-// reload sends SIGHUP for changed settings, for a truncated file and for the first settings again,
-// with pauses shorter than a reload takes.
+// reload sends SIGHUP for changed settings, for a truncated file and for the original settings, with
+// pauses shorter than a reload takes.
 func (r *run) reload(f fault, d *dispatcher) {
 	d.fileMu.Lock()
 	defer d.fileMu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -28,16 +28,18 @@
 
 // Record holds everything that was observed in a run.
 type Record struct {
-	Scenario       Scenario
-	Started        time.Time
-	Ended          time.Time // when the held state was checked for the last time
-	Requests       []Request
-	Reports        []Report
-	Processes      map[string][]*Process // by dispatcher
-	Logs           map[string]string     // by dispatcher, complete
-	FaultPeriods   map[string][]Period   // by replica: when the replica or its link was faulty
-	Drains         []Drain
-	Problems       []string        // clients that stopped mid-request and waited too long, and processes that failed to start
+	Scenario     Scenario
+	Started      time.Time
+	Ended        time.Time // when the held state was checked for the last time
+	Requests     []Request
+	Reports      []Report
+	Processes    map[string][]*Process // by dispatcher
+	Logs         map[string]string     // by dispatcher, complete
+	FaultPeriods map[string][]Period   // by replica: when the replica or its link was faulty
+	Drains       []Drain
+	// clients that stopped mid-request and waited too long, processes that failed to start, and
+	// configuration files that could not be read or written
+	Problems       []string
 	HadIdleClients map[string]bool // dispatchers that had many idle clients
 	Stall          time.Duration   // longest time for which the test process itself was not scheduled
 }
