--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -160,7 +160,7 @@
 		}
 	}
 	if l := (&Lease{Number: 3, Fingerprint: "0123456789"}); l.SettingsVersion() != "3-01234567" {
-		t.Errorf("mark %q", l.SettingsVersion())
+		t.Errorf("SettingsVersion: %q", l.SettingsVersion())
 	}
 	for within, good := range map[time.Duration]bool{400 * time.Millisecond: false, MinWithin: true, MaxWithin: true, time.Minute: false} {
 		if (TimingOf(within).Check() == nil) != good {
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -64,10 +64,10 @@
 		t.Fatalf("%v %v %v", state, all, err)
 	}
 	if note, err := l.Value("life"); string(note) != "long" || err != nil {
-		t.Errorf("note %q %v", note, err)
+		t.Errorf("value %q %v", note, err)
 	}
 	if note, err := l.Value("other"); note != nil || err != nil {
-		t.Errorf("note %q %v", note, err)
+		t.Errorf("value %q %v", note, err)
 	}
 	if _, err := Open(path, newID); err == nil || !strings.Contains(err.Error(), "another program") {
 		t.Errorf("second open of the same file: %v", err)
