--- /dev/null
+++ b/internal/intentlog/encoding_test.go
@@ -0,0 +1,18 @@
+package intentlog
+
+import (
+	"testing"
+
+	"standpulley/internal/golden"
+)
+
+// The JSON encodings of this package are those of earlier versions, which other processes and stored
+// files still use.
+func TestEncodings(t *testing.T) {
+	golden.Check(t, map[string]any{
+		"call":   Call{},
+		"answer": Answer{},
+		"row":    Row{},
+		"stats":  Stats{},
+	})
+}
