--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -232,6 +232,34 @@
 	}
 }
 
+// A record with all its fields, as the build before the renames encoded it. It guards against changed
+// field numbers and outcomes, with which the program would misread the instructions in its ledger file.
+func TestFullRecordEncoding(t *testing.T) {
+	text, err := os.ReadFile("testdata/record.bin")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const boot = 1<<63 + 9
+	want := Record{Key: ledger.Key{0: 0xa1, 1: 2, 15: 7}, Customer: "customer-1", At: 7001 * time.Millisecond, Entry: ledger.Entry{
+		Attempts: []ledger.AttemptRecord{
+			{Attempt: ledger.Attempt{Owner: "a", Boot: boot, N: 300}, Outcome: ledger.Intent},
+			{Attempt: ledger.Attempt{Owner: "a", Boot: boot, N: 301}, Outcome: ledger.NeverRan},
+			{Attempt: ledger.Attempt{Owner: "b", Boot: 10, N: 1}, Outcome: ledger.Ran},
+		},
+		Resolutions: []ledger.Resolution{
+			{Ran: false, By: "ann", Why: "not in the books", Wall: "2026-01-02T03:04:05Z"},
+			{Ran: true, By: "bob", Why: "found in the books", Wall: "2026-01-02T03:04:06Z"},
+		},
+	}}
+	got, err := Parse(text)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v, %v; want %+v", got, err, want)
+	}
+	if b := want.Append(nil); !bytes.Equal(b, text) {
+		t.Errorf("encoded as %x, want %x", b, text)
+	}
+}
+
 func FuzzParse(f *testing.F) {
 	r := record(3)
 	r.Entry.Merge(ledger.Entry{Resolutions: []ledger.Resolution{{Ran: true, By: "op", Why: "books", Wall: "now"}}})
