--- a/cmd/standpulley/stored_test.go
+++ b/cmd/standpulley/stored_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -19,6 +20,7 @@
 	"standpulley/internal/ledger"
 	"standpulley/internal/ledgerstore"
 	"standpulley/internal/membership"
+	"standpulley/internal/raftlog"
 )
 
 // storedFolder returns a copy of the state folder that a voter of the build before the renames left.
@@ -47,7 +49,7 @@
 }
 
 // The stored settings file is found, holds no key that this build does not know, and gives the agreed
-// settings in force. It guards against an upgrade after which a dispatcher does not start or starts on
+// settings in force. The test guards against an upgrade after which a dispatcher does not start or starts on
 // other settings.
 func TestStoredSettingsFile(t *testing.T) {
 	folder := storedFolder(t)
@@ -79,7 +81,7 @@
 }
 
 // The stored consensus log gives the record, the list of replicas and the saved state of the
-// dispatcher. It guards against an upgrade after which a voter loses what was agreed.
+// dispatcher. The test guards against an upgrade after which a voter loses what was agreed.
 func TestStoredLog(t *testing.T) {
 	r := surveyStored(t)
 	got := fmt.Sprintf("%x %x %v %d %d %d %d %d", r.Cluster, r.Disk, r.HasVoterLog, r.Term, r.Index, r.Record.InForceNumber, r.ActsOn.Number, r.Record.List.Number)
@@ -109,7 +111,7 @@
 }
 
 // This build surveys the stored folder with the same result, to the byte, as the build that wrote it.
-// It guards against the loss of any single field of the log's entries.
+// The test guards against the loss of any single field of the log's entries.
 func TestStoredLogSurvey(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join("testdata", "stored", "a.survey.json"))
 	if err != nil {
@@ -123,7 +125,7 @@
 	}
 }
 
-// The stored ledger file gives its instructions and its metadata. It guards against an upgrade after
+// The stored ledger file gives its instructions and its metadata. The test guards against an upgrade after
 // which an instruction that ran could run again.
 func TestStoredLedger(t *testing.T) {
 	entries, customers, last := map[string]ledger.Entry{}, map[string]bool{}, time.Duration(0)
@@ -173,3 +175,23 @@
 		t.Errorf("state %+v, want %+v", state, wantState)
 	}
 }
+
+// The stored consensus log gives raft's own state. The test guards against a voter that forgets its vote
+// after an upgrade and so votes twice in a term.
+func TestStoredVote(t *testing.T) {
+	l, err := raftlog.Open(cluster.LogPath(storedFolder(t)), cluster.NewID)
+	if err != nil {
+		t.Fatal(err)
+	}
+	hard, conf, err := l.Storage().InitialState()
+	if err := errors.Join(err, l.Close()); err != nil {
+		t.Fatal(err)
+	}
+	const diskOfA = 7659644979398107429
+	if hard.GetTerm() != 2 || hard.GetVote() != diskOfA || hard.GetCommit() != 15 {
+		t.Errorf("hard state %v", hard)
+	}
+	if want := []uint64{1922341492039467059, 6332968270911349395, diskOfA}; !slices.Equal(conf.GetVoters(), want) {
+		t.Errorf("voters %v, want %v", conf.GetVoters(), want)
+	}
+}
