--- a/cmd/standpulley/release_test.go
+++ b/cmd/standpulley/release_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
+	"net"
 	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -49,6 +51,44 @@
 	return at, ok
 }
 
+// requestsAtOnce is the number of requests whose fetches are lost at the same time.
+const requestsAtOnce = 4
+
+// warmUp leaves at least requestsAtOnce idle connections to each of two writers, so that later
+// requests need no new one: the writers answer only when all requests of the warm-up have arrived.
+type warmUp struct {
+	arrived [2]atomic.Int32 // requests by writer
+	answer  chan struct{}   // closed when the writers may answer
+}
+
+func newWarmUp() *warmUp { return &warmUp{answer: make(chan struct{})} }
+
+// arrive is called by a writer for each request.
+func (w *warmUp) arrive(writer int) {
+	w.arrived[writer].Add(1)
+	<-w.answer
+}
+
+func (w *warmUp) run(t *testing.T, addr string, request func(n int) string) {
+	t.Helper()
+	const total = 4 * requestsAtOnce
+	var clients []net.Conn
+	for n := range total {
+		clients = append(clients, sendText(t, addr, request(n+1)))
+	}
+	waitFor(t, "the requests of the warm-up at the writers", func() bool { return w.arrived[0].Load()+w.arrived[1].Load() >= total })
+	first, second := w.arrived[0].Load(), w.arrived[1].Load()
+	close(w.answer)
+	for _, c := range clients {
+		if text := readAnswer(t, c); !strings.HasSuffix(text, "[DONE]\n\n") {
+			t.Fatalf("got %q", text)
+		}
+	}
+	if min(first, second) < requestsAtOnce {
+		t.Fatalf("%d and %d connections to the writers, want at least %d each", first, second, requestsAtOnce)
+	}
+}
+
 // TestStateIsReleasedWhenTheFetchIsLost guards against a failure seen in pre-production. The read
 // of a request has ended, and its fetch is sent over an open connection that has stopped
 // responding: the bytes leave but arrive nowhere, and no error shows. The state at the reader was
@@ -58,28 +98,25 @@
 	for _, newConns := range []soak.NewConnectionMode{soak.Forwarded, soak.Blackholed} {
 		times := &readTimes{ended: map[string]time.Time{}}
 		reader, r := startReplica(t, "reader", "reader", times.onRead)
-		_, w1 := startReplica(t, "w1", "writer", func(x *fake.Exchange) { x.Answer("one") })
-		_, w2 := startReplica(t, "w2", "writer", func(x *fake.Exchange) { x.Answer("two") })
+		warm := newWarmUp()
+		_, w1 := startReplica(t, "w1", "writer", func(x *fake.Exchange) { warm.arrive(0); x.Answer("one") })
+		_, w2 := startReplica(t, "w2", "writer", func(x *fake.Exchange) { warm.arrive(1); x.Answer("two") })
 		l1, w1 := behindLink(t, w1)
 		l2, w2 := behindLink(t, w2)
 		agent, addr, path := startAgent(t, r, w1, w2), freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 		_, out := startProgram(t, writeConfig(t, path, addr, agent.Addr, settings, ""))
 		waitFor(t, "a ready program", func() bool { return strings.Contains(out.String(), "n0: ready") })
 		enquiry := func(n int) string { return strings.Replace(requestText(addr, n), "instruction", "enquiry", 1) }
-		for n := range 8 { // opens connections to both writers, which are idle afterwards
-			if text := readAnswer(t, sendText(t, addr, enquiry(n+1))); !strings.HasSuffix(text, "[DONE]\n\n") {
-				t.Fatalf("got %q", text)
-			}
-		}
+		warm.run(t, addr, enquiry)
 		time.Sleep(50 * time.Millisecond) // connections are reused only after 30 ms without a request
 		l1.Blackhole()
 		l2.Blackhole()
 		l1.SetNew(newConns)
 		l2.SetNew(newConns)
-		for n := 100; n < 104; n++ {
+		for n := 100; n < 100+requestsAtOnce; n++ {
 			sendText(t, addr, enquiry(n))
 		}
-		for n := 100; n < 104; n++ {
+		for n := 100; n < 100+requestsAtOnce; n++ {
 			id := fmt.Sprintf("%016x", n)
 			waitFor(t, "the read of "+id, func() bool { _, ok := times.endedAt(id); return ok })
 			readAt, _ := times.endedAt(id)
